--- a/direct/direct.c
+++ b/direct/direct.c
@@ -70,7 +70,8 @@
 	struct direct *direct = userdata;
 
 	open_to_peers(direct);
-	if (!pool_close(direct->pool, direct_closures_known(direct->closures)))
+	if (!pool_set_closed_domains(direct->pool,
+				     direct_closures_known(direct->closures)))
 		return;
 	each_request(direct, direct_request_domain_closed);
 	direct_calls_run(direct->calls);
@@ -110,7 +111,7 @@
 	direct->options = *options;
 	direct->domain = g_strdup(options->domain);
 	direct->pool = pool_create(options->clock, options->domain);
-	pool_hear_restarts(direct->pool, on_restarted, direct);
+	pool_set_restart_callback(direct->pool, on_restarted, direct);
 	direct->closures =
 		direct_closures_create(&(struct direct_closures_options){
 			.log = options->log,
@@ -244,7 +245,8 @@
 }
 
 void direct_set_upstreams(struct direct *direct,
-			  const struct pool_entry *entries, uint32_t count)
+			  const struct pool_upstream_info *entries,
+			  uint32_t count)
 {
 	struct lp_event_log *log = direct->options.log;
 	uint32_t changes = pool_update(direct->pool, entries, count);
@@ -282,7 +284,7 @@
 
 bool direct_in_doubt(const struct direct *direct)
 {
-	return pool_in_doubt(direct->pool);
+	return pool_needs_reapply(direct->pool);
 }
 
 void direct_set_retries(struct direct *direct, double ratio, double slack)
@@ -305,10 +307,11 @@
 void direct_hear_unreachable(struct direct *direct, uint64_t upstream,
 			     int64_t aside_us)
 {
-	struct pool_upstream *heard = pool_find_life(direct->pool, upstream);
+	struct pool_upstream *heard =
+		pool_find_incarnation(direct->pool, upstream);
 
 	if (heard)
-		pool_heard_unreachable(direct->pool, heard, aside_us);
+		pool_note_unreachable(direct->pool, heard, aside_us);
 }
 
 void direct_set_quarantine(struct direct *direct, bool on)
--- a/direct/direct.h
+++ b/direct/direct.h
@@ -49,7 +49,8 @@
 /** Version in force; negative: none yet. */
 int64_t direct_config_version(const struct direct *direct);
 void direct_set_upstreams(struct direct *direct,
-			  const struct pool_entry *entries, uint32_t count);
+			  const struct pool_upstream_info *entries,
+			  uint32_t count);
 /** The region of a failure domain; before the first list. */
 void direct_set_region(struct direct *direct, const char *domain,
 		       const char *region);
--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -317,9 +317,9 @@
 /* The life of whoever answered; 0: it has ended. */
 static uint64_t maker_of(const struct stage_call *call)
 {
-	struct pool_upstream *maker =
-		pool_answered(call->calls->direct->pool, call->call->upstream,
-			      call->born_ms, call->call->started_us);
+	struct pool_upstream *maker = pool_attribute_answer(
+		call->calls->direct->pool, call->call->upstream, call->born_ms,
+		call->call->started_us);
 
 	return maker ? maker->life : 0;
 }
@@ -330,10 +330,10 @@
 	if (error)
 		return POOL_UNREACHABLE;
 	if (call->reply.other_process)
-		return POOL_WRONG;
+		return POOL_WRONG_PROCESS;
 	if (made)
 		return POOL_SERVED;
-	return call->reply.not_run ? POOL_FULL : POOL_ERROR;
+	return call->reply.not_run ? POOL_OVERLOADED : POOL_ERROR_ANSWER;
 }
 
 static const char *outcome_name(enum pool_outcome outcome)
@@ -493,7 +493,7 @@
 static void end_question(struct room_question *question)
 {
 	g_hash_table_remove(question->service->calls->questions, question);
-	pool_release(question->upstream);
+	pool_upstream_unref(question->upstream);
 	g_free(question);
 }
 
@@ -507,8 +507,9 @@
 	return !answer->error && answer->status == 200 &&
 	       direct->options.codec->read_room(answer->body, answer->size,
 						room) &&
-	       pool_answered(direct->pool, question->upstream, room->born_ms,
-			     question->asked_us) == question->upstream;
+	       pool_attribute_answer(direct->pool, question->upstream,
+				     room->born_ms,
+				     question->asked_us) == question->upstream;
 }
 
 /* Not told: calls go there all the same, and tell. */
@@ -536,7 +537,7 @@
 	struct room_question *question = g_new0(struct room_question, 1);
 
 	question->service = service;
-	question->upstream = pool_hold(upstream);
+	question->upstream = pool_upstream_ref(upstream);
 	question->own_bytes = room_own_bytes(upstream->room);
 	question->asked_us = lp_now_us(calls->direct->options.clock);
 	g_hash_table_add(calls->questions, question);
--- a/direct/direct_codec.h
+++ b/direct/direct_codec.h
@@ -15,7 +15,7 @@
 	const char *host;
 	const char *key;     /**< that names the organisation, or NULL */
 	int64_t deadline_us; /**< how long the caller waits; 0: not said */
-	GArray *parts;	     /**< of struct pool_part; owned by the request */
+	GArray *parts; /**< of struct pool_prefix_block; owned by the request */
 	int64_t tokens_in;
 	int64_t tokens_out;
 	GArray *pieces; /**< uint32_t a stage: pieces it has; owned likewise */
@@ -117,8 +117,8 @@
 			   struct direct_made *made, uint32_t count,
 			   int64_t *born_ms);
 	/** Path that asks an engine which parts of prompts it has in memory,
-	 * and the answer: appended, of struct pool_part. False: it cannot be
-	 * read. */
+	 * and the answer: appended, of struct pool_prefix_block. False: it
+	 * cannot be read. */
 	const char *memory_target;
 	bool (*read_memory)(const char *body, size_t size, GArray *parts);
 	/** Path and body of a call that gives results up. */
--- a/direct/direct_ends.c
+++ b/direct/direct_ends.c
@@ -42,7 +42,7 @@
 	if (question->sock)
 		http_sock_abort(question->sock);
 	direct_clear_timer(&question->timer);
-	pool_release(question->upstream);
+	pool_upstream_unref(question->upstream);
 	g_free(question);
 }
 
@@ -91,7 +91,7 @@
 	g_autoptr(GArray) lost = g_array_new(FALSE, FALSE, sizeof(struct loss));
 	uint64_t life = upstream->life;
 
-	if (pool_is_leaving(upstream))
+	if (pool_is_draining(upstream))
 		return;
 	if (losses_ended(ends->losses, life, how == DIRECT_END_RESTARTED,
 			 lost) &&
@@ -199,7 +199,8 @@
 	struct question *question = g_new0(struct question, 1);
 
 	question->ends = ends;
-	question->upstream = pool_hold((struct pool_upstream *)upstream);
+	question->upstream =
+		pool_upstream_ref((struct pool_upstream *)upstream);
 	g_hash_table_replace(ends->questions, &question->upstream->life,
 			     question);
 	ask(question);
@@ -225,7 +226,7 @@
 	loss.life = upstream->life;
 	loss.lost_us = lp_now_us(direct_of(ends)->options.clock);
 	losses_forget(ends->losses);
-	if (pool_is_leaving(upstream) || (!upstream->listed && !superseded))
+	if (pool_is_draining(upstream) || (!upstream->listed && !superseded))
 		return;
 	switch (losses_add(ends->losses, &loss)) {
 	case LOSSES_ENDED:
--- a/direct/direct_fetch.c
+++ b/direct/direct_fetch.c
@@ -8,7 +8,7 @@
 
 static void free_fetch(struct direct_fetch *fetch)
 {
-	pool_release(fetch->options.upstream);
+	pool_upstream_unref(fetch->options.upstream);
 	g_free(fetch);
 }
 
@@ -64,7 +64,7 @@
 	fetch->options = *options;
 	fetch->reply.running = -1;
 	fetch->reply.waiting = -1;
-	pool_hold(fetch->options.upstream);
+	pool_upstream_ref(fetch->options.upstream);
 	fetch->http = start_http(fetch);
 	if (fetch->http)
 		return fetch;
--- a/direct/direct_memory.c
+++ b/direct/direct_memory.c
@@ -46,7 +46,7 @@
 
 	if (question->fetch)
 		direct_fetch_cancel(question->fetch);
-	pool_release(question->engine);
+	pool_upstream_unref(question->engine);
 	g_free(question);
 }
 
@@ -59,7 +59,8 @@
 	return !answer->error && answer->status == 200 &&
 	       memory->options.codec->read_memory(answer->body, answer->size,
 						  parts) &&
-	       pool_find_life(memory->options.pool, question->engine->life) ==
+	       pool_find_incarnation(memory->options.pool,
+				     question->engine->life) ==
 		       question->engine;
 }
 
@@ -69,14 +70,15 @@
 	struct question *question = userdata;
 	struct direct_memory *memory = question->memory;
 	g_autoptr(GArray) parts =
-		g_array_new(FALSE, FALSE, sizeof(struct pool_part));
+		g_array_new(FALSE, FALSE, sizeof(struct pool_prefix_block));
 	bool told = is_told(question, answer, parts);
 
 	question->fetch = NULL;
 	if (told)
-		pool_set_memory(memory->options.pool, question->engine,
-				(const struct pool_part *)parts->data,
-				parts->len);
+		pool_set_cached_blocks(
+			memory->options.pool, question->engine,
+			(const struct pool_prefix_block *)parts->data,
+			parts->len);
 	log_answer(question, told ? "told" : "not_told", parts->len);
 	g_hash_table_remove(memory->questions, question);
 }
@@ -89,7 +91,7 @@
 
 	engine->memory_asked_us = now(memory);
 	question->memory = memory;
-	question->engine = pool_hold(engine);
+	question->engine = pool_upstream_ref(engine);
 	question->asked_us = now(memory);
 	question->fetch = direct_fetch_start(&(struct direct_fetch_options){
 		.codec = options->codec,
@@ -111,7 +113,7 @@
 			   const struct pool_upstream *engine)
 {
 	/* One that takes only so many requests gets those of callers. */
-	return pool_usable(memory->options.pool, engine) &&
+	return pool_is_available(memory->options.pool, engine) &&
 	       !engine->limit.named &&
 	       (!engine->memory_asked_us ||
 		now(memory) - engine->memory_asked_us >= ASK_EACH_US);
@@ -120,7 +122,7 @@
 void direct_memory_ask(struct direct_memory *memory, const char *service)
 {
 	const GPtrArray *engines =
-		pool_of_service(memory->options.pool, service);
+		pool_service_upstreams(memory->options.pool, service);
 
 	for (guint i = 0; engines && i < engines->len; i++) {
 		struct pool_upstream *engine = g_ptr_array_index(engines, i);
--- a/direct/direct_notices.c
+++ b/direct/direct_notices.c
@@ -90,7 +90,8 @@
 
 static void greet_with_leaving(struct direct_notices *notices, uint64_t peer)
 {
-	g_autoptr(GPtrArray) leaving = pool_said_leaving(notices->options.pool);
+	g_autoptr(GPtrArray) leaving =
+		pool_list_drain_notices(notices->options.pool);
 	g_autoptr(GArray) lives = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	g_autoptr(GVariant) body = NULL;
 
@@ -109,7 +110,8 @@
 /* All that are named, so that who has just started keeps to them. */
 static void greet_with_limits(struct direct_notices *notices, uint64_t peer)
 {
-	g_autoptr(GPtrArray) limited = pool_limited(notices->options.pool);
+	g_autoptr(GPtrArray) limited =
+		pool_list_rate_limited(notices->options.pool);
 	guint count = MIN(limited->len, LIMITS_MAX);
 	g_autoptr(GVariant) body = NULL;
 	GVariantBuilder limits;
@@ -182,7 +184,7 @@
 	/* A refusal or a failure may leave out what a success says. */
 	if (!word.named && !reply->is_success)
 		return;
-	changed = pool_heard_limit(notices->options.pool, upstream, &word);
+	changed = pool_note_rate_limit(notices->options.pool, upstream, &word);
 	if (changed)
 		log_limit(notices, upstream, "answer");
 	if (changed ||
@@ -212,7 +214,7 @@
 static void hear_leaving(struct direct_notices *notices,
 			 struct pool_upstream *upstream)
 {
-	if (!pool_heard_leaving(notices->options.pool, upstream))
+	if (!pool_note_drain_notice(notices->options.pool, upstream))
 		return;
 	log_leaving(notices, upstream, "answer");
 	tell_leaving(notices, upstream);
@@ -230,15 +232,15 @@
 	if (reply->leaving)
 		hear_leaving(notices, upstream);
 	if (reply->rest_us)
-		pool_heard_rest(notices->options.pool, upstream,
-				reply->rest_us);
+		pool_note_pushback(notices->options.pool, upstream,
+				   reply->rest_us);
 }
 
 static void take_told(struct direct_notices *notices, uint64_t peer,
 		      struct pool_upstream *upstream,
 		      const struct rate_limit_word *word)
 {
-	if (pool_heard_limit(notices->options.pool, upstream, word))
+	if (pool_note_rate_limit(notices->options.pool, upstream, word))
 		log_limit(notices, upstream,
 			  direct_peers_ip(notices->peers, peer));
 	/* Whoever told us has told the others. */
@@ -264,7 +266,7 @@
 			.heard_us = now(notices) - MAX(age_us, 0),
 		};
 		struct pool_upstream *upstream =
-			pool_find_life(notices->options.pool, life);
+			pool_find_incarnation(notices->options.pool, life);
 
 		if (upstream && isfinite(per_s) && per_s >= 0)
 			take_told(notices, peer, upstream, &word);
@@ -280,9 +282,10 @@
 		g_variant_get_fixed_array(body, &count, sizeof(uint64_t));
 
 	for (gsize i = 0; i < count; i++) {
-		struct pool_upstream *upstream = pool_find_life(pool, lives[i]);
+		struct pool_upstream *upstream =
+			pool_find_incarnation(pool, lives[i]);
 
-		if (upstream && pool_heard_leaving(pool, upstream))
+		if (upstream && pool_note_drain_notice(pool, upstream))
 			log_leaving(notices, upstream,
 				    direct_peers_ip(notices->peers, peer));
 	}
--- a/direct/direct_places.c
+++ b/direct/direct_places.c
@@ -104,7 +104,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-static GVariant *write_parts(const struct pool_ask *ask)
+static GVariant *write_parts(const struct pool_pick_args *ask)
 {
 	GVariantBuilder parts;
 
@@ -117,10 +117,10 @@
 
 /* And those that want nothing of us: its placer is another entry to them. */
 static GVariant *write_tried(const struct direct_places *places,
-			     const struct pool_ask *ask)
+			     const struct pool_pick_args *ask)
 {
 	const struct pool *pool = places->direct->pool;
-	const GPtrArray *upstreams = pool_of_service(pool, ask->service);
+	const GPtrArray *upstreams = pool_service_upstreams(pool, ask->service);
 	GVariantBuilder tried;
 
 	g_variant_builder_init(&tried, G_VARIANT_TYPE("at"));
@@ -131,7 +131,7 @@
 		const struct pool_upstream *upstream =
 			g_ptr_array_index(upstreams, i);
 
-		if (pool_is_resting(pool, upstream))
+		if (pool_has_pushback(pool, upstream))
 			g_variant_builder_add(&tried, "t",
 					      (guint64)upstream->hash);
 	}
@@ -139,8 +139,8 @@
 }
 
 uint64_t direct_places_ask(struct direct_places *places, uint64_t placer,
-			   const struct pool_ask *ask, direct_placed_fn placed,
-			   void *userdata)
+			   const struct pool_pick_args *ask,
+			   direct_placed_fn placed, void *userdata)
 {
 	uint64_t number = places->next_number++;
 	g_autoptr(GVariant) body = g_variant_ref_sink(g_variant_new(
@@ -212,15 +212,15 @@
 	question = g_hash_table_lookup(places->questions, &number);
 	/* Too late: placed by ourselves meanwhile. */
 	if (!question || question->peer != peer) {
-		direct_places_ended(places, &place, POOL_UNKNOWN);
+		direct_places_ended(places, &place, POOL_UNDETERMINED);
 		return;
 	}
-	upstream = pool_find_life(places->direct->pool, engine);
-	if (upstream && (!pool_is_open(upstream) ||
-			 pool_is_resting(places->direct->pool, upstream)))
+	upstream = pool_find_incarnation(places->direct->pool, engine);
+	if (upstream && (!pool_is_eligible(upstream) ||
+			 pool_has_pushback(places->direct->pool, upstream)))
 		upstream = NULL;
 	if (!upstream) {
-		direct_places_ended(places, &place, POOL_UNKNOWN);
+		direct_places_ended(places, &place, POOL_UNDETERMINED);
 		place = (struct direct_place){ .wait_us = place.wait_us };
 	}
 	answer(question, upstream, &place);
@@ -241,22 +241,24 @@
 
 	set_read(held);
 	held->upstream->in_flight--;
-	pool_release(held->upstream);
+	pool_upstream_unref(held->upstream);
 	g_free(held);
 }
 
-static struct pool_part *read_parts(GVariant *list, uint32_t *count)
+static struct pool_prefix_block *read_parts(GVariant *list, uint32_t *count)
 {
-	struct pool_part *parts;
+	struct pool_prefix_block *parts;
 	GVariantIter iter;
 	guint64 id;
 	gint64 tokens;
 
-	parts = g_new0(struct pool_part, g_variant_n_children(list) + 1);
+	parts = g_new0(struct pool_prefix_block,
+		       g_variant_n_children(list) + 1);
 	*count = 0;
 	g_variant_iter_init(&iter, list);
 	while (g_variant_iter_next(&iter, "(tx)", &id, &tokens))
-		parts[(*count)++] = (struct pool_part){ id, MAX(tokens, 0) };
+		parts[(*count)++] =
+			(struct pool_prefix_block){ id, MAX(tokens, 0) };
 	return parts;
 }
 
@@ -278,7 +280,7 @@
 			     const char *service, GVariant *list)
 {
 	const GPtrArray *upstreams =
-		pool_of_service(places->direct->pool, service);
+		pool_service_upstreams(places->direct->pool, service);
 	GPtrArray *tried = g_ptr_array_new();
 	GVariantIter iter;
 	guint64 hash;
@@ -294,28 +296,29 @@
 }
 
 static struct held *hold(struct direct_places *places, uint64_t key,
-			 const struct pool_ask *ask)
+			 const struct pool_pick_args *ask)
 {
 	struct direct *direct = places->direct;
 	struct pool_upstream *upstream = pool_pick(direct->pool, ask);
-	struct pool_copy copy;
+	struct pool_cache_copy copy;
 	struct held *held;
 
 	if (!upstream)
 		return NULL;
 	held = g_new0(struct held, 1);
 	held->key = key;
-	held->upstream = pool_hold(upstream);
-	pool_sent(direct->pool, upstream);
+	held->upstream = pool_upstream_ref(upstream);
+	pool_note_sent(direct->pool, upstream);
 	held->at_us = now(places);
-	copy = pool_find_copy(direct->pool, upstream, ask);
+	copy = pool_find_cache_copy(direct->pool, upstream, ask);
 	held->source = copy.from ? copy.from->life : 0;
 	held->copied_tokens = copy.tokens;
 	held->cold_tokens = copy.cold_tokens;
 	upstream->in_flight++;
 	upstream->tokens_ahead += held->cold_tokens;
-	pool_remember(direct->pool, upstream, ask->parts, ask->parts_count,
-		      direct_prompt_tokens(direct, ask->service));
+	pool_note_cached_blocks(direct->pool, upstream, ask->parts,
+				ask->parts_count,
+				direct_prompt_tokens(direct, ask->service));
 	g_hash_table_replace(places->held, &held->key, held);
 	return held;
 }
@@ -343,8 +346,8 @@
 	g_autoptr(GVariant) tried_list = NULL;
 	g_autoptr(GVariant) reply = NULL;
 	g_autoptr(GPtrArray) tried = NULL;
-	g_autofree struct pool_part *parts = NULL;
-	struct pool_ask ask = { 0 };
+	g_autofree struct pool_prefix_block *parts = NULL;
+	struct pool_pick_args ask = { 0 };
 	const struct held *held;
 	const char *domain;
 	const char *homes;
@@ -366,7 +369,7 @@
 	held = hold(places, lp_hash_pair(peer, number), &ask);
 	reply = g_variant_ref_sink(write_placed(
 		number, held,
-		held ? 0 : pool_turn_us(places->direct->pool, &ask)));
+		held ? 0 : pool_retry_after_us(places->direct->pool, &ask)));
 	direct_peers_send(places->peers, peer, KIND_PLACED, reply);
 }
 
@@ -389,12 +392,13 @@
 		return;
 	if (state == STATE_HEARD) {
 		set_read(held);
-		pool_learn(pool, held->upstream, POOL_SERVED, took_us,
-			   expected_us);
+		pool_record_outcome(pool, held->upstream, POOL_SERVED, took_us,
+				    expected_us);
 		return;
 	}
-	pool_learn(pool, held->upstream,
-		   MIN(state - STATE_ENDED, (guint32)POOL_UNKNOWN), 0, 0);
+	pool_record_outcome(
+		pool, held->upstream,
+		MIN(state - STATE_ENDED, (guint32)POOL_UNDETERMINED), 0, 0);
 	g_hash_table_remove(places->held, &key);
 }
 
--- a/direct/direct_places.h
+++ b/direct/direct_places.h
@@ -40,8 +40,8 @@
  * `placed` is called once, later, unless the question is dropped.
  */
 uint64_t direct_places_ask(struct direct_places *places, uint64_t placer,
-			   const struct pool_ask *ask, direct_placed_fn placed,
-			   void *userdata);
+			   const struct pool_pick_args *ask,
+			   direct_placed_fn placed, void *userdata);
 void direct_places_drop(struct direct_places *places, uint64_t number);
 /** The engine has begun to answer, after `took_us` of `expected_us`. */
 void direct_places_heard(struct direct_places *places,
--- a/direct/direct_prepare.c
+++ b/direct/direct_prepare.c
@@ -50,7 +50,7 @@
 {
 	return DIRECT_ENGINE_FIRST_US +
 	       request->ask.tokens_in * LP_US_PER_MS /
-		       (PROMPT_PARTS * POOL_TOKENS_PER_MS);
+		       (PROMPT_PARTS * POOL_PREFILL_TOKENS_PER_MS);
 }
 
 /* Time from the end of a stage to the first event, about. */
@@ -131,10 +131,10 @@
 	const struct direct_stage *stages = request->route->stages;
 	const struct pool *pool = request->direct->pool;
 	const struct pool_upstream *preferred = NULL;
-	struct pool_ask ask = {
+	struct pool_pick_args ask = {
 		.service = request->service,
 		.homes = request->homes,
-		.parts = (struct pool_part *)request->ask.parts->data,
+		.parts = (struct pool_prefix_block *)request->ask.parts->data,
 		.parts_count = request->ask.parts->len,
 	};
 
@@ -144,14 +144,14 @@
 
 		if (!maker)
 			continue;
-		preferred = pool_find_life(pool, maker);
+		preferred = pool_find_incarnation(pool, maker);
 		piece->preferred_bytes +=
 			stages[before].bytes *
 			(int64_t)graph_pieces(request->graph, before);
 	}
 	if (!stages[stage].after_count && !after_stage_us(request, stage)) {
 		direct_stages_share(request->direct->stages, &ask);
-		preferred = pool_home(pool, &ask);
+		preferred = pool_affinity_upstream(pool, &ask);
 		piece->preferred_bytes = stages[stage].bytes;
 	}
 	/* The upstream may be gone before the piece is. Domains are few. */
--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -136,10 +136,11 @@
 uint64_t direct_stages_dispatcher(struct direct_stages *stages,
 				  const struct pool_upstream *upstream);
 /** Set the share of a service's engines at which a prompt is placed. */
-void direct_stages_share(struct direct_stages *stages, struct pool_ask *ask);
+void direct_stages_share(struct direct_stages *stages,
+			 struct pool_pick_args *ask);
 /** Who places this prompt; 0: we do. */
 uint64_t direct_stages_placer(struct direct_stages *stages,
-			      const struct pool_ask *ask);
+			      const struct pool_pick_args *ask);
 /** Have pieces made. Takes over the fields of `work`. */
 void direct_stages_ask(struct direct_stages *stages,
 		       struct direct_request *request,
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -15,7 +15,7 @@
 
 void direct_request_free(struct direct_request *request)
 {
-	direct_sending_leave(request, POOL_UNKNOWN);
+	direct_sending_leave(request, POOL_UNDETERMINED);
 	direct_clear_timer(&request->give_up_timer);
 	direct_quarantine_over(request->direct->quarantine, request);
 	if (request->graph)
@@ -105,7 +105,7 @@
 {
 	struct http_fields fields;
 
-	direct_sending_leave(request, POOL_UNKNOWN);
+	direct_sending_leave(request, POOL_UNDETERMINED);
 	direct_request_log_end(request, status == 503 ? "refused" : "failed",
 			       status, why);
 	http_fields_init(&fields);
@@ -128,7 +128,7 @@
 
 void direct_request_cut(struct direct_request *request, const char *why)
 {
-	direct_sending_leave(request, POOL_UNKNOWN);
+	direct_sending_leave(request, POOL_UNDETERMINED);
 	direct_request_log_end(request, "cut", request->status, why);
 	http_call_abort(request->call);
 	direct_request_free(request);
@@ -280,12 +280,12 @@
 	const struct pool *pool = request->direct->pool;
 	const struct direct_route *route = request->route;
 
-	if (pool_is_closed(pool, request->service, request->homes))
+	if (pool_service_is_closed(pool, request->service, request->homes))
 		return true;
 	for (uint32_t i = 0; request->graph && i < route->stages_count; i++)
 		if (!graph_stage_made(request->graph, i) &&
-		    pool_is_closed(pool, route->stages[i].service,
-				   request->homes))
+		    pool_service_is_closed(pool, route->stages[i].service,
+					   request->homes))
 			return true;
 	return false;
 }
@@ -388,7 +388,7 @@
 	request->body = g_string_new(NULL);
 	request->tried = g_ptr_array_new_with_free_func(g_free);
 	request->ask.parts =
-		g_array_new(FALSE, FALSE, sizeof(struct pool_part));
+		g_array_new(FALSE, FALSE, sizeof(struct pool_prefix_block));
 	request->ask.pieces = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	g_hash_table_add(direct->requests, request);
 	return request;
--- a/direct/direct_results.c
+++ b/direct/direct_results.c
@@ -55,7 +55,8 @@
 static void end_free_call(struct free_call *call)
 {
 	struct pool *pool = call->results->direct->pool;
-	struct pool_upstream *upstream = pool_find_life(pool, call->maker);
+	struct pool_upstream *upstream =
+		pool_find_incarnation(pool, call->maker);
 
 	for (guint i = 0; upstream && i < call->handles->len; i++)
 		room_given_up(upstream->room,
@@ -70,7 +71,7 @@
 {
 	struct direct *direct = call->results->direct;
 	const struct pool_upstream *maker =
-		pool_find_life(direct->pool, call->maker);
+		pool_find_incarnation(direct->pool, call->maker);
 
 	if (!lp_event_begin(direct->options.log, "results_given_up", NULL))
 		return;
@@ -196,13 +197,13 @@
 	/* It takes no more calls of ours, and takes its results with it. */
 	if (upstream->said_leaving)
 		return;
-	if (pool_is_resting(pool, upstream) ||
-	    pool_limit_wait_us(pool, upstream)) {
+	if (pool_has_pushback(pool, upstream) ||
+	    pool_rate_limit_wait_us(pool, upstream)) {
 		put_off(results, upstream->life, gathered);
 		return;
 	}
 	if (upstream->limit.named)
-		pool_sent(pool, upstream);
+		pool_note_sent(pool, upstream);
 	send_free(results, upstream, gathered);
 }
 
@@ -217,7 +218,7 @@
 	while (g_hash_table_iter_next(&iter, &maker, &gathered)) {
 		struct direct *direct = results->direct;
 		struct pool_upstream *upstream =
-			pool_find_life(direct->pool, *(uint64_t *)maker);
+			pool_find_incarnation(direct->pool, *(uint64_t *)maker);
 		uint64_t dispatcher;
 
 		if (!upstream) /* its results went with it */
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -46,11 +46,11 @@
 	upstream->in_flight--;
 	if (!request->heard)
 		upstream->tokens_ahead -= request->cold_tokens;
-	pool_learn(request->direct->pool, upstream, outcome, 0, 0);
+	pool_record_outcome(request->direct->pool, upstream, outcome, 0, 0);
 	if (request->place.peer)
 		direct_places_ended(request->direct->places, &request->place,
 				    outcome);
-	pool_release(upstream);
+	pool_upstream_unref(upstream);
 	request->upstream = NULL;
 }
 
@@ -59,18 +59,19 @@
 static const char *domain_of_maker(void *userdata, uint64_t maker)
 {
 	const struct pool *pool = userdata;
-	const struct pool_upstream *upstream = pool_find_life(pool, maker);
+	const struct pool_upstream *upstream =
+		pool_find_incarnation(pool, maker);
 
 	return upstream ? upstream->entry.domain : NULL;
 }
 
 static void write_pool_ask(const struct direct_request *request,
-			   struct pool_ask *ask)
+			   struct pool_pick_args *ask)
 {
-	*ask = (struct pool_ask){
+	*ask = (struct pool_pick_args){
 		.service = request->service,
 		.homes = request->homes,
-		.parts = (struct pool_part *)request->ask.parts->data,
+		.parts = (struct pool_prefix_block *)request->ask.parts->data,
 		.parts_count = request->ask.parts->len,
 		.tried = (const char *const *)request->tried->pdata,
 		.tried_count = request->tried->len,
@@ -160,11 +161,11 @@
 /* Not run, and not sent again: back when some upstream may take it. */
 static void refuse_not_run(struct direct_request *request, const char *why)
 {
-	struct pool_ask ask;
+	struct pool_pick_args ask;
 	int64_t wait_us;
 
 	write_pool_ask(request, &ask);
-	wait_us = pool_turn_us(request->direct->pool, &ask);
+	wait_us = pool_retry_after_us(request->direct->pool, &ask);
 	direct_request_refuse(request, wait_us ? wait_us : DIRECT_WAIT_FULL_US,
 			      why);
 }
@@ -274,8 +275,8 @@
 		direct_prepare_learn(request);
 	}
 	request->upstream->tokens_ahead -= request->cold_tokens;
-	pool_learn(direct->pool, request->upstream, POOL_SERVED, took_us,
-		   request->expected_us);
+	pool_record_outcome(direct->pool, request->upstream, POOL_SERVED,
+			    took_us, request->expected_us);
 	if (request->place.peer)
 		direct_places_heard(direct->places, &request->place, took_us,
 				    request->expected_us);
@@ -384,10 +385,10 @@
 	if (reply->other_process) {
 		direct_ends_saw(request->direct->ends, request->upstream,
 				DIRECT_END_REPLACED);
-		direct_sending_leave(request, POOL_WRONG);
+		direct_sending_leave(request, POOL_WRONG_PROCESS);
 		step_on(request, VERDICT_NOT_RUN, "other_process");
 	} else if (reply->not_run) {
-		direct_sending_leave(request, POOL_FULL);
+		direct_sending_leave(request, POOL_OVERLOADED);
 		step_on(request,
 			reply->input_gone ? VERDICT_INPUT_GONE
 					  : VERDICT_NOT_RUN,
@@ -397,11 +398,11 @@
 		step_on(request, VERDICT_BROKEN, "not_ours");
 	} else if (request->begun) {
 		direct_quarantine_served(request->direct->quarantine, request);
-		direct_sending_leave(request, POOL_ERROR);
+		direct_sending_leave(request, POOL_ERROR_ANSWER);
 		step_on(request, VERDICT_BROKEN, "no_stream");
 	} else if (request->status >= 500) {
 		direct_quarantine_served(request->direct->quarantine, request);
-		direct_sending_leave(request, POOL_ERROR);
+		direct_sending_leave(request, POOL_ERROR_ANSWER);
 		step_on(request, VERDICT_ERROR, "error");
 	} else {
 		direct_quarantine_served(request->direct->quarantine, request);
@@ -474,19 +475,20 @@
 
 /* What the engine lacks of the prompt and copies: by ourselves, or as its
  * placer says. */
-static struct pool_copy find_copy(const struct direct_request *request)
+static struct pool_cache_copy find_copy(const struct direct_request *request)
 {
 	const struct pool *pool = request->direct->pool;
 	const struct direct_place *place = &request->place;
-	struct pool_ask ask;
+	struct pool_pick_args ask;
 
 	if (!place->peer) {
 		write_pool_ask(request, &ask);
-		return pool_find_copy(pool, request->upstream, &ask);
+		return pool_find_cache_copy(pool, request->upstream, &ask);
 	}
-	return (struct pool_copy){
-		.from = place->source ? pool_find_life(pool, place->source)
-				      : NULL,
+	return (struct pool_cache_copy){
+		.from = place->source
+				? pool_find_incarnation(pool, place->source)
+				: NULL,
 		.tokens = place->copied_tokens,
 		.cold_tokens = place->cold_tokens,
 	};
@@ -496,17 +498,18 @@
 static void count_tokens(struct direct_request *request)
 {
 	const struct direct_place *place = &request->place;
-	struct pool_copy copy = find_copy(request);
+	struct pool_cache_copy copy = find_copy(request);
 	int64_t ahead = place->peer ? place->tokens_ahead
 				    : request->upstream->tokens_ahead;
 
 	request->copy_from = copy.from;
 	request->cold_tokens = copy.cold_tokens;
-	request->expected_us = DIRECT_ENGINE_FIRST_US / 4 +
-			       (ahead + request->cold_tokens) * LP_US_PER_MS /
-				       POOL_TOKENS_PER_MS +
-			       pool_copy_us(request->direct->pool,
-					    request->service, copy.tokens);
+	request->expected_us =
+		DIRECT_ENGINE_FIRST_US / 4 +
+		(ahead + request->cold_tokens) * LP_US_PER_MS /
+			POOL_PREFILL_TOKENS_PER_MS +
+		pool_cache_copy_us(request->direct->pool, request->service,
+				   copy.tokens);
 	*direct_counter(request->direct, "linepier_prompt_tokens_total",
 			"cached=\"copied\"") += copy.tokens;
 }
@@ -517,7 +520,7 @@
 	const GArray *parts = request->ask.parts;
 
 	request->state = DIRECT_STATE_SENT;
-	request->upstream = pool_hold(upstream);
+	request->upstream = pool_upstream_ref(upstream);
 	request->sent_us = direct_request_now_us(request);
 	request->round = direct_request_round(request);
 	request->heard = false;
@@ -529,10 +532,11 @@
 	request->copy_from = NULL;
 	if (parts->len) {
 		count_tokens(request);
-		pool_remember(request->direct->pool, upstream,
-			      (struct pool_part *)parts->data, parts->len,
-			      direct_prompt_tokens(request->direct,
-						   request->service));
+		pool_note_cached_blocks(request->direct->pool, upstream,
+					(struct pool_prefix_block *)parts->data,
+					parts->len,
+					direct_prompt_tokens(request->direct,
+							     request->service));
 	}
 	*direct_counter(request->direct, "linepier_prompt_tokens_total",
 			"cached=\"no\"") += request->cold_tokens;
@@ -622,7 +626,7 @@
 
 /* `wait_us`: its placer had none and says when some may take it; else 0. */
 static void place_by_ourselves(struct direct_request *request,
-			       struct pool_ask *ask, int64_t wait_us)
+			       struct pool_pick_args *ask, int64_t wait_us)
 {
 	struct pool *pool = request->direct->pool;
 	struct pool_upstream *upstream;
@@ -635,10 +639,11 @@
 	}
 	if (!upstream) {
 		refuse_unplaced(request,
-				wait_us ? wait_us : pool_turn_us(pool, ask));
+				wait_us ? wait_us
+					: pool_retry_after_us(pool, ask));
 		return;
 	}
-	pool_sent(pool, upstream);
+	pool_note_sent(pool, upstream);
 	send_to(request, upstream);
 }
 
@@ -646,7 +651,7 @@
 		      const struct direct_place *place)
 {
 	struct direct_request *request = userdata;
-	struct pool_ask ask;
+	struct pool_pick_args ask;
 
 	request->question = 0;
 	if (!upstream) {
@@ -660,7 +665,7 @@
 
 /* Returns whether a peer was asked where the prompt goes. */
 static bool ask_placer(struct direct_request *request,
-		       const struct pool_ask *ask)
+		       const struct pool_pick_args *ask)
 {
 	struct direct *direct = request->direct;
 	uint64_t placer;
@@ -680,7 +685,7 @@
 
 void direct_sending_start(struct direct_request *request)
 {
-	struct pool_ask ask;
+	struct pool_pick_args ask;
 
 	if (!direct_request_passes(request))
 		return;
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -154,7 +154,7 @@
 			 const struct service *service)
 {
 	const GPtrArray *list =
-		pool_of_service(stages->direct->pool, service->name);
+		pool_service_upstreams(stages->direct->pool, service->name);
 	uint32_t upstreams = list ? list->len : 1;
 
 	if (service->is_engines)
@@ -270,7 +270,7 @@
 		.heard = peers ? direct_peers_count(peers) : 1,
 		.known = peers ? direct_peers_known(peers) : 1,
 	};
-	struct pool_limit_share share = {
+	struct pool_rate_limit_shares share = {
 		.parts = 1,
 		.own = 1,
 		.own_share = find_share(stages, &fleet),
@@ -278,7 +278,7 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	pool_set_limit_share(stages->direct->pool, NULL, &share);
+	pool_set_rate_limit_shares(stages->direct->pool, NULL, &share);
 	fleet.has_owner = true;
 	share.other_share = find_share(stages, &fleet);
 	fleet.is_owner = true;
@@ -290,8 +290,8 @@
 		share.own = own_parts(stages, service);
 		fleet.owner_us = now(stages) - service->owned_us;
 		share.own_share = find_share(stages, &fleet);
-		pool_set_limit_share(stages->direct->pool, service->name,
-				     &share);
+		pool_set_rate_limit_shares(stages->direct->pool, service->name,
+					   &share);
 	}
 }
 
@@ -372,9 +372,9 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct direct_service *service = value;
 
-		pool_set_copying(stages->direct->pool, service->name,
-				 service->token_bytes,
-				 service->copy_bytes_per_us);
+		pool_set_cache_copying(stages->direct->pool, service->name,
+				       service->token_bytes,
+				       service->copy_bytes_per_us);
 		if (service->does_pieces || service->engine_tokens)
 			service_of(stages, service->name)->is_engines =
 				!service->does_pieces;
@@ -396,7 +396,8 @@
 	return dispatcher == self_of(stages) ? 0 : dispatcher;
 }
 
-void direct_stages_share(struct direct_stages *stages, struct pool_ask *ask)
+void direct_stages_share(struct direct_stages *stages,
+			 struct pool_pick_args *ask)
 {
 	const struct service *service =
 		g_hash_table_lookup(stages->services, ask->service);
@@ -411,7 +412,7 @@
 }
 
 uint64_t direct_stages_placer(struct direct_stages *stages,
-			      const struct pool_ask *ask)
+			      const struct pool_pick_args *ask)
 {
 	const struct service *service =
 		g_hash_table_lookup(stages->services, ask->service);
@@ -476,8 +477,8 @@
 
 		if (results[i].result != DIRECT_ITEM_LOST)
 			continue;
-		upstream =
-			pool_find_life(request->direct->pool, results[i].maker);
+		upstream = pool_find_incarnation(request->direct->pool,
+						 results[i].maker);
 		if (upstream && upstream != before)
 			direct_request_lost(request, upstream, ask->round,
 					    ask->asked_us);
--- a/policy/pieces.c
+++ b/policy/pieces.c
@@ -74,7 +74,7 @@
 {
 	static const GPtrArray none;
 	const GPtrArray *list =
-		pool_of_service(pieces->options.pool, pieces->service);
+		pool_service_upstreams(pieces->options.pool, pieces->service);
 
 	return list ? list : &none;
 }
@@ -186,7 +186,7 @@
 		      const struct pool_upstream *upstream)
 {
 	return is_own(pieces, upstream) &&
-	       pool_usable(pieces->options.pool, upstream);
+	       pool_is_available(pieces->options.pool, upstream);
 }
 
 /* Until it is free of others' calls and of our own; 0: it is idle. */
@@ -468,8 +468,8 @@
 {
 	struct pieces_call *call = g_new0(struct pieces_call, 1);
 
-	call->upstream = pool_hold(upstream);
-	pool_sent(pieces->options.pool, upstream);
+	call->upstream = pool_upstream_ref(upstream);
+	pool_note_sent(pieces->options.pool, upstream);
 	call->pieces = g_array_new(FALSE, FALSE, sizeof(struct piece));
 	room_set_linger(upstream->room, pieces->options.linger_us);
 	call->own_bytes = room_own_bytes(upstream->room);
@@ -511,8 +511,8 @@
 
 	if (running < 0 || waiting < 0)
 		return;
-	pool_heard_busy(pieces->options.pool, upstream,
-			now(pieces) + running * one_us / 2 + waiting * one_us);
+	pool_note_busy(pieces->options.pool, upstream,
+		       now(pieces) + running * one_us / 2 + waiting * one_us);
 }
 
 void pieces_made(struct pieces *pieces, struct pieces_call *call,
@@ -546,18 +546,18 @@
 	/* With others' calls about, the time is not the upstream's own. */
 	bool timed = outcome == POOL_SERVED && !running && !waiting;
 
-	pool_learn(pieces->options.pool, upstream, outcome,
-		   timed || outcome == POOL_UNREACHABLE
-			   ? now_us - call->started_us
-			   : 0,
-		   timed ? call_time_us(pieces, call->pieces->len) : 0);
+	pool_record_outcome(
+		pieces->options.pool, upstream, outcome,
+		timed || outcome == POOL_UNREACHABLE ? now_us - call->started_us
+						     : 0,
+		timed ? call_time_us(pieces, call->pieces->len) : 0);
 	learn_load(pieces, upstream, running, waiting);
 	if (outcome == POOL_SERVED)
 		learn_room(pieces, call);
 	upstream->in_flight--;
 	g_ptr_array_remove_fast(pieces->calls, call);
 	g_array_unref(call->pieces);
-	pool_release(upstream);
+	pool_upstream_unref(upstream);
 	g_free(call);
 }
 
@@ -628,8 +628,8 @@
 static bool awaits_slot(const struct pieces *pieces,
 			const struct pool_upstream *upstream)
 {
-	return is_own(pieces, upstream) && pool_is_open(upstream) &&
-	       pool_limit_wait_us(pieces->options.pool, upstream);
+	return is_own(pieces, upstream) && pool_is_eligible(upstream) &&
+	       pool_rate_limit_wait_us(pieces->options.pool, upstream);
 }
 
 /* Calls that it ends in the time of one at the usual speed. */
@@ -641,8 +641,9 @@
 
 	if (!upstream->limit.named)
 		return speed;
-	return MIN(speed, pool_limit_per_s(pieces->options.pool, upstream) *
-				  (double)call_us / LP_US_PER_S);
+	return MIN(speed,
+		   pool_rate_limit_per_s(pieces->options.pool, upstream) *
+			   (double)call_us / LP_US_PER_S);
 }
 
 static struct outlook look(const struct pieces *pieces)
@@ -661,8 +662,8 @@
 		outlook.free_us =
 			MIN(outlook.free_us,
 			    MAX(wait_us(pieces, upstream),
-				pool_limit_wait_us(pieces->options.pool,
-						   upstream)));
+				pool_rate_limit_wait_us(pieces->options.pool,
+							upstream)));
 	}
 	if (outlook.upstreams > 0)
 		return outlook;
--- a/policy/pool.c
+++ b/policy/pool.c
@@ -8,48 +8,48 @@
 #include <string.h>
 
 /* Time of an engine's answer beside its prompt: the first step. */
-#define FIRST_STEP_US (10 * LP_US_PER_MS)
+#define FIRST_DECODE_STEP_US (10 * LP_US_PER_MS)
 /* Requests at work slow an engine's steps: about 0.3% each. */
 #define PER_REQUEST_US (500)
 /* A request that goes elsewhere than where all entries would place its
  * prefix must gain this much by it: two thirds of a usual prompt's reading. */
-#define NOT_HOME_US (40 * LP_US_PER_MS)
+#define NON_AFFINITY_COST_US (40 * LP_US_PER_MS)
 /* Shared tokens read once more cost the platform beside the time: five times
  * it, by the prices of the sites (a thousand tokens weigh like 3 MB fetched
  * across domains). */
-#define READ_AGAIN 5
+#define REPEATED_PREFILL_WEIGHT 5
 /* Being late costs as much as reading some 25,000 tokens again: six sevenths of
  * a request's worth, by the sites' sheets. */
-#define LATE_US (2000 * LP_US_PER_MS)
+#define LATE_COST_US (2000 * LP_US_PER_MS)
 /* Another domain: a round trip more, and its bytes are paid for. */
-#define OTHER_DOMAIN_US (20 * LP_US_PER_MS)
+#define OTHER_DOMAIN_COST_US (20 * LP_US_PER_MS)
 /* Bytes fetched across domains are weighed as time: 3 MB as 95 ms. */
 #define FETCH_BYTES_PER_US 31
 /* An upstream that fails is left alone, twice as long each time. */
-#define ASIDE_FIRST_US (250 * LP_US_PER_MS)
-#define ASIDE_DOUBLINGS_MAX 4
-#define ASIDE_MAX_US (4 * LP_US_PER_S)
+#define EJECTION_BASE_US (250 * LP_US_PER_MS)
+#define EJECTION_DOUBLINGS_MAX 4
+#define EJECTION_MAX_US (4 * LP_US_PER_S)
 /* An answer of this age outweighs the word of others. */
-#define ANSWERED_US (300 * LP_US_PER_MS)
+#define RECENT_OUTCOME_US (300 * LP_US_PER_MS)
 /* One that is full is asked again soon. */
-#define ASIDE_FULL_US (60 * LP_US_PER_MS)
+#define OVERLOAD_EJECTION_US (60 * LP_US_PER_MS)
 /* Weight of the newest outcome in a fading mean. */
 #define FADE 0.3
 /* Time after which half of a belief in slowness or errors is forgotten, so
  * that an upstream that has recovered is tried again. */
-#define FORGET_US (2 * LP_US_PER_S)
+#define ESTIMATE_HALF_LIFE_US (2 * LP_US_PER_S)
 #define SLOWNESS_MAX 20.0
 /* Upstreams keep results that nobody gives up for about so long, until the
  * configuration says how long. */
-#define LINGER_US (4 * LP_US_PER_S)
+#define DEFAULT_RESULT_TTL_US (4 * LP_US_PER_S)
 /* Requests of plain services are weighed in these units of time. */
-#define PLAIN_CALL_US (60 * LP_US_PER_MS)
+#define PLAIN_CALL_COST_US (60 * LP_US_PER_MS)
 
 /* Copied memory is priced by the byte: what a token of a usual model costs is
  * about a fifth of what reading it again does. */
-#define COPIED_BYTES_PER_US 8000
+#define CACHE_COPY_COST_BYTES_PER_US 8000
 /* A copy is asked for and begun in this time. */
-#define COPY_SETUP_US (5 * LP_US_PER_MS)
+#define CACHE_COPY_SETUP_US (5 * LP_US_PER_MS)
 
 /* What unlisted upstreams have said of themselves is kept for so long, ... */
 #define UNLISTED_KEEP_US (600 * LP_US_PER_S)
@@ -89,22 +89,22 @@
 	const struct closures *closures; /* NULL: none are known */
 	GHashTable *warmups;		 /* service -> struct warmup_limits */
 	GHashTable *copying;		 /* service -> struct copying */
-	GHashTable *limit_shares;	 /* likewise struct pool_limit_share */
-	struct pool_limit_share limit_share; /* of other services */
-	GHashTable *turns;		     /* service -> struct turns */
-	GHashTable *unlisted;		     /* life -> struct unlisted */
-	GHashTable *regions;		     /* domain -> interned region */
+	GHashTable *limit_shares; /* likewise struct pool_rate_limit_shares */
+	struct pool_rate_limit_shares limit_share; /* of other services */
+	GHashTable *turns;			   /* service -> struct turns */
+	GHashTable *unlisted;			   /* life -> struct unlisted */
+	GHashTable *regions; /* domain -> interned region */
 };
 
 /* ---- start and end ---- */
 
-struct pool_upstream *pool_hold(struct pool_upstream *upstream)
+struct pool_upstream *pool_upstream_ref(struct pool_upstream *upstream)
 {
 	upstream->refs++;
 	return upstream;
 }
 
-static void clear_entry(struct pool_entry *entry)
+static void clear_entry(struct pool_upstream_info *entry)
 {
 	g_free(entry->id);
 	g_free(entry->service);
@@ -112,7 +112,7 @@
 	g_free(entry->domain);
 }
 
-void pool_release(struct pool_upstream *upstream)
+void pool_upstream_unref(struct pool_upstream *upstream)
 {
 	if (!upstream || --upstream->refs)
 		return;
@@ -127,7 +127,7 @@
 	struct pool_upstream *upstream = data;
 
 	upstream->listed = false;
-	pool_release(upstream);
+	pool_upstream_unref(upstream);
 }
 
 struct pool *pool_create(const struct lp_clock *clock, const char *domain)
@@ -149,7 +149,7 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	pool->limit_shares =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	pool->limit_share = (struct pool_limit_share){
+	pool->limit_share = (struct pool_rate_limit_shares){
 		.parts = 1,
 		.own = 1,
 		.own_share = { .part = RATE_LIMIT_OWNER },
@@ -225,7 +225,8 @@
 	       closures_has(pool->closures, upstream->entry.domain);
 }
 
-uint32_t pool_close(struct pool *pool, const struct closures *closures)
+uint32_t pool_set_closed_domains(struct pool *pool,
+				 const struct closures *closures)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -254,7 +255,7 @@
 			     g_memdup2(limits, sizeof(*limits)));
 }
 
-void pool_sent(struct pool *pool, struct pool_upstream *upstream)
+void pool_note_sent(struct pool *pool, struct pool_upstream *upstream)
 {
 	int64_t now_us = lp_now_us(pool->clock);
 
@@ -262,18 +263,18 @@
 	rate_limit_sent(&upstream->limit, now_us);
 }
 
-bool pool_is_open(const struct pool_upstream *upstream)
+bool pool_is_eligible(const struct pool_upstream *upstream)
 {
-	return upstream->listed && !pool_is_leaving(upstream) &&
+	return upstream->listed && !pool_is_draining(upstream) &&
 	       !upstream->closed;
 }
 
-bool pool_is_leaving(const struct pool_upstream *upstream)
+bool pool_is_draining(const struct pool_upstream *upstream)
 {
 	return upstream->entry.leaving || upstream->said_leaving;
 }
 
-bool pool_heard_leaving(struct pool *pool, struct pool_upstream *upstream)
+bool pool_note_drain_notice(struct pool *pool, struct pool_upstream *upstream)
 {
 	bool is_new = !upstream->said_leaving;
 
@@ -287,17 +288,17 @@
 			     (gpointer)g_intern_string(region));
 }
 
-bool pool_is_closed(const struct pool *pool, const char *service,
-		    const char *homes)
+bool pool_service_is_closed(const struct pool *pool, const char *service,
+			    const char *homes)
 {
-	const GPtrArray *list = pool_of_service(pool, service);
+	const GPtrArray *list = pool_service_upstreams(pool, service);
 	bool any = false;
 
 	for (guint i = 0; list && i < list->len; i++) {
 		const struct pool_upstream *upstream =
 			g_ptr_array_index(list, i);
 
-		if (pool_is_leaving(upstream))
+		if (pool_is_draining(upstream))
 			continue;
 		if (!upstream->closed && homes_have(homes, upstream->region))
 			return false;
@@ -308,8 +309,8 @@
 
 /* ---- limits that upstreams name ---- */
 
-void pool_set_limit_share(struct pool *pool, const char *service,
-			  const struct pool_limit_share *share)
+void pool_set_rate_limit_shares(struct pool *pool, const char *service,
+				const struct pool_rate_limit_shares *share)
 {
 	if (service)
 		g_hash_table_replace(pool->limit_shares, g_strdup(service),
@@ -321,9 +322,10 @@
 static struct rate_limit_share share_of(const struct pool *pool,
 					const struct pool_upstream *upstream)
 {
-	const struct pool_limit_share *found = g_hash_table_lookup(
+	const struct pool_rate_limit_shares *found = g_hash_table_lookup(
 		pool->limit_shares, upstream->entry.service);
-	const struct pool_limit_share *all = found ? found : &pool->limit_share;
+	const struct pool_rate_limit_shares *all =
+		found ? found : &pool->limit_share;
 	bool is_own = all->own >> (upstream->hash % all->parts) & 1;
 	struct rate_limit_share share =
 		is_own ? all->own_share : all->other_share;
@@ -334,8 +336,8 @@
 	return share;
 }
 
-bool pool_heard_limit(struct pool *pool, struct pool_upstream *upstream,
-		      const struct rate_limit_word *word)
+bool pool_note_rate_limit(struct pool *pool, struct pool_upstream *upstream,
+			  const struct rate_limit_word *word)
 {
 	return rate_limit_hear(&upstream->limit, word);
 }
@@ -361,7 +363,7 @@
 	return upstream->limit.named;
 }
 
-GPtrArray *pool_limited(const struct pool *pool)
+GPtrArray *pool_list_rate_limited(const struct pool *pool)
 {
 	return find_upstreams(pool, names_limit);
 }
@@ -371,13 +373,13 @@
 	return upstream->said_leaving;
 }
 
-GPtrArray *pool_said_leaving(const struct pool *pool)
+GPtrArray *pool_list_drain_notices(const struct pool *pool)
 {
 	return find_upstreams(pool, has_said_leaving);
 }
 
-int64_t pool_limit_wait_us(const struct pool *pool,
-			   const struct pool_upstream *upstream)
+int64_t pool_rate_limit_wait_us(const struct pool *pool,
+				const struct pool_upstream *upstream)
 {
 	struct rate_limit_share share;
 
@@ -388,8 +390,8 @@
 				  lp_now_us(pool->clock));
 }
 
-double pool_limit_per_s(const struct pool *pool,
-			const struct pool_upstream *upstream)
+double pool_rate_limit_per_s(const struct pool *pool,
+			     const struct pool_upstream *upstream)
 {
 	struct rate_limit_share share = share_of(pool, upstream);
 
@@ -398,8 +400,8 @@
 
 /* ---- upstreams that rest ---- */
 
-void pool_heard_rest(struct pool *pool, struct pool_upstream *upstream,
-		     int64_t rest_us)
+void pool_note_pushback(struct pool *pool, struct pool_upstream *upstream,
+			int64_t rest_us)
 {
 	upstream->rest_until_us =
 		MAX(upstream->rest_until_us, lp_now_us(pool->clock) + rest_us);
@@ -414,8 +416,8 @@
 	return MAX(upstream->rest_until_us - lp_now_us(pool->clock), 0);
 }
 
-bool pool_is_resting(const struct pool *pool,
-		     const struct pool_upstream *upstream)
+bool pool_has_pushback(const struct pool *pool,
+		       const struct pool_upstream *upstream)
 {
 	return rest_left_us(pool, upstream) > 0;
 }
@@ -444,7 +446,7 @@
 	};
 
 	if (!upstream->limit.named && !upstream->said_leaving &&
-	    !pool_is_resting(pool, upstream))
+	    !pool_has_pushback(pool, upstream))
 		return;
 	g_hash_table_foreach_remove(pool->unlisted, is_forgotten, &now_us);
 	if (g_hash_table_size(pool->unlisted) >= UNLISTED_MAX)
@@ -472,20 +474,20 @@
 static bool may_send(const struct pool *pool,
 		     const struct pool_upstream *upstream)
 {
-	return pool_is_open(upstream) &&
+	return pool_is_eligible(upstream) &&
 	       warmup_may_send(&upstream->warmup, lp_now_us(pool->clock)) &&
-	       !pool_is_resting(pool, upstream) &&
-	       !pool_limit_wait_us(pool, upstream);
+	       !pool_has_pushback(pool, upstream) &&
+	       !pool_rate_limit_wait_us(pool, upstream);
 }
 
 /* ---- the list ---- */
 
-static struct pool_upstream *create_upstream(const struct pool *pool,
-					     const struct pool_entry *entry)
+static struct pool_upstream *
+create_upstream(const struct pool *pool, const struct pool_upstream_info *entry)
 {
 	const struct room_options room = {
 		.clock = pool->clock,
-		.linger_us = LINGER_US,
+		.linger_us = DEFAULT_RESULT_TTL_US,
 	};
 	struct pool_upstream *upstream = g_new0(struct pool_upstream, 1);
 
@@ -524,21 +526,21 @@
 }
 
 static bool is_same(const struct pool_upstream *upstream,
-		    const struct pool_entry *entry)
+		    const struct pool_upstream_info *entry)
 {
 	return !strcmp(upstream->entry.address, entry->address) &&
 	       !strcmp(upstream->entry.service, entry->service);
 }
 
-void pool_hear_restarts(struct pool *pool, pool_restarted_fn restarted,
-			void *userdata)
+void pool_set_restart_callback(struct pool *pool, pool_restarted_fn restarted,
+			       void *userdata)
 {
 	pool->restarted = restarted;
 	pool->restarted_userdata = userdata;
 }
 
 static struct pool_upstream *begin_life(struct pool *pool,
-					const struct pool_entry *entry)
+					const struct pool_upstream_info *entry)
 {
 	struct pool_upstream *upstream = create_upstream(pool, entry);
 
@@ -551,21 +553,22 @@
  * what is under way there. */
 static struct pool_upstream *follow_life(struct pool *pool,
 					 struct pool_upstream *listed,
-					 const struct pool_entry *entry)
+					 const struct pool_upstream_info *entry)
 {
-	struct pool_upstream *before = pool_hold(listed);
+	struct pool_upstream *before = pool_upstream_ref(listed);
 	struct pool_upstream *after;
 
 	g_hash_table_remove(pool->upstreams, before->entry.id);
 	after = begin_life(pool, entry);
 	if (pool->restarted)
 		pool->restarted(pool->restarted_userdata, before, after);
-	pool_release(before);
+	pool_upstream_unref(before);
 	return after;
 }
 
 /* Returns whether anything changed. */
-static bool take_entry(struct pool *pool, const struct pool_entry *entry)
+static bool take_entry(struct pool *pool,
+		       const struct pool_upstream_info *entry)
 {
 	struct pool_upstream *upstream = pool_find(pool, entry->id);
 	enum lives_word word =
@@ -593,7 +596,8 @@
 }
 
 static uint32_t remove_missing(struct pool *pool,
-			       const struct pool_entry *entries, uint32_t count)
+			       const struct pool_upstream_info *entries,
+			       uint32_t count)
 {
 	g_autoptr(GHashTable) named = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTableIter iter;
@@ -637,8 +641,8 @@
 	}
 }
 
-uint32_t pool_update(struct pool *pool, const struct pool_entry *entries,
-		     uint32_t count)
+uint32_t pool_update(struct pool *pool,
+		     const struct pool_upstream_info *entries, uint32_t count)
 {
 	uint32_t changes;
 
@@ -653,7 +657,7 @@
 	return changes;
 }
 
-bool pool_in_doubt(const struct pool *pool)
+bool pool_needs_reapply(const struct pool *pool)
 {
 	return pool->in_doubt;
 }
@@ -662,7 +666,7 @@
 static struct pool_upstream *
 renew(struct pool *pool, struct pool_upstream *listed, int64_t born_ms)
 {
-	struct pool_entry entry = listed->entry;
+	struct pool_upstream_info entry = listed->entry;
 	struct pool_upstream *after;
 
 	entry.born_ms = born_ms;
@@ -673,9 +677,9 @@
 	return after;
 }
 
-struct pool_upstream *pool_answered(struct pool *pool,
-				    struct pool_upstream *upstream,
-				    int64_t born_ms, int64_t asked_us)
+struct pool_upstream *pool_attribute_answer(struct pool *pool,
+					    struct pool_upstream *upstream,
+					    int64_t born_ms, int64_t asked_us)
 {
 	struct pool_upstream *listed = pool_find(pool, upstream->entry.id);
 	enum lives_word word = lives_answered(pool->lives, upstream->entry.id,
@@ -693,7 +697,8 @@
 	return listed == upstream || born_ms ? listed : NULL;
 }
 
-const GPtrArray *pool_of_service(const struct pool *pool, const char *service)
+const GPtrArray *pool_service_upstreams(const struct pool *pool,
+					const char *service)
 {
 	return g_hash_table_lookup(pool->services, service);
 }
@@ -703,15 +708,17 @@
 	return g_hash_table_lookup(pool->upstreams, id);
 }
 
-struct pool_upstream *pool_find_life(const struct pool *pool, uint64_t life)
+struct pool_upstream *pool_find_incarnation(const struct pool *pool,
+					    uint64_t life)
 {
 	return g_hash_table_lookup(pool->by_life, &life);
 }
 
 /* ---- beliefs ---- */
 
-int64_t pool_cold_tokens(const struct pool_upstream *upstream,
-			 const struct pool_part *parts, uint32_t count)
+int64_t pool_uncached_tokens(const struct pool_upstream *upstream,
+			     const struct pool_prefix_block *parts,
+			     uint32_t count)
 {
 	int64_t cold = 0;
 
@@ -725,18 +732,19 @@
 
 /* Until it has read a prompt that is sent there now, about. */
 static int64_t read_time_us(const struct pool_upstream *upstream,
-			    const struct pool_part *parts, uint32_t count)
+			    const struct pool_prefix_block *parts,
+			    uint32_t count)
 {
 	int64_t tokens = upstream->tokens_ahead +
-			 pool_cold_tokens(upstream, parts, count);
+			 pool_uncached_tokens(upstream, parts, count);
 
-	return tokens * LP_US_PER_MS / POOL_TOKENS_PER_MS;
+	return tokens * LP_US_PER_MS / POOL_PREFILL_TOKENS_PER_MS;
 }
 
 /* Tokens at the start of a prompt that an engine has read. */
 static int64_t tokens_read(const struct pool_upstream *upstream,
-			   const struct pool_part *parts, uint32_t count,
-			   int64_t now_us)
+			   const struct pool_prefix_block *parts,
+			   uint32_t count, int64_t now_us)
 {
 	int64_t tokens = 0;
 
@@ -753,8 +761,8 @@
 
 /* ---- memory that engines copy from each other ---- */
 
-void pool_set_copying(struct pool *pool, const char *service,
-		      int64_t token_bytes, double bytes_per_us)
+void pool_set_cache_copying(struct pool *pool, const char *service,
+			    int64_t token_bytes, double bytes_per_us)
 {
 	const struct copying copying = { token_bytes, bytes_per_us };
 
@@ -776,13 +784,13 @@
 {
 	if (!copying || !tokens)
 		return 0;
-	return COPY_SETUP_US +
+	return CACHE_COPY_SETUP_US +
 	       (int64_t)((double)(tokens * copying->token_bytes) /
 			 copying->bytes_per_us);
 }
 
-int64_t pool_copy_us(const struct pool *pool, const char *service,
-		     int64_t tokens)
+int64_t pool_cache_copy_us(const struct pool *pool, const char *service,
+			   int64_t tokens)
 {
 	return copy_us(copying_of(pool, service), tokens);
 }
@@ -790,11 +798,12 @@
 /* Its price, as time. */
 static int64_t copy_price_us(const struct copying *copying, int64_t tokens)
 {
-	return copying ? tokens * copying->token_bytes / COPIED_BYTES_PER_US
+	return copying ? tokens * copying->token_bytes /
+				 CACHE_COPY_COST_BYTES_PER_US
 		       : 0;
 }
 
-static int64_t all_tokens(const struct pool_part *parts, uint32_t count)
+static int64_t all_tokens(const struct pool_prefix_block *parts, uint32_t count)
 {
 	int64_t tokens = 0;
 
@@ -813,7 +822,7 @@
 
 /* A prompt of one part has nothing that others share. */
 static struct source find_source(const struct pool *pool, const GPtrArray *list,
-				 const struct pool_ask *ask)
+				 const struct pool_pick_args *ask)
 {
 	struct source source = {
 		.copying = ask->parts_count > 1 ? copying_of(pool, ask->service)
@@ -839,27 +848,30 @@
 	return source;
 }
 
-static struct pool_copy copy_from(const struct source *source,
-				  const struct pool_upstream *upstream,
-				  const struct pool_ask *ask)
+static struct pool_cache_copy copy_from(const struct source *source,
+					const struct pool_upstream *upstream,
+					const struct pool_pick_args *ask)
 {
-	int64_t cold = pool_cold_tokens(upstream, ask->parts, ask->parts_count);
+	int64_t cold =
+		pool_uncached_tokens(upstream, ask->parts, ask->parts_count);
 	int64_t tokens = source->tokens - (source->all_tokens - cold);
-	const struct pool_copy none = { .cold_tokens = cold };
+	const struct pool_cache_copy none = { .cold_tokens = cold };
 
 	if (!source->engine || source->engine == upstream || tokens <= 0 ||
 	    copy_us(source->copying, tokens) >=
-		    tokens * LP_US_PER_MS / POOL_TOKENS_PER_MS)
+		    tokens * LP_US_PER_MS / POOL_PREFILL_TOKENS_PER_MS)
 		return none;
-	return (struct pool_copy){ source->engine, tokens, cold - tokens };
+	return (struct pool_cache_copy){ source->engine, tokens,
+					 cold - tokens };
 }
 
-struct pool_copy pool_find_copy(const struct pool *pool,
-				const struct pool_upstream *upstream,
-				const struct pool_ask *ask)
+struct pool_cache_copy
+pool_find_cache_copy(const struct pool *pool,
+		     const struct pool_upstream *upstream,
+		     const struct pool_pick_args *ask)
 {
 	static const GPtrArray empty;
-	const GPtrArray *list = pool_of_service(pool, ask->service);
+	const GPtrArray *list = pool_service_upstreams(pool, ask->service);
 	struct source source = find_source(pool, list ? list : &empty, ask);
 
 	return copy_from(&source, upstream, ask);
@@ -890,9 +902,9 @@
 	g_hash_table_remove(upstream->parts, oldest);
 }
 
-void pool_remember(struct pool *pool, struct pool_upstream *upstream,
-		   const struct pool_part *parts, uint32_t count,
-		   int64_t capacity_tokens)
+void pool_note_cached_blocks(struct pool *pool, struct pool_upstream *upstream,
+			     const struct pool_prefix_block *parts,
+			     uint32_t count, int64_t capacity_tokens)
 {
 	int64_t now_us = lp_now_us(pool->clock);
 	int64_t read_us = now_us + read_time_us(upstream, parts, count);
@@ -925,8 +937,9 @@
 	return ((const struct part *)value)->ready_us <= *now_us;
 }
 
-void pool_set_memory(struct pool *pool, struct pool_upstream *upstream,
-		     const struct pool_part *parts, uint32_t count)
+void pool_set_cached_blocks(struct pool *pool, struct pool_upstream *upstream,
+			    const struct pool_prefix_block *parts,
+			    uint32_t count)
 {
 	int64_t now_us = lp_now_us(pool->clock);
 	GHashTableIter iter;
@@ -952,10 +965,11 @@
 {
 	int64_t quiet_us = now_us - upstream->seen_us;
 
-	for (; quiet_us > FORGET_US; quiet_us -= FORGET_US) {
+	for (; quiet_us > ESTIMATE_HALF_LIFE_US;
+	     quiet_us -= ESTIMATE_HALF_LIFE_US) {
 		upstream->slowness = 1.0 + (upstream->slowness - 1.0) / 2;
 		upstream->error_share /= 2;
-		upstream->seen_us += FORGET_US;
+		upstream->seen_us += ESTIMATE_HALF_LIFE_US;
 		if (upstream->slowness < 1.05 && upstream->error_share < 0.02) {
 			upstream->seen_us = now_us;
 			return;
@@ -970,30 +984,32 @@
 		upstream->aside_until_us = now_us + time_us;
 }
 
-void pool_learn(struct pool *pool, struct pool_upstream *upstream,
-		enum pool_outcome outcome, int64_t took_us, int64_t expected_us)
+void pool_record_outcome(struct pool *pool, struct pool_upstream *upstream,
+			 enum pool_outcome outcome, int64_t took_us,
+			 int64_t expected_us)
 {
 	int64_t now_us = lp_now_us(pool->clock);
-	bool failed = outcome == POOL_UNREACHABLE || outcome == POOL_WRONG;
-	uint32_t doublings = MIN(upstream->failures, ASIDE_DOUBLINGS_MAX);
+	bool failed =
+		outcome == POOL_UNREACHABLE || outcome == POOL_WRONG_PROCESS;
+	uint32_t doublings = MIN(upstream->failures, EJECTION_DOUBLINGS_MAX);
 
-	if (outcome == POOL_UNKNOWN)
+	if (outcome == POOL_UNDETERMINED)
 		return;
 	fade_beliefs(upstream, now_us);
 	upstream->seen_us = now_us;
 	if (failed) {
 		set_aside(upstream, now_us,
-			  MIN(MAX(ASIDE_FIRST_US, took_us) << doublings,
-			      ASIDE_MAX_US));
+			  MIN(MAX(EJECTION_BASE_US, took_us) << doublings,
+			      EJECTION_MAX_US));
 		upstream->failures++;
 		suspect_cold(pool, upstream);
 	} else {
 		upstream->failures = 0;
 	}
-	if (outcome == POOL_FULL)
-		set_aside(upstream, now_us, ASIDE_FULL_US);
+	if (outcome == POOL_OVERLOADED)
+		set_aside(upstream, now_us, OVERLOAD_EJECTION_US);
 	upstream->error_share +=
-		FADE * ((failed || outcome == POOL_ERROR ? 1.0 : 0.0) -
+		FADE * ((failed || outcome == POOL_ERROR_ANSWER ? 1.0 : 0.0) -
 			upstream->error_share);
 	if (!failed && took_us && expected_us) {
 		double ratio = CLAMP((double)took_us / (double)expected_us, 0.5,
@@ -1003,23 +1019,25 @@
 	}
 }
 
-void pool_heard_busy(struct pool *pool, struct pool_upstream *upstream,
-		     int64_t until_us)
+void pool_note_busy(struct pool *pool, struct pool_upstream *upstream,
+		    int64_t until_us)
 {
 	upstream->busy_until_us = until_us;
 }
 
-void pool_heard_unreachable(struct pool *pool, struct pool_upstream *upstream,
-			    int64_t aside_us)
+void pool_note_unreachable(struct pool *pool, struct pool_upstream *upstream,
+			   int64_t aside_us)
 {
 	int64_t now_us = lp_now_us(pool->clock);
 
-	if (!upstream->failures && now_us - upstream->seen_us < ANSWERED_US)
+	if (!upstream->failures &&
+	    now_us - upstream->seen_us < RECENT_OUTCOME_US)
 		return;
-	set_aside(upstream, now_us, MIN(aside_us, ASIDE_MAX_US));
+	set_aside(upstream, now_us, MIN(aside_us, EJECTION_MAX_US));
 }
 
-bool pool_usable(const struct pool *pool, const struct pool_upstream *upstream)
+bool pool_is_available(const struct pool *pool,
+		       const struct pool_upstream *upstream)
 {
 	return may_send(pool, upstream) &&
 	       lp_now_us(pool->clock) >= upstream->aside_until_us;
@@ -1027,7 +1045,7 @@
 
 /* ---- the choice ---- */
 
-static bool was_tried(const struct pool_ask *ask, const char *id)
+static bool was_tried(const struct pool_pick_args *ask, const char *id)
 {
 	for (uint32_t i = 0; i < ask->tried_count; i++)
 		if (!strcmp(ask->tried[i], id))
@@ -1035,7 +1053,7 @@
 	return false;
 }
 
-static bool is_in_share(const struct pool_ask *ask,
+static bool is_in_share(const struct pool_pick_args *ask,
 			const struct pool_upstream *upstream)
 {
 	return ask->share_count < 2 ||
@@ -1043,7 +1061,7 @@
 }
 
 /* Where all entries would place this prefix, had they the same beliefs. */
-static uint64_t home_rank(const struct pool_ask *ask,
+static uint64_t home_rank(const struct pool_pick_args *ask,
 			  const struct pool_upstream *upstream)
 {
 	uint32_t deepest_shared = ask->parts_count - 2;
@@ -1051,7 +1069,7 @@
 	return lp_hash_pair(ask->parts[deepest_shared].id, upstream->hash);
 }
 
-static const struct pool_upstream *find_home(const struct pool_ask *ask,
+static const struct pool_upstream *find_home(const struct pool_pick_args *ask,
 					     const GPtrArray *list)
 {
 	const struct pool_upstream *home = NULL;
@@ -1064,7 +1082,7 @@
 			g_ptr_array_index(list, i);
 		uint64_t rank = home_rank(ask, upstream);
 
-		if (!pool_is_open(upstream) || rank <= best ||
+		if (!pool_is_eligible(upstream) || rank <= best ||
 		    !homes_have(ask->homes, upstream->region) ||
 		    !is_in_share(ask, upstream))
 			continue;
@@ -1074,27 +1092,28 @@
 	return home;
 }
 
-const struct pool_upstream *pool_home(const struct pool *pool,
-				      const struct pool_ask *ask)
+const struct pool_upstream *
+pool_affinity_upstream(const struct pool *pool,
+		       const struct pool_pick_args *ask)
 {
-	const GPtrArray *list = pool_of_service(pool, ask->service);
+	const GPtrArray *list = pool_service_upstreams(pool, ask->service);
 
 	return list ? find_home(ask, list) : NULL;
 }
 
 /* What a choice among all upstreams of a service goes by. */
 struct choice {
-	const struct pool_ask *ask;
+	const struct pool_pick_args *ask;
 	const struct pool_upstream *home;
 	struct source source; /* of the prompt */
 };
 
 /* Shared tokens that would be read once more; the last part is the request's
  * own and is read in any case. */
-static int64_t shared_cold(const struct pool_ask *ask,
+static int64_t shared_cold(const struct pool_pick_args *ask,
 			   const struct pool_upstream *upstream)
 {
-	return pool_cold_tokens(upstream, ask->parts, ask->parts_count - 1);
+	return pool_uncached_tokens(upstream, ask->parts, ask->parts_count - 1);
 }
 
 /* Estimated time until a prompt is read there, with what else counts as time.
@@ -1102,24 +1121,26 @@
 static double prompt_cost_us(const struct choice *choice,
 			     const struct pool_upstream *upstream)
 {
-	const struct pool_ask *ask = choice->ask;
+	const struct pool_pick_args *ask = choice->ask;
 	const struct copying *copying = choice->source.copying;
-	struct pool_copy copy = copy_from(&choice->source, upstream, ask);
+	struct pool_cache_copy copy = copy_from(&choice->source, upstream, ask);
 	int64_t tokens = upstream->tokens_ahead + copy.cold_tokens;
-	double cost = FIRST_STEP_US +
-		      (double)PER_REQUEST_US * upstream->in_flight +
-		      (double)tokens * LP_US_PER_MS / POOL_TOKENS_PER_MS +
-		      (double)copy_us(copying, copy.tokens);
+	double cost =
+		FIRST_DECODE_STEP_US +
+		(double)PER_REQUEST_US * upstream->in_flight +
+		(double)tokens * LP_US_PER_MS / POOL_PREFILL_TOKENS_PER_MS +
+		(double)copy_us(copying, copy.tokens);
 
 	if (ask->target_us &&
 	    cost * upstream->slowness > (double)ask->target_us)
-		cost += LATE_US;
+		cost += LATE_COST_US;
 	cost += (double)copy_price_us(copying, copy.tokens);
 	if (choice->home && upstream != choice->home)
-		cost += NOT_HOME_US +
+		cost += NON_AFFINITY_COST_US +
 			(double)MAX(shared_cold(ask, upstream) - copy.tokens,
 				    0) *
-				READ_AGAIN * LP_US_PER_MS / POOL_TOKENS_PER_MS;
+				REPEATED_PREFILL_WEIGHT * LP_US_PER_MS /
+				POOL_PREFILL_TOKENS_PER_MS;
 	return cost;
 }
 
@@ -1127,28 +1148,29 @@
 {
 	uint32_t slots = MAX(upstream->entry.slots, 1);
 
-	return PLAIN_CALL_US * (1.0 + (double)upstream->in_flight / slots);
+	return PLAIN_CALL_COST_US * (1.0 + (double)upstream->in_flight / slots);
 }
 
 /* Estimated time to the answer's start, with what else counts as time. */
 static double cost_us(const struct pool *pool, const struct choice *choice,
 		      const struct pool_upstream *upstream)
 {
-	const struct pool_ask *ask = choice->ask;
+	const struct pool_pick_args *ask = choice->ask;
 	double cost = ask->parts_count ? prompt_cost_us(choice, upstream)
 				       : plain_cost_us(upstream);
 
 	cost *= upstream->slowness * (1.0 + 4.0 * upstream->error_share);
 	if (strcmp(upstream->entry.domain, pool->domain) != 0)
-		cost += OTHER_DOMAIN_US;
+		cost += OTHER_DOMAIN_COST_US;
 	if (ask->domain && strcmp(upstream->entry.domain, ask->domain) != 0)
 		cost += (double)ask->fetch_bytes / FETCH_BYTES_PER_US;
 	return cost;
 }
 
-struct pool_upstream *pool_pick(struct pool *pool, const struct pool_ask *ask)
+struct pool_upstream *pool_pick(struct pool *pool,
+				const struct pool_pick_args *ask)
 {
-	const GPtrArray *list = pool_of_service(pool, ask->service);
+	const GPtrArray *list = pool_service_upstreams(pool, ask->service);
 	struct choice choice;
 	struct pool_upstream *best = NULL;
 	double best_cost = 0;
@@ -1164,7 +1186,7 @@
 	};
 	for (guint i = 0; i < list->len; i++) {
 		struct pool_upstream *upstream = g_ptr_array_index(list, i);
-		bool usable = pool_usable(pool, upstream);
+		bool usable = pool_is_available(pool, upstream);
 		double cost;
 
 		if (!may_send(pool, upstream) || !is_in_share(ask, upstream) ||
@@ -1193,17 +1215,17 @@
 	double per_s;	 /* INFINITY: as often as they are asked */
 };
 
-static bool could_take(const struct pool_ask *ask,
+static bool could_take(const struct pool_pick_args *ask,
 		       const struct pool_upstream *upstream)
 {
-	return pool_is_open(upstream) && is_in_share(ask, upstream) &&
+	return pool_is_eligible(upstream) && is_in_share(ask, upstream) &&
 	       homes_have(ask->homes, upstream->region);
 }
 
 static struct outlook look_ahead(const struct pool *pool,
-				 const struct pool_ask *ask)
+				 const struct pool_pick_args *ask)
 {
-	const GPtrArray *list = pool_of_service(pool, ask->service);
+	const GPtrArray *list = pool_service_upstreams(pool, ask->service);
 	struct outlook outlook = { .wait_us = G_MAXINT64 };
 
 	for (guint i = 0; list && i < list->len; i++) {
@@ -1212,11 +1234,12 @@
 
 		if (!could_take(ask, upstream))
 			continue;
-		outlook.wait_us = MIN(outlook.wait_us,
-				      MAX(rest_left_us(pool, upstream),
-					  pool_limit_wait_us(pool, upstream)));
+		outlook.wait_us =
+			MIN(outlook.wait_us,
+			    MAX(rest_left_us(pool, upstream),
+				pool_rate_limit_wait_us(pool, upstream)));
 		outlook.per_s += upstream->limit.named
-					 ? pool_limit_per_s(pool, upstream)
+					 ? pool_rate_limit_per_s(pool, upstream)
 					 : INFINITY;
 	}
 	return outlook;
@@ -1233,7 +1256,7 @@
 	return turns;
 }
 
-int64_t pool_turn_us(struct pool *pool, const struct pool_ask *ask)
+int64_t pool_retry_after_us(struct pool *pool, const struct pool_pick_args *ask)
 {
 	struct outlook outlook = look_ahead(pool, ask);
 
--- a/tests/copy_test.cc
+++ b/tests/copy_test.cc
@@ -10,8 +10,8 @@
 namespace
 {
 
-const std::vector<pool_part> prompt = { { 7, 13000 }, { 8, 1000 } };
-const std::vector<pool_part> next = { { 7, 13000 }, { 9, 1000 } };
+const std::vector<pool_prefix_block> prompt = { { 7, 13000 }, { 8, 1000 } };
+const std::vector<pool_prefix_block> next = { { 7, 13000 }, { 9, 1000 } };
 
 /* 160 KB a token, at 137 GB/s: 16 ms for what takes 220 to read. */
 struct CopyingPool : Pool {
@@ -21,9 +21,9 @@
 	{
 		for (const char *id : { "one", "two", "three" })
 			add(id, "a");
-		pool_set_copying(it, "s", 163840, bytes_per_us);
+		pool_set_cache_copying(it, "s", 163840, bytes_per_us);
 		home = pick(prompt);
-		pool_remember(it, home, prompt.data(), 2, 100000);
+		pool_note_cached_blocks(it, home, prompt.data(), 2, 100000);
 	}
 	pool_upstream *other()
 	{
@@ -32,16 +32,16 @@
 				return pool_find(it, id);
 		return nullptr;
 	}
-	pool_copy copy_to(const pool_upstream *engine)
+	pool_cache_copy copy_to(const pool_upstream *engine)
 	{
-		pool_ask ask = {};
+		pool_pick_args ask = {};
 
 		ask.service = "s";
 		ask.parts = next.data();
 		ask.parts_count = next.size();
-		return pool_find_copy(it, engine, &ask);
+		return pool_find_cache_copy(it, engine, &ask);
 	}
-	pool_copy copy()
+	pool_cache_copy copy()
 	{
 		return copy_to(other());
 	}
@@ -75,7 +75,7 @@
 
 	pool.pass_ms(1000);
 	EXPECT_EQ(pool.copy_to(pool.home).from, nullptr);
-	pool_learn(pool.it, pool.home, POOL_UNREACHABLE, 0, 0);
+	pool_record_outcome(pool.it, pool.home, POOL_UNREACHABLE, 0, 0);
 	EXPECT_EQ(pool.copy().from, nullptr);
 }
 
@@ -86,17 +86,17 @@
 
 	slow.pass_ms(1000);
 	EXPECT_EQ(slow.copy().from, nullptr);
-	EXPECT_GT(pool_copy_us(slow.it, "s", 13000), 13000 * 16);
+	EXPECT_GT(pool_cache_copy_us(slow.it, "s", 13000), 13000 * 16);
 }
 
 TEST(Copy, IsNotMadeWhereEnginesDoNotCopy)
 {
 	CopyingPool pool;
 
-	pool_set_copying(pool.it, "s", 163840, 0);
+	pool_set_cache_copying(pool.it, "s", 163840, 0);
 	pool.pass_ms(1000);
 	EXPECT_EQ(pool.copy().from, nullptr);
-	EXPECT_EQ(pool_copy_us(pool.it, "s", 13000), 0);
+	EXPECT_EQ(pool_cache_copy_us(pool.it, "s", 13000), 0);
 }
 
 /* A home that is behind is left sooner, since nothing is read again. */
@@ -107,7 +107,7 @@
 	pool.pass_ms(1000);
 	pool.home->tokens_ahead = 30000; /* 500 ms */
 	EXPECT_NE(pool.pick(next), pool.home);
-	pool_set_copying(pool.it, "s", 163840, 0);
+	pool_set_cache_copying(pool.it, "s", 163840, 0);
 	EXPECT_EQ(pool.pick(next), pool.home);
 }
 
@@ -120,10 +120,10 @@
 	pool.add("there", "b");
 	pool.pass_ms(1000);
 	closures_set(closed, 1, "a", true);
-	pool_close(pool.it, closed);
+	pool_set_closed_domains(pool.it, closed);
 	EXPECT_STREQ(pool.pick(next)->entry.id, "there");
 	EXPECT_EQ(pool.copy_to(pool_find(pool.it, "there")).from, pool.home);
-	pool_close(pool.it, nullptr);
+	pool_set_closed_domains(pool.it, nullptr);
 	closures_destroy(closed);
 }
 
@@ -132,12 +132,12 @@
 TEST(EngineMemory, TakesThePlaceOfWhatWasBelieved)
 {
 	CopyingPool pool;
-	const pool_part told[] = { { 9, 700 } };
+	const pool_prefix_block told[] = { { 9, 700 } };
 
 	pool.pass_ms(1000);
-	pool_set_memory(pool.it, pool.home, told, 1);
-	EXPECT_EQ(pool_cold_tokens(pool.home, prompt.data(), 2), 14000);
-	EXPECT_EQ(pool_cold_tokens(pool.home, &told[0], 1), 0);
+	pool_set_cached_blocks(pool.it, pool.home, told, 1);
+	EXPECT_EQ(pool_uncached_tokens(pool.home, prompt.data(), 2), 14000);
+	EXPECT_EQ(pool_uncached_tokens(pool.home, &told[0], 1), 0);
 }
 
 /* An answer that was on its way may not know of a prompt sent meanwhile. */
@@ -145,8 +145,8 @@
 {
 	CopyingPool pool;
 
-	pool_set_memory(pool.it, pool.home, nullptr, 0);
-	EXPECT_EQ(pool_cold_tokens(pool.home, prompt.data(), 2), 0);
+	pool_set_cached_blocks(pool.it, pool.home, nullptr, 0);
+	EXPECT_EQ(pool_uncached_tokens(pool.home, prompt.data(), 2), 0);
 }
 
 TEST(EngineMemory, IsReadWholeOrNotAtAll)
@@ -174,8 +174,8 @@
 	};
 
 	for (const auto &row : rows) {
-		GArray *parts =
-			g_array_new(FALSE, FALSE, sizeof(struct pool_part));
+		GArray *parts = g_array_new(FALSE, FALSE,
+					    sizeof(struct pool_prefix_block));
 
 		EXPECT_EQ(plf_codec()->read_memory(row.body, strlen(row.body),
 						   parts),
--- a/tests/direct_policy_test.cc
+++ b/tests/direct_policy_test.cc
@@ -369,7 +369,8 @@
 	EXPECT_EQ(pool.pick({}, { "two" }), nullptr);
 	pool.entries[0].leaving = false;
 	pool_update(pool.it, pool.entries.data(), 2);
-	pool_learn(pool.it, pool_find(pool.it, "two"), POOL_UNREACHABLE, 0, 0);
+	pool_record_outcome(pool.it, pool_find(pool.it, "two"),
+			    POOL_UNREACHABLE, 0, 0);
 	EXPECT_STREQ(pool.pick()->entry.id, "one");
 	/* One that is set aside is better than none. */
 	EXPECT_STREQ(pool.pick({}, { "one" })->entry.id, "two");
@@ -381,8 +382,8 @@
 
 	pool.add("one", "a");
 	pool.add("two", "a");
-	pool_learn(pool.it, pool_find(pool.it, "one"), POOL_SERVED, 500000,
-		   50000);
+	pool_record_outcome(pool.it, pool_find(pool.it, "one"), POOL_SERVED,
+			    500000, 50000);
 	EXPECT_STREQ(pool.pick()->entry.id, "two");
 	pool.clock.now_us += 30 * LP_US_PER_S;
 	pool_find(pool.it, "two")->in_flight = 1;
@@ -392,14 +393,15 @@
 TEST(Pool, KeepsAPrefixAtItsHomeUnlessThatIsFarBehind)
 {
 	Pool pool;
-	const std::vector<pool_part> prompt = { { 7, 9000 }, { 8, 500 } };
+	const std::vector<pool_prefix_block> prompt = { { 7, 9000 },
+							{ 8, 500 } };
 	pool_upstream *home;
 
 	for (const char *id : { "e1", "e2", "e3", "e4" })
 		pool.add(id, "a");
 	home = pool.pick(prompt);
-	pool_remember(pool.it, home, prompt.data(), 2, 100000);
-	EXPECT_EQ(pool_cold_tokens(home, prompt.data(), 2), 0);
+	pool_note_cached_blocks(pool.it, home, prompt.data(), 2, 100000);
+	EXPECT_EQ(pool_uncached_tokens(home, prompt.data(), 2), 0);
 	EXPECT_EQ(pool.pick({ { 7, 9000 }, { 9, 400 } }), home);
 	home->tokens_ahead = 200000;
 	EXPECT_NE(pool.pick({ { 7, 9000 }, { 9, 400 } }), home);
@@ -409,8 +411,8 @@
 TEST(Pool, LeavesAPrefixsHomeRatherThanBeLate)
 {
 	Pool pool;
-	std::vector<pool_part> prompt = { { 7, 13000 }, { 8, 1000 } };
-	pool_ask ask = {};
+	std::vector<pool_prefix_block> prompt = { { 7, 13000 }, { 8, 1000 } };
+	pool_pick_args ask = {};
 
 	for (const char *id : { "one", "two", "three" })
 		pool.add(id, "a");
@@ -420,7 +422,7 @@
 	ask.target_us = 500000;
 	pool_upstream *home = pool_pick(pool.it, &ask);
 
-	pool_remember(pool.it, home, prompt.data(), 2, 100000);
+	pool_note_cached_blocks(pool.it, home, prompt.data(), 2, 100000);
 	home->tokens_ahead = 20000; /* 330 ms */
 	EXPECT_EQ(pool_pick(pool.it, &ask), home);
 	home->tokens_ahead = 40000; /* 670 ms */
@@ -433,7 +435,7 @@
 TEST(Pool, KeepsToItsShareOfTheUpstreams)
 {
 	Pool pool;
-	pool_ask ask = {};
+	pool_pick_args ask = {};
 	int found = 0;
 
 	for (const char *id : { "one", "two", "three", "four", "five" })
@@ -448,7 +450,8 @@
 
 		while ((best = pool_pick(pool.it, &ask))) {
 			EXPECT_EQ(best->hash % 2, ask.share);
-			EXPECT_EQ(pool_find_life(pool.it, best->life), best);
+			EXPECT_EQ(pool_find_incarnation(pool.it, best->life),
+				  best);
 			tried.push_back(best->entry.id);
 			ask.tried = tried.data();
 			ask.tried_count = tried.size();
@@ -466,16 +469,16 @@
 	pool.add("e", "a");
 	engine = pool.pick();
 	for (uint64_t i = 1; i <= 10; i++) {
-		const pool_part part = { i, 100 };
+		const pool_prefix_block part = { i, 100 };
 
 		pool.clock.now_us++;
-		pool_remember(pool.it, engine, &part, 1, 500);
+		pool_note_cached_blocks(pool.it, engine, &part, 1, 500);
 	}
-	const pool_part oldest = { 5, 100 };
-	const pool_part newest = { 10, 100 };
+	const pool_prefix_block oldest = { 5, 100 };
+	const pool_prefix_block newest = { 10, 100 };
 
-	EXPECT_EQ(pool_cold_tokens(engine, &oldest, 1), 100);
-	EXPECT_EQ(pool_cold_tokens(engine, &newest, 1), 0);
+	EXPECT_EQ(pool_uncached_tokens(engine, &oldest, 1), 100);
+	EXPECT_EQ(pool_uncached_tokens(engine, &newest, 1), 0);
 }
 
 /* ---- graph ---- */
@@ -679,8 +682,8 @@
 		piece far = {};
 
 		add("near", "b");
-		pool_heard_busy(it, pool_find(it, "near"),
-				clock.now_us + 400000);
+		pool_note_busy(it, pool_find(it, "near"),
+			       clock.now_us + 400000);
 		far.request = &requests[1];
 		far.due_us = clock.now_us + due_us;
 		far.until_us = far.due_us + 5000000;
@@ -712,8 +715,8 @@
 	pieces_call *call;
 	pieces_call *second;
 
-	pool_heard_busy(rig.it, pool_find(rig.it, "two"),
-			rig.clock.now_us + 900000);
+	pool_note_busy(rig.it, pool_find(rig.it, "two"),
+		       rig.clock.now_us + 900000);
 	rig.ask(1, 1, 900000);
 	ASSERT_EQ(rig.next(&call), (std::vector<int>{ 1 }));
 	EXPECT_STREQ(call->upstream->entry.id, "one");
--- a/tests/lives_test.cc
+++ b/tests/lives_test.cc
@@ -139,40 +139,40 @@
 /* Asked before anything was known of another one. */
 pool_upstream *answered(Born &pool, pool_upstream *asked, int64_t born_ms)
 {
-	return pool_answered(pool.it, asked, born_ms, 0);
+	return pool_attribute_answer(pool.it, asked, born_ms, 0);
 }
 
 /* Whatever was believed of the one before. */
 TEST(PoolLives, ANewOneStartsWithNoBeliefs)
 {
-	const pool_part part = { 5, 900 };
+	const pool_prefix_block part = { 5, 900 };
 	Born pool;
-	pool_upstream *before = pool_hold(pool.i());
+	pool_upstream *before = pool_upstream_ref(pool.i());
 	pool_upstream *after;
 
 	before->in_flight = 3;
 	before->tokens_ahead = 5000;
-	pool_remember(pool.it, before, &part, 1, 0);
+	pool_note_cached_blocks(pool.it, before, &part, 1, 0);
 	for (int i = 0; i < 5; i++)
-		pool_learn(pool.it, before, POOL_UNREACHABLE, 0, 0);
+		pool_record_outcome(pool.it, before, POOL_UNREACHABLE, 0, 0);
 	room_begin(before->room, 900);
 	room_made(before->room, "h", 900);
-	EXPECT_EQ(pool_cold_tokens(before, &part, 1), 0);
+	EXPECT_EQ(pool_uncached_tokens(before, &part, 1), 0);
 	pool.list(1001);
 	after = pool.i();
 	ASSERT_NE(after, before);
 	EXPECT_FALSE(before->listed);
 	EXPECT_EQ(after->in_flight, 0u);
 	EXPECT_EQ(after->tokens_ahead, 0);
-	EXPECT_EQ(pool_cold_tokens(after, &part, 1), 900);
-	EXPECT_TRUE(pool_usable(pool.it, after));
+	EXPECT_EQ(pool_uncached_tokens(after, &part, 1), 900);
+	EXPECT_TRUE(pool_is_available(pool.it, after));
 	EXPECT_EQ(room_taken_bytes(after->room), 0);
 	/* Its place among the others stays; words of peers part them. */
 	EXPECT_EQ(after->hash, before->hash);
 	EXPECT_NE(after->life, before->life);
-	EXPECT_EQ(pool_find_life(pool.it, after->life), after);
-	EXPECT_EQ(pool_find_life(pool.it, before->life), nullptr);
-	pool_release(before);
+	EXPECT_EQ(pool_find_incarnation(pool.it, after->life), after);
+	EXPECT_EQ(pool_find_incarnation(pool.it, before->life), nullptr);
+	pool_upstream_unref(before);
 }
 
 TEST(PoolLives, TheLeavingOfOneIsNotThatOfTheNext)
@@ -183,11 +183,11 @@
 	EXPECT_TRUE(pool.i()->entry.leaving);
 	pool.list(1001, false);
 	EXPECT_FALSE(pool.i()->entry.leaving);
-	EXPECT_FALSE(pool_in_doubt(pool.it));
+	EXPECT_FALSE(pool_needs_reapply(pool.it));
 	pool.list(1000, true); /* late */
 	EXPECT_FALSE(pool.i()->entry.leaving);
 	EXPECT_EQ(pool.i()->entry.born_ms, 1001);
-	EXPECT_TRUE(pool_in_doubt(pool.it));
+	EXPECT_TRUE(pool_needs_reapply(pool.it));
 }
 
 /* The one it took the place of has left the list meanwhile. */
@@ -208,7 +208,7 @@
 TEST(PoolLives, AnAnswerTellsOfALifeBeforeTheListDoes)
 {
 	Born pool;
-	pool_upstream *asked = pool_hold(pool.i());
+	pool_upstream *asked = pool_upstream_ref(pool.i());
 	pool_upstream *newer;
 
 	EXPECT_EQ(answered(pool, asked, 0), asked);
@@ -225,7 +225,7 @@
 	EXPECT_EQ(answered(pool, asked, 1001), newer);
 	pool.list(1000); /* it has not heard yet */
 	EXPECT_EQ(pool.i(), newer);
-	pool_release(asked);
+	pool_upstream_unref(asked);
 }
 
 /* The list names it at another address now: whoever answered at the old one is
@@ -233,7 +233,7 @@
 TEST(PoolLives, AnAnswerFromWhereItWasIsNotItsOwn)
 {
 	Born pool;
-	pool_upstream *asked = pool_hold(pool.i());
+	pool_upstream *asked = pool_upstream_ref(pool.i());
 
 	g_free(pool.entries[0].address);
 	pool.entries[0].address = g_strdup("1:2");
@@ -242,19 +242,19 @@
 	EXPECT_EQ(answered(pool, asked, 1000), nullptr);
 	EXPECT_EQ(answered(pool, asked, 0), nullptr);
 	EXPECT_EQ(answered(pool, pool.i(), 1000), pool.i());
-	pool_release(asked);
+	pool_upstream_unref(asked);
 }
 
 /* One that leaves has what it made for a while. */
 TEST(PoolLives, AnAnswerOfOneThatHasLeftTheListIsItsOwn)
 {
 	Born pool;
-	pool_upstream *asked = pool_hold(pool.i());
+	pool_upstream *asked = pool_upstream_ref(pool.i());
 
 	pool_update(pool.it, &pool.entries[1], 1);
 	EXPECT_EQ(answered(pool, asked, 1000), asked);
 	EXPECT_EQ(answered(pool, asked, 999), nullptr);
-	pool_release(asked);
+	pool_upstream_unref(asked);
 }
 
 } // namespace
--- a/tests/notices_test.cc
+++ b/tests/notices_test.cc
@@ -129,18 +129,19 @@
 	TestClock clock;
 	pool *it = pool_create(&clock.clock, "a");
 	char id[] = "1", service[] = "s", address[] = "1:1", domain[] = "a";
-	pool_entry entry = { id, service, address, domain, 4, false, 7, 0 };
+	pool_upstream_info entry = { id, service, address, domain,
+				     4,	 false,	  7,	   0 };
 
 	pool_update(it, &entry, 1);
-	EXPECT_TRUE(pool_heard_leaving(it, pool_find(it, "1")));
-	EXPECT_FALSE(pool_heard_leaving(it, pool_find(it, "1")));
+	EXPECT_TRUE(pool_note_drain_notice(it, pool_find(it, "1")));
+	EXPECT_FALSE(pool_note_drain_notice(it, pool_find(it, "1")));
 	pool_update(it, nullptr, 0);
 	clock.now_us += 60 * LP_US_PER_S;
 	pool_update(it, &entry, 1);
-	EXPECT_FALSE(pool_is_open(pool_find(it, "1")));
+	EXPECT_FALSE(pool_is_eligible(pool_find(it, "1")));
 	entry.born_ms = 8;
 	pool_update(it, &entry, 1);
-	EXPECT_TRUE(pool_is_open(pool_find(it, "1")));
+	EXPECT_TRUE(pool_is_eligible(pool_find(it, "1")));
 	pool_destroy(it);
 }
 
@@ -158,7 +159,8 @@
 					   pool_create(rig.clock, "a") };
 	direct_notices *notices = direct_notices_create(&options);
 	char id[] = "1", service[] = "s", address[] = "1:1", domain[] = "a";
-	pool_entry entry = { id, service, address, domain, 4, false, 7, 0 };
+	pool_upstream_info entry = { id, service, address, domain,
+				     4,	 false,	  7,	   0 };
 
 	pool_update(options.pool, &entry, 1);
 	pool_upstream *upstream = pool_find(options.pool, "1");
@@ -266,17 +268,18 @@
 	TestClock clock;
 	pool *it = pool_create(&clock.clock, "a");
 	char id[] = "1", service[] = "s", address[] = "1:1", domain[] = "a";
-	pool_entry entry = { id, service, address, domain, 4, false, 7, 0 };
+	pool_upstream_info entry = { id, service, address, domain,
+				     4,	 false,	  7,	   0 };
 
 	pool_update(it, &entry, 1);
-	pool_heard_rest(it, pool_find(it, "1"), 3 * LP_US_PER_S);
-	pool_heard_rest(it, pool_find(it, "1"), 1 * LP_US_PER_S);
+	pool_note_pushback(it, pool_find(it, "1"), 3 * LP_US_PER_S);
+	pool_note_pushback(it, pool_find(it, "1"), 1 * LP_US_PER_S);
 	pool_update(it, nullptr, 0);
 	clock.now_us += 2 * LP_US_PER_S;
 	pool_update(it, &entry, 1);
-	EXPECT_FALSE(pool_usable(it, pool_find(it, "1")));
+	EXPECT_FALSE(pool_is_available(it, pool_find(it, "1")));
 	clock.now_us += 1 * LP_US_PER_S;
-	EXPECT_TRUE(pool_usable(it, pool_find(it, "1")));
+	EXPECT_TRUE(pool_is_available(it, pool_find(it, "1")));
 	pool_destroy(it);
 }
 
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -447,7 +447,8 @@
 				{ row.name, row.value } });
 		direct_ask ask = {};
 
-		ask.parts = g_array_new(FALSE, FALSE, sizeof(pool_part));
+		ask.parts =
+			g_array_new(FALSE, FALSE, sizeof(pool_prefix_block));
 		ask.pieces = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 		EXPECT_EQ(plf_codec()->read_ask(&fields.it, &ask), row.good)
 			<< row.name << " " << row.value;
--- a/tests/pool_rig.h
+++ b/tests/pool_rig.h
@@ -10,7 +10,7 @@
 struct Pool {
 	TestClock clock;
 	pool *it = pool_create(&clock.clock, "a");
-	std::vector<pool_entry> entries;
+	std::vector<pool_upstream_info> entries;
 
 	~Pool()
 	{
@@ -24,22 +24,22 @@
 	}
 	void add(const char *id, const char *domain, const char *service = "s")
 	{
-		pool_entry entry = { g_strdup(id),
-				     g_strdup(service),
-				     g_strdup("1:1"),
-				     g_strdup(domain),
-				     4,
-				     false,
-				     0,
-				     0 };
+		pool_upstream_info entry = { g_strdup(id),
+					     g_strdup(service),
+					     g_strdup("1:1"),
+					     g_strdup(domain),
+					     4,
+					     false,
+					     0,
+					     0 };
 
 		entries.push_back(entry);
 		pool_update(it, entries.data(), entries.size());
 	}
-	pool_upstream *pick(std::vector<pool_part> parts = {},
+	pool_upstream *pick(std::vector<pool_prefix_block> parts = {},
 			    std::vector<const char *> tried = {})
 	{
-		pool_ask ask = {};
+		pool_pick_args ask = {};
 
 		ask.service = "s";
 		ask.parts = parts.data();
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -134,11 +134,12 @@
 	TestClock clock;
 	pool *it = pool_create(&clock.clock, "a");
 	char id[] = "1", service[] = "s", address[] = "1:1", domain[] = "a";
-	pool_entry entry = { id, service, address, domain, 4, false, 7, 0 };
+	pool_upstream_info entry = { id, service, address, domain,
+				     4,	 false,	  7,	   0 };
 	rate_limit_word word = { true, 1, 5 };
 
 	pool_update(it, &entry, 1);
-	EXPECT_TRUE(pool_heard_limit(it, pool_find(it, "1"), &word));
+	EXPECT_TRUE(pool_note_rate_limit(it, pool_find(it, "1"), &word));
 	pool_update(it, nullptr, 0);
 	pool_update(it, &entry, 1);
 	EXPECT_TRUE(pool_find(it, "1")->limit.named);
--- a/tests/room_test.cc
+++ b/tests/room_test.cc
@@ -163,7 +163,7 @@
 	/* Whoever was killed had these made; they lapse one by one. */
 	void leave_results(int count)
 	{
-		for (const pool_entry &entry : entries)
+		for (const pool_upstream_info &entry : entries)
 			for (int i = 1; i <= count; i++)
 				makers.kept[entry.id].push_back(
 					{ piece_bytes,
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -27,7 +27,7 @@
 
 bool names_one(const std::string &value, const char *key = "servers/i-1")
 {
-	pool_entry entry;
+	pool_upstream_info entry;
 	const char *field = nullptr;
 	int error = plf_read_upstream(key, value.data(), value.size(), &entry,
 				      &field);
@@ -44,7 +44,7 @@
 		with("\"seq_no\":4", "\"seq_no\":4,\"stage\":\"both\","
 				     "\"models\":[{\"name\":\"m\"}],"
 				     "\"later\":{}");
-	pool_entry entry;
+	pool_upstream_info entry;
 	const char *field;
 
 	ASSERT_EQ(plf_read_upstream("servers/i-1", whole, strlen(whole), &entry,
--- a/tests/warmup_test.cc
+++ b/tests/warmup_test.cc
@@ -186,13 +186,13 @@
 
 	~ClosedPool()
 	{
-		pool_close(it, nullptr);
+		pool_set_closed_domains(it, nullptr);
 		closures_destroy(closed);
 	}
 	void set(const char *domain, bool is_closed)
 	{
 		closures_set(closed, ++revision, domain, is_closed);
-		pool_close(it, closed);
+		pool_set_closed_domains(it, closed);
 	}
 };
 
@@ -201,22 +201,22 @@
 TEST(PoolClosures, AHomeMovesAndComesBack)
 {
 	ClosedPool pool;
-	std::vector<pool_part> parts = { { 1, 5000 }, { 2, 100 } };
-	pool_ask ask = {};
+	std::vector<pool_prefix_block> parts = { { 1, 5000 }, { 2, 100 } };
+	pool_pick_args ask = {};
 
 	for (int i = 0; i < 6; i++)
 		pool.add(std::to_string(i).c_str(), i % 2 ? "a" : "b");
 	ask.service = "s";
 	ask.parts = parts.data();
 	ask.parts_count = parts.size();
-	const pool_upstream *home = pool_home(pool.it, &ask);
+	const pool_upstream *home = pool_affinity_upstream(pool.it, &ask);
 	std::string domain = home->entry.domain;
 
 	pool.set(domain.c_str(), true);
-	EXPECT_NE(pool_home(pool.it, &ask)->entry.domain, domain);
+	EXPECT_NE(pool_affinity_upstream(pool.it, &ask)->entry.domain, domain);
 	EXPECT_NE(pool.pick(parts)->entry.domain, domain);
 	pool.set(domain.c_str(), false);
-	EXPECT_EQ(pool_home(pool.it, &ask), home);
+	EXPECT_EQ(pool_affinity_upstream(pool.it, &ask), home);
 }
 
 TEST(PoolClosures, WithoutAnOpenDomainThereIsNothing)
@@ -226,9 +226,9 @@
 	pool.add("1", "a");
 	pool.add("2", "b");
 	pool.set("a", true);
-	EXPECT_FALSE(pool_is_closed(pool.it, "s", HOMES_ANYWHERE));
+	EXPECT_FALSE(pool_service_is_closed(pool.it, "s", HOMES_ANYWHERE));
 	pool.set("b", true);
-	EXPECT_TRUE(pool_is_closed(pool.it, "s", HOMES_ANYWHERE));
+	EXPECT_TRUE(pool_service_is_closed(pool.it, "s", HOMES_ANYWHERE));
 	EXPECT_EQ(pool.pick(), nullptr);
 	/* One that comes there meanwhile is closed, too. */
 	pool.add("3", "a");
@@ -245,7 +245,7 @@
 	pool.set("a", true);
 	pool.set("a", false);
 	ASSERT_NE(pool.pick(), nullptr);
-	pool_sent(pool.it, pool.pick());
+	pool_note_sent(pool.it, pool.pick());
 	EXPECT_EQ(pool.pick(), nullptr);
 	pool.clock.now_us += engine.cold_us;
 	EXPECT_NE(pool.pick(), nullptr);
@@ -262,9 +262,10 @@
 		limits.for_all = for_all;
 		pool_set_warmup(pool.it, "s", &limits);
 		pool.add("1", "a");
-		pool_learn(pool.it, pool.pick(), POOL_UNREACHABLE, 0, 0);
+		pool_record_outcome(pool.it, pool.pick(), POOL_UNREACHABLE, 0,
+				    0);
 		pool.clock.now_us += LP_US_PER_S;
-		pool_sent(pool.it, pool.pick());
+		pool_note_sent(pool.it, pool.pick());
 		EXPECT_EQ(pool.pick() == nullptr, for_all);
 	}
 }
@@ -278,7 +279,7 @@
 	pool.entries[0].cold_us = engine.cold_us;
 	pool_update(pool.it, pool.entries.data(), 1);
 	pool_set_warmup(pool.it, "s", &engine);
-	pool_sent(pool.it, pool.pick());
+	pool_note_sent(pool.it, pool.pick());
 	EXPECT_EQ(pool.pick(), nullptr);
 }
 
