--- a/direct/direct.c
+++ b/direct/direct.c
@@ -35,10 +35,10 @@
 	direct_ends_saw(direct->ends, before, DIRECT_END_RESTARTED);
 	if (!lp_event_begin(log, "upstream_restarted", NULL))
 		return;
-	lp_event_text(log, "upstream", after->entry.id);
-	lp_event_text(log, "service", after->entry.service);
-	lp_event_int(log, "born_ms", after->entry.born_ms);
-	lp_event_int(log, "born_before_ms", before->entry.born_ms);
+	lp_event_text(log, "upstream", after->info.id);
+	lp_event_text(log, "service", after->info.service);
+	lp_event_int(log, "born_ms", after->info.born_ms);
+	lp_event_int(log, "born_before_ms", before->info.born_ms);
 	lp_event_int(log, "in_flight", before->in_flight);
 	lp_event_int(log, "list_age_us",
 		     lp_now_us(direct->options.clock) - direct->listed_us);
--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -221,13 +221,13 @@
 	if (!lp_event_begin(log, "stage_call", NULL))
 		return;
 	lp_event_text(log, "service", call->service->name);
-	lp_event_text(log, "upstream", made->upstream->entry.id);
+	lp_event_text(log, "upstream", made->upstream->info.id);
 	lp_event_text(log, "outcome", outcome);
 	lp_event_int(log, "pieces", made->pieces->len);
 	lp_event_int(log, "no_room", call->no_room);
 	lp_event_int(log, "own_bytes", made->own_bytes);
 	lp_event_int(log, "other_bytes",
-		     room_other_bytes(made->upstream->room));
+		     room_other_bytes(made->upstream->result_memory));
 	lp_event_int(log, "took_us", now_us - made->started_us);
 	lp_event_int(log, "expected_us", made->expected_us);
 	lp_event_int(log, "rest_us", call->reply.rest_us);
@@ -272,7 +272,7 @@
 		result.result = DIRECT_ITEM_FAILED;
 	if (call->lost) {
 		result.result = DIRECT_ITEM_LOST;
-		result.maker = call->call->upstream->life;
+		result.maker = call->call->upstream->incarnation;
 	}
 	if (result.result == DIRECT_ITEM_MADE) {
 		result.handle = g_steal_pointer(&made[at].handle);
@@ -321,7 +321,7 @@
 		call->calls->direct->pool, call->call->upstream, call->born_ms,
 		call->call->started_us);
 
-	return maker ? maker->life : 0;
+	return maker ? maker->incarnation : 0;
 }
 
 static enum pool_outcome outcome_of(const struct stage_call *call, int error,
@@ -379,7 +379,7 @@
 	g_hash_table_remove(calls->under_way, call);
 	if (outcome == POOL_UNREACHABLE && calls->direct->peers)
 		direct_peers_tell_unreachable(calls->direct->peers,
-					      call->call->upstream->life,
+					      call->call->upstream->incarnation,
 					      TELL_ASIDE_US);
 	pieces_end(call->service->pieces, call->call, outcome,
 		   call->reply.running, call->reply.waiting);
@@ -481,12 +481,12 @@
 	if (!lp_event_begin(log, "room_asked", NULL))
 		return;
 	lp_event_text(log, "service", question->service->name);
-	lp_event_text(log, "upstream", question->upstream->entry.id);
+	lp_event_text(log, "upstream", question->upstream->info.id);
 	lp_event_text(log, "outcome", told ? "told" : "not_told");
 	lp_event_int(log, "least_bytes", least_bytes);
 	lp_event_int(log, "own_bytes", question->own_bytes);
 	lp_event_int(log, "other_bytes",
-		     room_other_bytes(question->upstream->room));
+		     room_other_bytes(question->upstream->result_memory));
 	lp_event_end(log);
 }
 
@@ -538,7 +538,7 @@
 
 	question->service = service;
 	question->upstream = pool_upstream_ref(upstream);
-	question->own_bytes = room_own_bytes(upstream->room);
+	question->own_bytes = room_own_bytes(upstream->result_memory);
 	question->asked_us = lp_now_us(calls->direct->options.clock);
 	g_hash_table_add(calls->questions, question);
 	question->fetch = direct_fetch_start(&(struct direct_fetch_options){
--- a/direct/direct_ends.c
+++ b/direct/direct_ends.c
@@ -61,9 +61,9 @@
 	*direct_counter(direct, "linepier_upstream_ends_total", label) += 1;
 	if (!lp_event_begin(log, "upstream_ended", NULL))
 		return;
-	lp_event_text(log, "upstream", upstream->entry.id);
-	lp_event_text(log, "service", upstream->entry.service);
-	lp_event_digest(log, "life", upstream->life);
+	lp_event_text(log, "upstream", upstream->info.id);
+	lp_event_text(log, "service", upstream->info.service);
+	lp_event_digest(log, "life", upstream->incarnation);
 	lp_event_text(log, "how", names[how]);
 	lp_event_int(log, "lost", lost->len);
 	lp_event_int(log, "list_age_us",
@@ -79,7 +79,7 @@
 
 	if (!lp_event_begin(log, "lost_with_upstream", NULL))
 		return;
-	lp_event_text(log, "upstream", upstream->entry.id);
+	lp_event_text(log, "upstream", upstream->info.id);
 	lp_event_digest(log, "content", lost->request);
 	lp_event_int(log, "after_us", lost->lost_us - lost->began_us);
 	lp_event_end(log);
@@ -89,7 +89,7 @@
 		     const struct pool_upstream *upstream, enum direct_end how)
 {
 	g_autoptr(GArray) lost = g_array_new(FALSE, FALSE, sizeof(struct loss));
-	uint64_t life = upstream->life;
+	uint64_t life = upstream->incarnation;
 
 	if (pool_is_draining(upstream))
 		return;
@@ -111,7 +111,7 @@
 static void give_up(struct question *question, bool seen_alive)
 {
 	struct direct_ends *ends = question->ends;
-	uint64_t life = question->upstream->life;
+	uint64_t life = question->upstream->incarnation;
 
 	losses_not_found(ends->losses, life, seen_alive);
 	g_hash_table_remove(ends->questions, &life);
@@ -183,7 +183,7 @@
 	};
 
 	question->asked++;
-	question->sock = http_sock_connect(question->upstream->entry.address,
+	question->sock = http_sock_connect(question->upstream->info.address,
 					   &events, question);
 	if (question->sock)
 		question->timer =
@@ -201,7 +201,7 @@
 	question->ends = ends;
 	question->upstream =
 		pool_upstream_ref((struct pool_upstream *)upstream);
-	g_hash_table_replace(ends->questions, &question->upstream->life,
+	g_hash_table_replace(ends->questions, &question->upstream->incarnation,
 			     question);
 	ask(question);
 }
@@ -213,7 +213,7 @@
 			  const struct pool_upstream *upstream)
 {
 	const struct pool_upstream *listed =
-		pool_find(direct_of(ends)->pool, upstream->entry.id);
+		pool_find(direct_of(ends)->pool, upstream->info.id);
 
 	return listed && listed != upstream;
 }
@@ -223,7 +223,7 @@
 {
 	bool superseded = is_superseded(ends, upstream);
 
-	loss.life = upstream->life;
+	loss.life = upstream->incarnation;
 	loss.lost_us = lp_now_us(direct_of(ends)->options.clock);
 	losses_forget(ends->losses);
 	if (pool_is_draining(upstream) || (!upstream->listed && !superseded))
--- a/direct/direct_fetch.c
+++ b/direct/direct_fetch.c
@@ -39,9 +39,9 @@
 	struct http_fetch *http;
 
 	http_fields_init(&fields);
-	options->codec->write_call(options->upstream->entry.id, &fields);
+	options->codec->write_call(options->upstream->info.id, &fields);
 	http = http_fetch_start(&(struct http_fetch_options){
-		.address = options->upstream->entry.address,
+		.address = options->upstream->info.address,
 		.method = options->method,
 		.target = options->target,
 		.fields = &fields,
--- a/direct/direct_memory.c
+++ b/direct/direct_memory.c
@@ -32,8 +32,8 @@
 
 	if (!lp_event_begin(log, "memory_asked", NULL))
 		return;
-	lp_event_text(log, "service", question->engine->entry.service);
-	lp_event_text(log, "upstream", question->engine->entry.id);
+	lp_event_text(log, "service", question->engine->info.service);
+	lp_event_text(log, "upstream", question->engine->info.id);
 	lp_event_text(log, "outcome", outcome);
 	lp_event_int(log, "parts", parts);
 	lp_event_int(log, "took_us", now(memory) - question->asked_us);
@@ -60,7 +60,7 @@
 	       memory->options.codec->read_memory(answer->body, answer->size,
 						  parts) &&
 	       pool_find_incarnation(memory->options.pool,
-				     question->engine->life) ==
+				     question->engine->incarnation) ==
 		       question->engine;
 }
 
@@ -89,7 +89,7 @@
 	const struct direct_memory_options *options = &memory->options;
 	struct question *question = g_new0(struct question, 1);
 
-	engine->memory_asked_us = now(memory);
+	engine->prefix_cache_queried_us = now(memory);
 	question->memory = memory;
 	question->engine = pool_upstream_ref(engine);
 	question->asked_us = now(memory);
@@ -114,9 +114,9 @@
 {
 	/* One that takes only so many requests gets those of callers. */
 	return pool_is_available(memory->options.pool, engine) &&
-	       !engine->limit.named &&
-	       (!engine->memory_asked_us ||
-		now(memory) - engine->memory_asked_us >= ASK_EACH_US);
+	       !engine->rate_limit.named &&
+	       (!engine->prefix_cache_queried_us ||
+		now(memory) - engine->prefix_cache_queried_us >= ASK_EACH_US);
 }
 
 void direct_memory_ask(struct direct_memory *memory, const char *service)
--- a/direct/direct_notices.c
+++ b/direct/direct_notices.c
@@ -36,9 +36,9 @@
 		      const struct pool_upstream *upstream,
 		      GVariantBuilder *limits)
 {
-	const struct rate_limit *limit = &upstream->limit;
+	const struct rate_limit *limit = &upstream->rate_limit;
 
-	g_variant_builder_add(limits, "(tbdx)", (guint64)upstream->life,
+	g_variant_builder_add(limits, "(tbdx)", (guint64)upstream->incarnation,
 			      (gboolean)limit->named, limit->per_s,
 			      (gint64)(now(notices) - limit->heard_us));
 }
@@ -48,7 +48,7 @@
 {
 	GVariantBuilder limits;
 
-	upstream->limit.told_us = now(notices);
+	upstream->rate_limit.told_us = now(notices);
 	if (!notices->peers)
 		return;
 	g_variant_builder_init(&limits, G_VARIANT_TYPE(LIMITS_TYPE));
@@ -79,7 +79,7 @@
 static void tell_leaving(struct direct_notices *notices,
 			 const struct pool_upstream *upstream)
 {
-	g_array_append_val(notices->leaving, upstream->life);
+	g_array_append_val(notices->leaving, upstream->incarnation);
 	if (notices->peers)
 		direct_peers_send_all(notices->peers, KIND_LEAVING,
 				      write_leaving(notices->leaving));
@@ -99,7 +99,7 @@
 		const struct pool_upstream *upstream =
 			g_ptr_array_index(leaving, i);
 
-		g_array_append_val(lives, upstream->life);
+		g_array_append_val(lives, upstream->incarnation);
 	}
 	if (!lives->len)
 		return;
@@ -136,7 +136,7 @@
 static void log_limit(const struct direct_notices *notices,
 		      const struct pool_upstream *upstream, const char *source)
 {
-	const struct rate_limit *limit = &upstream->limit;
+	const struct rate_limit *limit = &upstream->rate_limit;
 	struct lp_event_log *log = notices->options.log;
 
 	*lp_counter(notices->options.counters, "linepier_upstream_limits_total",
@@ -144,8 +144,8 @@
 		1;
 	if (!lp_event_begin(log, "upstream_limit", NULL))
 		return;
-	lp_event_text(log, "upstream", upstream->entry.id);
-	lp_event_text(log, "service", upstream->entry.service);
+	lp_event_text(log, "upstream", upstream->info.id);
+	lp_event_text(log, "service", upstream->info.service);
 	lp_event_text(log, "outcome", limit->named ? "named" : "ended");
 	lp_event_int(log, "per_1000_s",
 		     (int64_t)(limit->per_s * LIMIT_LOG_SCALE));
@@ -161,7 +161,7 @@
 
 	if (!lp_event_begin(log, "upstream_limit", NULL))
 		return;
-	lp_event_text(log, "upstream", upstream->entry.id);
+	lp_event_text(log, "upstream", upstream->info.id);
 	lp_event_text(log, "outcome", "unreadable");
 	lp_event_end(log);
 }
@@ -188,7 +188,7 @@
 	if (changed)
 		log_limit(notices, upstream, "answer");
 	if (changed ||
-	    rate_limit_is_to_be_told(&upstream->limit, word.heard_us))
+	    rate_limit_is_to_be_told(&upstream->rate_limit, word.heard_us))
 		tell_limit(notices, upstream);
 }
 
@@ -202,11 +202,11 @@
 		    "linepier_upstream_leaving_total", NULL) += 1;
 	if (!lp_event_begin(log, "upstream_leaving", NULL))
 		return;
-	lp_event_text(log, "upstream", upstream->entry.id);
-	lp_event_text(log, "service", upstream->entry.service);
+	lp_event_text(log, "upstream", upstream->info.id);
+	lp_event_text(log, "service", upstream->info.service);
 	lp_event_text(log, "source", source);
 	lp_event_text(log, "listed",
-		      upstream->entry.leaving ? "leaving" : "ready");
+		      upstream->info.draining ? "leaving" : "ready");
 	lp_event_int(log, "in_flight", upstream->in_flight);
 	lp_event_end(log);
 }
@@ -244,8 +244,8 @@
 		log_limit(notices, upstream,
 			  direct_peers_ip(notices->peers, peer));
 	/* Whoever told us has told the others. */
-	if (upstream->limit.heard_us == word->heard_us)
-		upstream->limit.told_us = now(notices);
+	if (upstream->rate_limit.heard_us == word->heard_us)
+		upstream->rate_limit.told_us = now(notices);
 }
 
 static void on_limits(void *userdata, uint64_t peer, GVariant *body)
--- a/direct/direct_places.c
+++ b/direct/direct_places.c
@@ -109,9 +109,10 @@
 	GVariantBuilder parts;
 
 	g_variant_builder_init(&parts, G_VARIANT_TYPE("a(tx)"));
-	for (uint32_t i = 0; i < ask->parts_count; i++)
-		g_variant_builder_add(&parts, "(tx)", (guint64)ask->parts[i].id,
-				      (gint64)ask->parts[i].tokens);
+	for (uint32_t i = 0; i < ask->blocks_count; i++)
+		g_variant_builder_add(&parts, "(tx)",
+				      (guint64)ask->blocks[i].id,
+				      (gint64)ask->blocks[i].tokens);
 	return g_variant_builder_end(&parts);
 }
 
@@ -146,8 +147,9 @@
 	g_autoptr(GVariant) body = g_variant_ref_sink(g_variant_new(
 		"(ts@a(tx)@atsxxs)", (guint64)number, ask->service,
 		write_parts(ask), write_tried(places, ask),
-		ask->domain ? ask->domain : "", (gint64)ask->fetch_bytes,
-		(gint64)ask->target_us, homes_write(ask->homes)));
+		ask->preferred_domain ? ask->preferred_domain : "",
+		(gint64)ask->fetch_bytes, (gint64)ask->target_us,
+		homes_write(ask->allowed_regions)));
 	struct question *question;
 
 	if (!direct_peers_send(places->peers, placer, KIND_PLACE, body))
@@ -231,7 +233,7 @@
 static void set_read(struct held *held)
 {
 	if (!held->read)
-		held->upstream->tokens_ahead -= held->cold_tokens;
+		held->upstream->pending_prefill_tokens -= held->cold_tokens;
 	held->read = true;
 }
 
@@ -290,7 +292,7 @@
 		struct pool_upstream *upstream = find_by_hash(upstreams, hash);
 
 		if (upstream)
-			g_ptr_array_add(tried, upstream->entry.id);
+			g_ptr_array_add(tried, upstream->info.id);
 	}
 	return tried;
 }
@@ -311,13 +313,13 @@
 	pool_note_sent(direct->pool, upstream);
 	held->at_us = now(places);
 	copy = pool_find_cache_copy(direct->pool, upstream, ask);
-	held->source = copy.from ? copy.from->life : 0;
-	held->copied_tokens = copy.tokens;
-	held->cold_tokens = copy.cold_tokens;
+	held->source = copy.source ? copy.source->incarnation : 0;
+	held->copied_tokens = copy.copied_tokens;
+	held->cold_tokens = copy.prefill_tokens;
 	upstream->in_flight++;
-	upstream->tokens_ahead += held->cold_tokens;
-	pool_note_cached_blocks(direct->pool, upstream, ask->parts,
-				ask->parts_count,
+	upstream->pending_prefill_tokens += held->cold_tokens;
+	pool_note_cached_blocks(direct->pool, upstream, ask->blocks,
+				ask->blocks_count,
 				direct_prompt_tokens(direct, ask->service));
 	g_hash_table_replace(places->held, &held->key, held);
 	return held;
@@ -331,12 +333,13 @@
 		return g_variant_new(PLACED_TYPE, (guint64)number, (guint64)0,
 				     (guint64)0, (gint64)0, (gint64)0,
 				     (gint64)0, (gint64)wait_us);
-	return g_variant_new(
-		PLACED_TYPE, (guint64)number, (guint64)held->upstream->life,
-		(guint64)held->source, (gint64)held->copied_tokens,
-		(gint64)held->cold_tokens,
-		(gint64)(held->upstream->tokens_ahead - held->cold_tokens),
-		(gint64)0);
+	return g_variant_new(PLACED_TYPE, (guint64)number,
+			     (guint64)held->upstream->incarnation,
+			     (guint64)held->source, (gint64)held->copied_tokens,
+			     (gint64)held->cold_tokens,
+			     (gint64)(held->upstream->pending_prefill_tokens -
+				      held->cold_tokens),
+			     (gint64)0);
 }
 
 static void on_place(void *userdata, uint64_t peer, GVariant *body)
@@ -358,13 +361,13 @@
 	g_variant_get(body, "(t&s@a(tx)@at&sxx&s)", &number, &ask.service,
 		      &list, &tried_list, &domain, &ask.fetch_bytes,
 		      &ask.target_us, &homes);
-	ask.homes = homes_read(homes);
-	parts = read_parts(list, &ask.parts_count);
+	ask.allowed_regions = homes_read(homes);
+	parts = read_parts(list, &ask.blocks_count);
 	tried = read_tried(places, ask.service, tried_list);
-	ask.parts = parts;
+	ask.blocks = parts;
 	ask.tried = (const char *const *)tried->pdata;
 	ask.tried_count = tried->len;
-	ask.domain = *domain ? domain : NULL;
+	ask.preferred_domain = *domain ? domain : NULL;
 	direct_stages_share(places->direct->stages, &ask);
 	held = hold(places, lp_hash_pair(peer, number), &ask);
 	reply = g_variant_ref_sink(write_placed(
--- a/direct/direct_prepare.c
+++ b/direct/direct_prepare.c
@@ -133,9 +133,9 @@
 	const struct pool_upstream *preferred = NULL;
 	struct pool_pick_args ask = {
 		.service = request->service,
-		.homes = request->homes,
-		.parts = (struct pool_prefix_block *)request->ask.parts->data,
-		.parts_count = request->ask.parts->len,
+		.allowed_regions = request->homes,
+		.blocks = (struct pool_prefix_block *)request->ask.parts->data,
+		.blocks_count = request->ask.parts->len,
 	};
 
 	for (uint32_t i = 0; i < stages[stage].after_count; i++) {
@@ -156,7 +156,7 @@
 	}
 	/* The upstream may be gone before the piece is. Domains are few. */
 	piece->preferred_domain =
-		preferred ? g_intern_string(preferred->entry.domain) : NULL;
+		preferred ? g_intern_string(preferred->info.domain) : NULL;
 }
 
 /* Whether a stage's inputs take up a good part of their makers' room. */
--- a/direct/direct_results.c
+++ b/direct/direct_results.c
@@ -59,7 +59,7 @@
 		pool_find_incarnation(pool, call->maker);
 
 	for (guint i = 0; upstream && i < call->handles->len; i++)
-		room_given_up(upstream->room,
+		room_given_up(upstream->result_memory,
 			      g_ptr_array_index(call->handles, i),
 			      call->each_bytes);
 	g_hash_table_remove(call->results->calls, call);
@@ -76,7 +76,7 @@
 	if (!lp_event_begin(direct->options.log, "results_given_up", NULL))
 		return;
 	lp_event_text(direct->options.log, "upstream",
-		      maker ? maker->entry.id : "");
+		      maker ? maker->info.id : "");
 	lp_event_int(direct->options.log, "results", call->handles->len);
 	lp_event_int(direct->options.log, "status", status);
 	lp_event_int(direct->options.log, "took_us",
@@ -109,7 +109,7 @@
 	body = codec->write_free(gathered->handles);
 	call = g_new0(struct free_call, 1);
 	call->results = results;
-	call->maker = upstream->life;
+	call->maker = upstream->incarnation;
 	call->handles = g_ptr_array_ref(gathered->handles);
 	call->each_bytes = gathered->bytes / gathered->handles->len;
 	call->started_us = lp_now_us(results->direct->options.clock);
@@ -145,7 +145,7 @@
 			g_ptr_array_add(handles, g_ptr_array_index(
 							 gathered->handles, j));
 		direct_relay_give_up(results->direct->relay, dispatcher,
-				     upstream->life, handles,
+				     upstream->incarnation, handles,
 				     gathered->bytes * part / count);
 	}
 }
@@ -195,14 +195,14 @@
 	struct pool *pool = results->direct->pool;
 
 	/* It takes no more calls of ours, and takes its results with it. */
-	if (upstream->said_leaving)
+	if (upstream->drain_notice)
 		return;
 	if (pool_has_pushback(pool, upstream) ||
 	    pool_rate_limit_wait_us(pool, upstream)) {
-		put_off(results, upstream->life, gathered);
+		put_off(results, upstream->incarnation, gathered);
 		return;
 	}
-	if (upstream->limit.named)
+	if (upstream->rate_limit.named)
 		pool_note_sent(pool, upstream);
 	send_free(results, upstream, gathered);
 }
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -45,7 +45,7 @@
 		return;
 	upstream->in_flight--;
 	if (!request->heard)
-		upstream->tokens_ahead -= request->cold_tokens;
+		upstream->pending_prefill_tokens -= request->cold_tokens;
 	pool_record_outcome(request->direct->pool, upstream, outcome, 0, 0);
 	if (request->place.peer)
 		direct_places_ended(request->direct->places, &request->place,
@@ -62,7 +62,7 @@
 	const struct pool_upstream *upstream =
 		pool_find_incarnation(pool, maker);
 
-	return upstream ? upstream->entry.domain : NULL;
+	return upstream ? upstream->info.domain : NULL;
 }
 
 static void write_pool_ask(const struct direct_request *request,
@@ -70,9 +70,9 @@
 {
 	*ask = (struct pool_pick_args){
 		.service = request->service,
-		.homes = request->homes,
-		.parts = (struct pool_prefix_block *)request->ask.parts->data,
-		.parts_count = request->ask.parts->len,
+		.allowed_regions = request->homes,
+		.blocks = (struct pool_prefix_block *)request->ask.parts->data,
+		.blocks_count = request->ask.parts->len,
 		.tried = (const char *const *)request->tried->pdata,
 		.tried_count = request->tried->len,
 		.target_us = request->arrived_us + request->route->target_us -
@@ -80,9 +80,9 @@
 	};
 	direct_stages_share(request->direct->stages, ask);
 	if (request->graph)
-		ask->domain = graph_main_domain(request->graph, domain_of_maker,
-						request->direct->pool,
-						&ask->fetch_bytes);
+		ask->preferred_domain = graph_main_domain(
+			request->graph, domain_of_maker, request->direct->pool,
+			&ask->fetch_bytes);
 	/* Late in any case. */
 	if (ask->target_us < 0)
 		ask->target_us = 0;
@@ -274,7 +274,7 @@
 		request->first_us = direct_request_now_us(request);
 		direct_prepare_learn(request);
 	}
-	request->upstream->tokens_ahead -= request->cold_tokens;
+	request->upstream->pending_prefill_tokens -= request->cold_tokens;
 	pool_record_outcome(direct->pool, request->upstream, POOL_SERVED,
 			    took_us, request->expected_us);
 	if (request->place.peer)
@@ -448,7 +448,7 @@
 	GPtrArray *inputs = NULL;
 	struct direct_offer offer = {
 		.from = http_call_fields(request->call),
-		.upstream = request->upstream->entry.id,
+		.upstream = request->upstream->info.id,
 		.organisation = request->organisation
 					? request->organisation->name
 					: NULL,
@@ -458,7 +458,7 @@
 					 ? request->last_event_id
 					 : request->ask.last_event_id,
 		.copy_from = request->copy_from
-				     ? request->copy_from->entry.address
+				     ? request->copy_from->info.address
 				     : NULL,
 	};
 
@@ -486,11 +486,11 @@
 		return pool_find_cache_copy(pool, request->upstream, &ask);
 	}
 	return (struct pool_cache_copy){
-		.from = place->source
-				? pool_find_incarnation(pool, place->source)
-				: NULL,
-		.tokens = place->copied_tokens,
-		.cold_tokens = place->cold_tokens,
+		.source = place->source
+				  ? pool_find_incarnation(pool, place->source)
+				  : NULL,
+		.copied_tokens = place->copied_tokens,
+		.prefill_tokens = place->cold_tokens,
 	};
 }
 
@@ -500,18 +500,18 @@
 	const struct direct_place *place = &request->place;
 	struct pool_cache_copy copy = find_copy(request);
 	int64_t ahead = place->peer ? place->tokens_ahead
-				    : request->upstream->tokens_ahead;
+				    : request->upstream->pending_prefill_tokens;
 
-	request->copy_from = copy.from;
-	request->cold_tokens = copy.cold_tokens;
+	request->copy_from = copy.source;
+	request->cold_tokens = copy.prefill_tokens;
 	request->expected_us =
 		DIRECT_ENGINE_FIRST_US / 4 +
 		(ahead + request->cold_tokens) * LP_US_PER_MS /
 			POOL_PREFILL_TOKENS_PER_MS +
 		pool_cache_copy_us(request->direct->pool, request->service,
-				   copy.tokens);
+				   copy.copied_tokens);
 	*direct_counter(request->direct, "linepier_prompt_tokens_total",
-			"cached=\"copied\"") += copy.tokens;
+			"cached=\"copied\"") += copy.copied_tokens;
 }
 
 static void prepare_sending(struct direct_request *request,
@@ -541,9 +541,9 @@
 	*direct_counter(request->direct, "linepier_prompt_tokens_total",
 			"cached=\"no\"") += request->cold_tokens;
 	upstream->in_flight++;
-	upstream->tokens_ahead += request->cold_tokens;
+	upstream->pending_prefill_tokens += request->cold_tokens;
 	request->moves++;
-	g_ptr_array_add(request->tried, g_strdup(upstream->entry.id));
+	g_ptr_array_add(request->tried, g_strdup(upstream->info.id));
 }
 
 static void log_sending(struct direct_request *request)
@@ -553,12 +553,13 @@
 	if (!lp_event_begin(log, "sending", request->id))
 		return;
 	lp_event_text(log, "service", request->service);
-	lp_event_text(log, "upstream", request->upstream->entry.id);
-	lp_event_text(log, "domain", request->upstream->entry.domain);
+	lp_event_text(log, "upstream", request->upstream->info.id);
+	lp_event_text(log, "domain", request->upstream->info.domain);
 	lp_event_int(log, "cold_tokens", request->cold_tokens);
 	lp_event_text(log, "copy_from",
-		      request->copy_from ? request->copy_from->entry.id : "");
-	lp_event_int(log, "tokens_ahead", request->upstream->tokens_ahead);
+		      request->copy_from ? request->copy_from->info.id : "");
+	lp_event_int(log, "tokens_ahead",
+		     request->upstream->pending_prefill_tokens);
 	lp_event_int(log, "expected_us", request->expected_us);
 	lp_event_text(log, "placer",
 		      request->place.peer
@@ -583,7 +584,7 @@
 	http_fields_init(&fields);
 	write_fields(request, &fields);
 	request->exchange = http_exchange_start(&(struct http_exchange_options){
-		.address = request->upstream->entry.address,
+		.address = request->upstream->info.address,
 		.method = method,
 		.target = http_call_target(request->call),
 		.fields = &fields,
@@ -634,7 +635,7 @@
 	request->place = (struct direct_place){ 0 };
 	upstream = pool_pick(pool, ask);
 	if (!upstream) { /* none of its share is left */
-		ask->share_count = 0;
+		ask->shard_count = 0;
 		upstream = pool_pick(pool, ask);
 	}
 	if (!upstream) {
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -271,9 +271,9 @@
 		.known = peers ? direct_peers_known(peers) : 1,
 	};
 	struct pool_rate_limit_shares share = {
-		.parts = 1,
-		.own = 1,
-		.own_share = find_share(stages, &fleet),
+		.shard_count = 1,
+		.owned_shards = 1,
+		.owned_share = find_share(stages, &fleet),
 	};
 	GHashTableIter iter;
 	gpointer value;
@@ -286,10 +286,10 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct service *service = value;
 
-		share.parts = service->parts;
-		share.own = own_parts(stages, service);
+		share.shard_count = service->parts;
+		share.owned_shards = own_parts(stages, service);
 		fleet.owner_us = now(stages) - service->owned_us;
-		share.own_share = find_share(stages, &fleet);
+		share.owned_share = find_share(stages, &fleet);
 		pool_set_rate_limit_shares(stages->direct->pool, service->name,
 					   &share);
 	}
@@ -387,7 +387,7 @@
 {
 	/* Before a configuration names it, nobody dispatches a service. */
 	const struct service *service =
-		g_hash_table_lookup(stages->services, upstream->entry.service);
+		g_hash_table_lookup(stages->services, upstream->info.service);
 	uint64_t dispatcher;
 
 	if (!service)
@@ -401,14 +401,14 @@
 {
 	const struct service *service =
 		g_hash_table_lookup(stages->services, ask->service);
-	uint32_t last = ask->parts_count - 1;
+	uint32_t last = ask->blocks_count - 1;
 
-	if (!service || !service->is_engines || !ask->parts_count)
+	if (!service || !service->is_engines || !ask->blocks_count)
 		return;
 	/* By the last part that others share. */
-	ask->share_count = service->parts;
-	ask->share =
-		(uint32_t)(ask->parts[last ? last - 1 : 0].id % service->parts);
+	ask->shard_count = service->parts;
+	ask->shard = (uint32_t)(ask->blocks[last ? last - 1 : 0].id %
+				service->parts);
 }
 
 uint64_t direct_stages_placer(struct direct_stages *stages,
@@ -418,9 +418,9 @@
 		g_hash_table_lookup(stages->services, ask->service);
 
 	if (!service || !service->is_engines ||
-	    service->dispatchers[ask->share] == self_of(stages))
+	    service->dispatchers[ask->shard] == self_of(stages))
 		return 0;
-	return service->dispatchers[ask->share];
+	return service->dispatchers[ask->shard];
 }
 
 /* ---- asks ---- */
--- a/policy/pieces.c
+++ b/policy/pieces.c
@@ -87,8 +87,8 @@
 	for (guint i = 0; i < list->len; i++) {
 		struct pool_upstream *upstream = g_ptr_array_index(list, i);
 
-		upstream->room_asked_us = 0;
-		upstream->room_heard_us = 0;
+		upstream->result_memory_queried_us = 0;
+		upstream->result_memory_reported_us = 0;
 	}
 }
 
@@ -215,7 +215,7 @@
 			    uint32_t count)
 {
 	return (double)call_time_us(pieces, count) * upstream->slowness *
-	       (1.0 + 2.0 * upstream->error_share);
+	       (1.0 + 2.0 * upstream->error_rate);
 }
 
 /* Room for results that is believed to be free. */
@@ -224,17 +224,20 @@
 {
 	if (!pieces->options.room_bytes)
 		return G_MAXINT64;
-	return pieces->options.room_bytes - room_taken_bytes(upstream->room);
+	return pieces->options.room_bytes -
+	       room_taken_bytes(upstream->result_memory);
 }
 
 /* It is being asked of its room, and may answer in a moment. */
 static bool awaits_room(const struct pieces *pieces,
 			const struct pool_upstream *upstream)
 {
-	return pieces->options.room_bytes && !upstream->room_heard_us &&
-	       !upstream->limit.named &&
-	       (!upstream->room_asked_us ||
-		now(pieces) - upstream->room_asked_us < ROOM_ANSWER_US);
+	return pieces->options.room_bytes &&
+	       !upstream->result_memory_reported_us &&
+	       !upstream->rate_limit.named &&
+	       (!upstream->result_memory_queried_us ||
+		now(pieces) - upstream->result_memory_queried_us <
+			ROOM_ANSWER_US);
 }
 
 /* ---- groups ---- */
@@ -284,7 +287,7 @@
 		const struct pool_upstream *upstream =
 			g_ptr_array_index(list, i);
 
-		if (!strcmp(upstream->entry.domain, domain) &&
+		if (!strcmp(upstream->info.domain, domain) &&
 		    is_usable(pieces, upstream))
 			return true;
 	}
@@ -309,7 +312,7 @@
 	int64_t worth_us;
 
 	if (!first->preferred_domain ||
-	    !strcmp(first->preferred_domain, upstream->entry.domain))
+	    !strcmp(first->preferred_domain, upstream->info.domain))
 		return true;
 	worth_us =
 		first->preferred_bytes * (end - start) /
@@ -451,7 +454,8 @@
 	for (guint i = 0; i < pieces->waiting->len; i++) {
 		if (!taken[i])
 			continue;
-		room_begin(upstream->room, waiting_at(pieces, i)->bytes);
+		room_begin(upstream->result_memory,
+			   waiting_at(pieces, i)->bytes);
 		g_array_append_val(out, *waiting_at(pieces, i));
 	}
 	for (guint i = pieces->waiting->len; i-- > 0;) {
@@ -471,8 +475,8 @@
 	call->upstream = pool_upstream_ref(upstream);
 	pool_note_sent(pieces->options.pool, upstream);
 	call->pieces = g_array_new(FALSE, FALSE, sizeof(struct piece));
-	room_set_linger(upstream->room, pieces->options.linger_us);
-	call->own_bytes = room_own_bytes(upstream->room);
+	room_set_linger(upstream->result_memory, pieces->options.linger_us);
+	call->own_bytes = room_own_bytes(upstream->result_memory);
 	take_planned(pieces, upstream, call->pieces);
 	call->started_us = now(pieces);
 	call->expected_us =
@@ -518,14 +522,14 @@
 void pieces_made(struct pieces *pieces, struct pieces_call *call,
 		 const struct piece *piece, const char *handle)
 {
-	room_made(call->upstream->room, handle, piece->bytes);
+	room_made(call->upstream->result_memory, handle, piece->bytes);
 	call->made_bytes += piece->bytes;
 }
 
 void pieces_not_made(struct pieces *pieces, struct pieces_call *call,
 		     const struct piece *piece, bool no_room)
 {
-	room_not_made(call->upstream->room, piece->bytes);
+	room_not_made(call->upstream->result_memory, piece->bytes);
 	call->was_short |= no_room;
 }
 
@@ -533,9 +537,9 @@
 {
 	struct pool_upstream *upstream = call->upstream;
 
-	room_learn(upstream->room, pieces->options.room_bytes, call->own_bytes,
-		   call->made_bytes, call->was_short);
-	upstream->room_heard_us = now(pieces);
+	room_learn(upstream->result_memory, pieces->options.room_bytes,
+		   call->own_bytes, call->made_bytes, call->was_short);
+	upstream->result_memory_reported_us = now(pieces);
 }
 
 void pieces_end(struct pieces *pieces, struct pieces_call *call,
@@ -568,12 +572,12 @@
 static bool is_to_be_asked(const struct pieces *pieces,
 			   const struct pool_upstream *upstream)
 {
-	if (!is_usable(pieces, upstream) || upstream->limit.named)
+	if (!is_usable(pieces, upstream) || upstream->rate_limit.named)
 		return false;
-	if (!upstream->room_asked_us)
+	if (!upstream->result_memory_queried_us)
 		return true;
-	return room_other_bytes(upstream->room) &&
-	       now(pieces) - upstream->room_asked_us >= ROOM_ASK_US;
+	return room_other_bytes(upstream->result_memory) &&
+	       now(pieces) - upstream->result_memory_queried_us >= ROOM_ASK_US;
 }
 
 struct pool_upstream *pieces_ask_room(struct pieces *pieces)
@@ -587,7 +591,7 @@
 
 		if (!is_to_be_asked(pieces, upstream))
 			continue;
-		upstream->room_asked_us = now(pieces);
+		upstream->result_memory_queried_us = now(pieces);
 		return upstream;
 	}
 	return NULL;
@@ -597,9 +601,9 @@
 		      int64_t own_bytes, int64_t least_bytes,
 		      int64_t most_bytes)
 {
-	room_told(upstream->room, pieces->options.room_bytes, own_bytes,
-		  least_bytes, most_bytes);
-	upstream->room_heard_us = now(pieces);
+	room_told(upstream->result_memory, pieces->options.room_bytes,
+		  own_bytes, least_bytes, most_bytes);
+	upstream->result_memory_reported_us = now(pieces);
 }
 
 /* ---- estimates ---- */
@@ -639,7 +643,7 @@
 	double speed = 1.0 / MAX(upstream->slowness, 0.1);
 	int64_t call_us = call_time_us(pieces, pieces->options.batch_max);
 
-	if (!upstream->limit.named)
+	if (!upstream->rate_limit.named)
 		return speed;
 	return MIN(speed,
 		   pool_rate_limit_per_s(pieces->options.pool, upstream) *
--- a/policy/pool.c
+++ b/policy/pool.c
@@ -59,7 +59,7 @@
 struct part {
 	int64_t tokens;
 	int64_t used_us;
-	int64_t ready_us; /* it is being read until then, about */
+	int64_t prefilled_us; /* it is being read until then, about */
 };
 
 /* How engines of a service copy memory of prompts. */
@@ -70,30 +70,32 @@
 
 /* What a life said of itself that is not in the list. */
 struct unlisted {
-	struct rate_limit limit;
-	int64_t rest_until_us;
-	bool said_leaving;
-	int64_t since_us;
+	struct rate_limit rate_limit;
+	int64_t pushback_until_us;
+	bool drain_notice;
+	int64_t unlisted_us;
 };
 
 struct pool {
 	const struct lp_clock *clock;
 	char *domain;
-	GHashTable *upstreams; /* id -> struct pool_upstream */
-	GHashTable *by_life;   /* life -> the same */
+	GHashTable *upstreams;	    /* id -> struct pool_upstream */
+	GHashTable *by_incarnation; /* life -> the same */
 	struct lives *lives;
-	bool in_doubt;
+	bool needs_reapply;
 	pool_restarted_fn restarted;
 	void *restarted_userdata;
 	GHashTable *services; /* name -> GPtrArray of struct pool_upstream */
 	const struct closures *closures; /* NULL: none are known */
 	GHashTable *warmups;		 /* service -> struct warmup_limits */
-	GHashTable *copying;		 /* service -> struct copying */
-	GHashTable *limit_shares; /* likewise struct pool_rate_limit_shares */
-	struct pool_rate_limit_shares limit_share; /* of other services */
-	GHashTable *turns;			   /* service -> struct turns */
-	GHashTable *unlisted;			   /* life -> struct unlisted */
-	GHashTable *regions; /* domain -> interned region */
+	GHashTable *cache_copying;	 /* service -> struct copying */
+	GHashTable
+		*rate_limit_shares; /* likewise struct pool_rate_limit_shares */
+	struct pool_rate_limit_shares
+		default_rate_limit_shares; /* of other services */
+	GHashTable *turns;		   /* service -> struct turns */
+	GHashTable *unlisted;		   /* life -> struct unlisted */
+	GHashTable *regions;		   /* domain -> interned region */
 };
 
 /* ---- start and end ---- */
@@ -116,9 +118,9 @@
 {
 	if (!upstream || --upstream->refs)
 		return;
-	clear_entry(&upstream->entry);
-	g_hash_table_unref(upstream->parts);
-	room_destroy(upstream->room);
+	clear_entry(&upstream->info);
+	g_hash_table_unref(upstream->cached_blocks);
+	room_destroy(upstream->result_memory);
 	g_free(upstream);
 }
 
@@ -139,20 +141,20 @@
 	pool->lives = lives_create(clock);
 	pool->upstreams =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, unlist);
-	pool->by_life = g_hash_table_new(g_int64_hash, g_int64_equal);
+	pool->by_incarnation = g_hash_table_new(g_int64_hash, g_int64_equal);
 	pool->services =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 				      (GDestroyNotify)g_ptr_array_unref);
 	pool->warmups =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	pool->copying =
+	pool->cache_copying =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	pool->limit_shares =
+	pool->rate_limit_shares =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	pool->limit_share = (struct pool_rate_limit_shares){
-		.parts = 1,
-		.own = 1,
-		.own_share = { .part = RATE_LIMIT_OWNER },
+	pool->default_rate_limit_shares = (struct pool_rate_limit_shares){
+		.shard_count = 1,
+		.owned_shards = 1,
+		.owned_share = { .part = RATE_LIMIT_OWNER },
 	};
 	pool->turns =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -169,12 +171,12 @@
 		return;
 	g_hash_table_unref(pool->services);
 	g_hash_table_unref(pool->warmups);
-	g_hash_table_unref(pool->copying);
-	g_hash_table_unref(pool->limit_shares);
+	g_hash_table_unref(pool->cache_copying);
+	g_hash_table_unref(pool->rate_limit_shares);
 	g_hash_table_unref(pool->turns);
 	g_hash_table_unref(pool->unlisted);
 	g_hash_table_unref(pool->regions);
-	g_hash_table_unref(pool->by_life);
+	g_hash_table_unref(pool->by_incarnation);
 	g_hash_table_unref(pool->upstreams);
 	lives_destroy(pool->lives);
 	g_free(pool->domain);
@@ -186,7 +188,7 @@
 static const struct warmup_limits *
 limits_of(const struct pool *pool, const struct pool_upstream *upstream)
 {
-	return g_hash_table_lookup(pool->warmups, upstream->entry.service);
+	return g_hash_table_lookup(pool->warmups, upstream->info.service);
 }
 
 static void note_cold(const struct pool *pool, struct pool_upstream *upstream,
@@ -222,7 +224,7 @@
 		      const struct pool_upstream *upstream)
 {
 	return pool->closures &&
-	       closures_has(pool->closures, upstream->entry.domain);
+	       closures_has(pool->closures, upstream->info.domain);
 }
 
 uint32_t pool_set_closed_domains(struct pool *pool,
@@ -238,9 +240,9 @@
 		struct pool_upstream *upstream = value;
 		bool closed = is_closed(pool, upstream);
 
-		if (closed == upstream->closed)
+		if (closed == upstream->domain_closed)
 			continue;
-		upstream->closed = closed;
+		upstream->domain_closed = closed;
 		changes++;
 		if (!closed)
 			assume_cold(pool, upstream);
@@ -260,25 +262,25 @@
 	int64_t now_us = lp_now_us(pool->clock);
 
 	warmup_sent(&upstream->warmup, limits_of(pool, upstream), now_us);
-	rate_limit_sent(&upstream->limit, now_us);
+	rate_limit_sent(&upstream->rate_limit, now_us);
 }
 
 bool pool_is_eligible(const struct pool_upstream *upstream)
 {
 	return upstream->listed && !pool_is_draining(upstream) &&
-	       !upstream->closed;
+	       !upstream->domain_closed;
 }
 
 bool pool_is_draining(const struct pool_upstream *upstream)
 {
-	return upstream->entry.leaving || upstream->said_leaving;
+	return upstream->info.draining || upstream->drain_notice;
 }
 
 bool pool_note_drain_notice(struct pool *pool, struct pool_upstream *upstream)
 {
-	bool is_new = !upstream->said_leaving;
+	bool is_new = !upstream->drain_notice;
 
-	upstream->said_leaving = true;
+	upstream->drain_notice = true;
 	return is_new;
 }
 
@@ -300,7 +302,8 @@
 
 		if (pool_is_draining(upstream))
 			continue;
-		if (!upstream->closed && homes_have(homes, upstream->region))
+		if (!upstream->domain_closed &&
+		    homes_have(homes, upstream->region))
 			return false;
 		any = true;
 	}
@@ -313,22 +316,23 @@
 				const struct pool_rate_limit_shares *share)
 {
 	if (service)
-		g_hash_table_replace(pool->limit_shares, g_strdup(service),
+		g_hash_table_replace(pool->rate_limit_shares, g_strdup(service),
 				     g_memdup2(share, sizeof(*share)));
 	else
-		pool->limit_share = *share;
+		pool->default_rate_limit_shares = *share;
 }
 
 static struct rate_limit_share share_of(const struct pool *pool,
 					const struct pool_upstream *upstream)
 {
 	const struct pool_rate_limit_shares *found = g_hash_table_lookup(
-		pool->limit_shares, upstream->entry.service);
+		pool->rate_limit_shares, upstream->info.service);
 	const struct pool_rate_limit_shares *all =
-		found ? found : &pool->limit_share;
-	bool is_own = all->own >> (upstream->hash % all->parts) & 1;
+		found ? found : &pool->default_rate_limit_shares;
+	bool is_own =
+		all->owned_shards >> (upstream->hash % all->shard_count) & 1;
 	struct rate_limit_share share =
-		is_own ? all->own_share : all->other_share;
+		is_own ? all->owned_share : all->other_share;
 
 	/* Slots of one entry at several upstreams do not coincide. */
 	share.phase += (double)upstream->hash / (double)UINT64_MAX;
@@ -339,7 +343,7 @@
 bool pool_note_rate_limit(struct pool *pool, struct pool_upstream *upstream,
 			  const struct rate_limit_word *word)
 {
-	return rate_limit_hear(&upstream->limit, word);
+	return rate_limit_hear(&upstream->rate_limit, word);
 }
 
 /* Listed upstreams of which something holds. */
@@ -360,7 +364,7 @@
 
 static bool names_limit(const struct pool_upstream *upstream)
 {
-	return upstream->limit.named;
+	return upstream->rate_limit.named;
 }
 
 GPtrArray *pool_list_rate_limited(const struct pool *pool)
@@ -370,7 +374,7 @@
 
 static bool has_said_leaving(const struct pool_upstream *upstream)
 {
-	return upstream->said_leaving;
+	return upstream->drain_notice;
 }
 
 GPtrArray *pool_list_drain_notices(const struct pool *pool)
@@ -383,10 +387,10 @@
 {
 	struct rate_limit_share share;
 
-	if (!upstream->limit.named)
+	if (!upstream->rate_limit.named)
 		return 0;
 	share = share_of(pool, upstream);
-	return rate_limit_wait_us(&upstream->limit, &share,
+	return rate_limit_wait_us(&upstream->rate_limit, &share,
 				  lp_now_us(pool->clock));
 }
 
@@ -395,7 +399,7 @@
 {
 	struct rate_limit_share share = share_of(pool, upstream);
 
-	return rate_limit_own_per_s(&upstream->limit, &share);
+	return rate_limit_own_per_s(&upstream->rate_limit, &share);
 }
 
 /* ---- upstreams that rest ---- */
@@ -403,17 +407,17 @@
 void pool_note_pushback(struct pool *pool, struct pool_upstream *upstream,
 			int64_t rest_us)
 {
-	upstream->rest_until_us =
-		MAX(upstream->rest_until_us, lp_now_us(pool->clock) + rest_us);
+	upstream->pushback_until_us = MAX(upstream->pushback_until_us,
+					  lp_now_us(pool->clock) + rest_us);
 }
 
 static int64_t rest_left_us(const struct pool *pool,
 			    const struct pool_upstream *upstream)
 {
 	/* Most never asked for any: the clock is not read for them. */
-	if (!upstream->rest_until_us)
+	if (!upstream->pushback_until_us)
 		return 0;
-	return MAX(upstream->rest_until_us - lp_now_us(pool->clock), 0);
+	return MAX(upstream->pushback_until_us - lp_now_us(pool->clock), 0);
 }
 
 bool pool_has_pushback(const struct pool *pool,
@@ -428,7 +432,7 @@
 {
 	const int64_t *now_us = userdata;
 
-	return *now_us - ((const struct unlisted *)value)->since_us >=
+	return *now_us - ((const struct unlisted *)value)->unlisted_us >=
 	       UNLISTED_KEEP_US;
 }
 
@@ -439,34 +443,35 @@
 {
 	int64_t now_us = lp_now_us(pool->clock);
 	struct unlisted unlisted = {
-		.limit = upstream->limit,
-		.rest_until_us = upstream->rest_until_us,
-		.said_leaving = upstream->said_leaving,
-		.since_us = now_us,
+		.rate_limit = upstream->rate_limit,
+		.pushback_until_us = upstream->pushback_until_us,
+		.drain_notice = upstream->drain_notice,
+		.unlisted_us = now_us,
 	};
 
-	if (!upstream->limit.named && !upstream->said_leaving &&
+	if (!upstream->rate_limit.named && !upstream->drain_notice &&
 	    !pool_has_pushback(pool, upstream))
 		return;
 	g_hash_table_foreach_remove(pool->unlisted, is_forgotten, &now_us);
 	if (g_hash_table_size(pool->unlisted) >= UNLISTED_MAX)
 		return;
 	g_hash_table_replace(pool->unlisted,
-			     g_memdup2(&upstream->life, sizeof(upstream->life)),
+			     g_memdup2(&upstream->incarnation,
+				       sizeof(upstream->incarnation)),
 			     g_memdup2(&unlisted, sizeof(unlisted)));
 }
 
 static void take_unlisted(struct pool *pool, struct pool_upstream *upstream)
 {
 	const struct unlisted *unlisted =
-		g_hash_table_lookup(pool->unlisted, &upstream->life);
+		g_hash_table_lookup(pool->unlisted, &upstream->incarnation);
 
 	if (!unlisted)
 		return;
-	upstream->limit = unlisted->limit;
-	upstream->rest_until_us = unlisted->rest_until_us;
-	upstream->said_leaving = unlisted->said_leaving;
-	g_hash_table_remove(pool->unlisted, &upstream->life);
+	upstream->rate_limit = unlisted->rate_limit;
+	upstream->pushback_until_us = unlisted->pushback_until_us;
+	upstream->drain_notice = unlisted->drain_notice;
+	g_hash_table_remove(pool->unlisted, &upstream->incarnation);
 }
 
 /* Whether it may get something at this moment, as far as others' safety goes.
@@ -491,26 +496,27 @@
 	};
 	struct pool_upstream *upstream = g_new0(struct pool_upstream, 1);
 
-	upstream->entry.id = g_strdup(entry->id);
-	upstream->entry.service = g_strdup(entry->service);
-	upstream->entry.address = g_strdup(entry->address);
-	upstream->entry.domain = g_strdup(entry->domain);
-	upstream->entry.slots = entry->slots;
-	upstream->entry.leaving = entry->leaving;
-	upstream->entry.born_ms = entry->born_ms;
+	upstream->info.id = g_strdup(entry->id);
+	upstream->info.service = g_strdup(entry->service);
+	upstream->info.address = g_strdup(entry->address);
+	upstream->info.domain = g_strdup(entry->domain);
+	upstream->info.slots = entry->slots;
+	upstream->info.draining = entry->draining;
+	upstream->info.born_ms = entry->born_ms;
 	upstream->hash = lp_hash_str(entry->id);
-	upstream->life = entry->born_ms ? lp_hash_pair(upstream->hash,
-						       (uint64_t)entry->born_ms)
-					: upstream->hash;
+	upstream->incarnation =
+		entry->born_ms
+			? lp_hash_pair(upstream->hash, (uint64_t)entry->born_ms)
+			: upstream->hash;
 	upstream->listed = true;
 	upstream->refs = 1;
 	upstream->slowness = 1.0;
-	upstream->room = room_create(&room);
-	upstream->parts = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						g_free, g_free);
-	upstream->closed = is_closed(pool, upstream);
+	upstream->result_memory = room_create(&room);
+	upstream->cached_blocks = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, g_free, g_free);
+	upstream->domain_closed = is_closed(pool, upstream);
 	upstream->region = g_hash_table_lookup(pool->regions, entry->domain);
-	note_cold(pool, upstream, entry->cold_us);
+	note_cold(pool, upstream, entry->cold_left_us);
 	return upstream;
 }
 
@@ -528,8 +534,8 @@
 static bool is_same(const struct pool_upstream *upstream,
 		    const struct pool_upstream_info *entry)
 {
-	return !strcmp(upstream->entry.address, entry->address) &&
-	       !strcmp(upstream->entry.service, entry->service);
+	return !strcmp(upstream->info.address, entry->address) &&
+	       !strcmp(upstream->info.service, entry->service);
 }
 
 void pool_set_restart_callback(struct pool *pool, pool_restarted_fn restarted,
@@ -545,7 +551,7 @@
 	struct pool_upstream *upstream = create_upstream(pool, entry);
 
 	take_unlisted(pool, upstream);
-	g_hash_table_insert(pool->upstreams, upstream->entry.id, upstream);
+	g_hash_table_insert(pool->upstreams, upstream->info.id, upstream);
 	return upstream;
 }
 
@@ -558,7 +564,7 @@
 	struct pool_upstream *before = pool_upstream_ref(listed);
 	struct pool_upstream *after;
 
-	g_hash_table_remove(pool->upstreams, before->entry.id);
+	g_hash_table_remove(pool->upstreams, before->info.id);
 	after = begin_life(pool, entry);
 	if (pool->restarted)
 		pool->restarted(pool->restarted_userdata, before, after);
@@ -576,7 +582,7 @@
 	bool changed;
 
 	if (word == LIVES_OLD) {
-		pool->in_doubt = true;
+		pool->needs_reapply = true;
 		return false;
 	}
 	if (!upstream) {
@@ -587,11 +593,11 @@
 		follow_life(pool, upstream, entry);
 		return true;
 	}
-	if (entry->cold_us)
-		note_cold(pool, upstream, entry->cold_us);
-	changed = upstream->entry.leaving != entry->leaving;
-	upstream->entry.slots = entry->slots;
-	upstream->entry.leaving = entry->leaving;
+	if (entry->cold_left_us)
+		note_cold(pool, upstream, entry->cold_left_us);
+	changed = upstream->info.draining != entry->draining;
+	upstream->info.slots = entry->slots;
+	upstream->info.draining = entry->draining;
 	return changed;
 }
 
@@ -622,7 +628,7 @@
 static void clear_index(struct pool *pool)
 {
 	g_hash_table_remove_all(pool->services);
-	g_hash_table_remove_all(pool->by_life);
+	g_hash_table_remove_all(pool->by_incarnation);
 }
 
 /* Lists by service, and lives: of what is listed now. */
@@ -635,9 +641,10 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct pool_upstream *upstream = value;
 
-		g_ptr_array_add(service_list(pool, upstream->entry.service),
+		g_ptr_array_add(service_list(pool, upstream->info.service),
 				upstream);
-		g_hash_table_insert(pool->by_life, &upstream->life, upstream);
+		g_hash_table_insert(pool->by_incarnation,
+				    &upstream->incarnation, upstream);
 	}
 }
 
@@ -647,7 +654,7 @@
 	uint32_t changes;
 
 	clear_index(pool);
-	pool->in_doubt = false;
+	pool->needs_reapply = false;
 	changes = remove_missing(pool, entries, count);
 	for (uint32_t i = 0; i < count; i++)
 		if (take_entry(pool, &entries[i]))
@@ -659,14 +666,14 @@
 
 bool pool_needs_reapply(const struct pool *pool)
 {
-	return pool->in_doubt;
+	return pool->needs_reapply;
 }
 
 /* The list has not heard yet: the same entry, but for its start. */
 static struct pool_upstream *
 renew(struct pool *pool, struct pool_upstream *listed, int64_t born_ms)
 {
-	struct pool_upstream_info entry = listed->entry;
+	struct pool_upstream_info entry = listed->info;
 	struct pool_upstream *after;
 
 	entry.born_ms = born_ms;
@@ -681,15 +688,15 @@
 					    struct pool_upstream *upstream,
 					    int64_t born_ms, int64_t asked_us)
 {
-	struct pool_upstream *listed = pool_find(pool, upstream->entry.id);
-	enum lives_word word = lives_answered(pool->lives, upstream->entry.id,
+	struct pool_upstream *listed = pool_find(pool, upstream->info.id);
+	enum lives_word word = lives_answered(pool->lives, upstream->info.id,
 					      born_ms, asked_us);
 
 	if (word == LIVES_OLD)
 		return NULL;
 	if (!listed) /* it leaves, and has what it made for a while */
 		return upstream;
-	if (!is_same(listed, &upstream->entry)) /* it has moved */
+	if (!is_same(listed, &upstream->info)) /* it has moved */
 		return NULL;
 	if (word == LIVES_NEW)
 		return renew(pool, listed, born_ms);
@@ -711,7 +718,7 @@
 struct pool_upstream *pool_find_incarnation(const struct pool *pool,
 					    uint64_t life)
 {
-	return g_hash_table_lookup(pool->by_life, &life);
+	return g_hash_table_lookup(pool->by_incarnation, &life);
 }
 
 /* ---- beliefs ---- */
@@ -724,8 +731,8 @@
 
 	for (uint32_t i = 0; i < count; i++)
 		/* A part counts only if all before it are there. */
-		if (cold ||
-		    !g_hash_table_contains(upstream->parts, &parts[i].id))
+		if (cold || !g_hash_table_contains(upstream->cached_blocks,
+						   &parts[i].id))
 			cold += parts[i].tokens;
 	return cold;
 }
@@ -735,7 +742,7 @@
 			    const struct pool_prefix_block *parts,
 			    uint32_t count)
 {
-	int64_t tokens = upstream->tokens_ahead +
+	int64_t tokens = upstream->pending_prefill_tokens +
 			 pool_uncached_tokens(upstream, parts, count);
 
 	return tokens * LP_US_PER_MS / POOL_PREFILL_TOKENS_PER_MS;
@@ -749,10 +756,10 @@
 	int64_t tokens = 0;
 
 	for (uint32_t i = 0; i < count; i++) {
-		const struct part *part =
-			g_hash_table_lookup(upstream->parts, &parts[i].id);
+		const struct part *part = g_hash_table_lookup(
+			upstream->cached_blocks, &parts[i].id);
 
-		if (!part || part->ready_us > now_us)
+		if (!part || part->prefilled_us > now_us)
 			break;
 		tokens += part->tokens;
 	}
@@ -767,16 +774,16 @@
 	const struct copying copying = { token_bytes, bytes_per_us };
 
 	if (token_bytes > 0 && bytes_per_us > 0)
-		g_hash_table_replace(pool->copying, g_strdup(service),
+		g_hash_table_replace(pool->cache_copying, g_strdup(service),
 				     g_memdup2(&copying, sizeof(copying)));
 	else
-		g_hash_table_remove(pool->copying, service);
+		g_hash_table_remove(pool->cache_copying, service);
 }
 
 static const struct copying *copying_of(const struct pool *pool,
 					const char *service)
 {
-	return g_hash_table_lookup(pool->copying, service);
+	return g_hash_table_lookup(pool->cache_copying, service);
 }
 
 /* `copying` NULL: they do not, and no tokens are copied. */
@@ -814,10 +821,10 @@
 
 /* Who can copy a prompt to the others of its service. */
 struct source {
-	const struct copying *copying; /* NULL: nothing is copied */
-	struct pool_upstream *engine;  /* has read the most of it; or NULL */
-	int64_t tokens;		       /* that it has read */
-	int64_t all_tokens;	       /* of the prompt */
+	const struct copying *copying;	/* NULL: nothing is copied */
+	struct pool_upstream *upstream; /* has read the most of it; or NULL */
+	int64_t prefilled_tokens;	/* that it has read */
+	int64_t prompt_tokens;		/* of the prompt */
 };
 
 /* A prompt of one part has nothing that others share. */
@@ -825,9 +832,10 @@
 				 const struct pool_pick_args *ask)
 {
 	struct source source = {
-		.copying = ask->parts_count > 1 ? copying_of(pool, ask->service)
-						: NULL,
-		.all_tokens = all_tokens(ask->parts, ask->parts_count),
+		.copying = ask->blocks_count > 1
+				   ? copying_of(pool, ask->service)
+				   : NULL,
+		.prompt_tokens = all_tokens(ask->blocks, ask->blocks_count),
 	};
 	int64_t now_us = lp_now_us(pool->clock);
 
@@ -835,15 +843,16 @@
 		struct pool_upstream *upstream = g_ptr_array_index(list, i);
 		int64_t tokens;
 
-		if (upstream->failures || now_us < upstream->aside_until_us ||
-		    !homes_have(ask->homes, upstream->region))
+		if (upstream->consecutive_failures ||
+		    now_us < upstream->ejected_until_us ||
+		    !homes_have(ask->allowed_regions, upstream->region))
 			continue;
-		tokens = tokens_read(upstream, ask->parts, ask->parts_count,
+		tokens = tokens_read(upstream, ask->blocks, ask->blocks_count,
 				     now_us);
-		if (tokens <= source.tokens)
+		if (tokens <= source.prefilled_tokens)
 			continue;
-		source.engine = upstream;
-		source.tokens = tokens;
+		source.upstream = upstream;
+		source.prefilled_tokens = tokens;
 	}
 	return source;
 }
@@ -853,15 +862,16 @@
 					const struct pool_pick_args *ask)
 {
 	int64_t cold =
-		pool_uncached_tokens(upstream, ask->parts, ask->parts_count);
-	int64_t tokens = source->tokens - (source->all_tokens - cold);
-	const struct pool_cache_copy none = { .cold_tokens = cold };
+		pool_uncached_tokens(upstream, ask->blocks, ask->blocks_count);
+	int64_t tokens =
+		source->prefilled_tokens - (source->prompt_tokens - cold);
+	const struct pool_cache_copy none = { .prefill_tokens = cold };
 
-	if (!source->engine || source->engine == upstream || tokens <= 0 ||
+	if (!source->upstream || source->upstream == upstream || tokens <= 0 ||
 	    copy_us(source->copying, tokens) >=
 		    tokens * LP_US_PER_MS / POOL_PREFILL_TOKENS_PER_MS)
 		return none;
-	return (struct pool_cache_copy){ source->engine, tokens,
+	return (struct pool_cache_copy){ source->upstream, tokens,
 					 cold - tokens };
 }
 
@@ -885,7 +895,7 @@
 	const int64_t *oldest = NULL;
 	int64_t oldest_us = G_MAXINT64;
 
-	g_hash_table_iter_init(&iter, upstream->parts);
+	g_hash_table_iter_init(&iter, upstream->cached_blocks);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
 		const struct part *part = value;
 
@@ -896,10 +906,10 @@
 	}
 	if (!oldest)
 		return;
-	upstream->parts_tokens -=
-		((struct part *)g_hash_table_lookup(upstream->parts, oldest))
-			->tokens;
-	g_hash_table_remove(upstream->parts, oldest);
+	upstream->cached_tokens -= ((struct part *)g_hash_table_lookup(
+					    upstream->cached_blocks, oldest))
+					   ->tokens;
+	g_hash_table_remove(upstream->cached_blocks, oldest);
 }
 
 void pool_note_cached_blocks(struct pool *pool, struct pool_upstream *upstream,
@@ -910,23 +920,23 @@
 	int64_t read_us = now_us + read_time_us(upstream, parts, count);
 
 	for (uint32_t i = 0; i < count; i++) {
-		struct part *part =
-			g_hash_table_lookup(upstream->parts, &parts[i].id);
+		struct part *part = g_hash_table_lookup(upstream->cached_blocks,
+							&parts[i].id);
 
 		if (!part) {
 			part = g_new0(struct part, 1);
 			part->tokens = parts[i].tokens;
-			part->ready_us = read_us;
-			upstream->parts_tokens += part->tokens;
+			part->prefilled_us = read_us;
+			upstream->cached_tokens += part->tokens;
 			g_hash_table_insert(
-				upstream->parts,
+				upstream->cached_blocks,
 				g_memdup2(&parts[i].id, sizeof(parts[i].id)),
 				part);
 		}
 		part->used_us = now_us;
 	}
-	while (capacity_tokens && upstream->parts_tokens > capacity_tokens &&
-	       g_hash_table_size(upstream->parts))
+	while (capacity_tokens && upstream->cached_tokens > capacity_tokens &&
+	       g_hash_table_size(upstream->cached_blocks))
 		forget_oldest(upstream);
 }
 
@@ -934,7 +944,7 @@
 {
 	const int64_t *now_us = userdata;
 
-	return ((const struct part *)value)->ready_us <= *now_us;
+	return ((const struct part *)value)->prefilled_us <= *now_us;
 }
 
 void pool_set_cached_blocks(struct pool *pool, struct pool_upstream *upstream,
@@ -945,33 +955,35 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_foreach_remove(upstream->parts, is_read_part, &now_us);
+	g_hash_table_foreach_remove(upstream->cached_blocks, is_read_part,
+				    &now_us);
 	for (uint32_t i = 0; i < count; i++) {
 		struct part part = { parts[i].tokens, now_us, now_us };
 
-		if (!g_hash_table_contains(upstream->parts, &parts[i].id))
+		if (!g_hash_table_contains(upstream->cached_blocks,
+					   &parts[i].id))
 			g_hash_table_insert(
-				upstream->parts,
+				upstream->cached_blocks,
 				g_memdup2(&parts[i].id, sizeof(parts[i].id)),
 				g_memdup2(&part, sizeof(part)));
 	}
-	upstream->parts_tokens = 0;
-	g_hash_table_iter_init(&iter, upstream->parts);
+	upstream->cached_tokens = 0;
+	g_hash_table_iter_init(&iter, upstream->cached_blocks);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		upstream->parts_tokens += ((const struct part *)value)->tokens;
+		upstream->cached_tokens += ((const struct part *)value)->tokens;
 }
 
 static void fade_beliefs(struct pool_upstream *upstream, int64_t now_us)
 {
-	int64_t quiet_us = now_us - upstream->seen_us;
+	int64_t quiet_us = now_us - upstream->last_outcome_us;
 
 	for (; quiet_us > ESTIMATE_HALF_LIFE_US;
 	     quiet_us -= ESTIMATE_HALF_LIFE_US) {
 		upstream->slowness = 1.0 + (upstream->slowness - 1.0) / 2;
-		upstream->error_share /= 2;
-		upstream->seen_us += ESTIMATE_HALF_LIFE_US;
-		if (upstream->slowness < 1.05 && upstream->error_share < 0.02) {
-			upstream->seen_us = now_us;
+		upstream->error_rate /= 2;
+		upstream->last_outcome_us += ESTIMATE_HALF_LIFE_US;
+		if (upstream->slowness < 1.05 && upstream->error_rate < 0.02) {
+			upstream->last_outcome_us = now_us;
 			return;
 		}
 	}
@@ -980,8 +992,8 @@
 static void set_aside(struct pool_upstream *upstream, int64_t now_us,
 		      int64_t time_us)
 {
-	if (now_us + time_us > upstream->aside_until_us)
-		upstream->aside_until_us = now_us + time_us;
+	if (now_us + time_us > upstream->ejected_until_us)
+		upstream->ejected_until_us = now_us + time_us;
 }
 
 void pool_record_outcome(struct pool *pool, struct pool_upstream *upstream,
@@ -991,26 +1003,27 @@
 	int64_t now_us = lp_now_us(pool->clock);
 	bool failed =
 		outcome == POOL_UNREACHABLE || outcome == POOL_WRONG_PROCESS;
-	uint32_t doublings = MIN(upstream->failures, EJECTION_DOUBLINGS_MAX);
+	uint32_t doublings =
+		MIN(upstream->consecutive_failures, EJECTION_DOUBLINGS_MAX);
 
 	if (outcome == POOL_UNDETERMINED)
 		return;
 	fade_beliefs(upstream, now_us);
-	upstream->seen_us = now_us;
+	upstream->last_outcome_us = now_us;
 	if (failed) {
 		set_aside(upstream, now_us,
 			  MIN(MAX(EJECTION_BASE_US, took_us) << doublings,
 			      EJECTION_MAX_US));
-		upstream->failures++;
+		upstream->consecutive_failures++;
 		suspect_cold(pool, upstream);
 	} else {
-		upstream->failures = 0;
+		upstream->consecutive_failures = 0;
 	}
 	if (outcome == POOL_OVERLOADED)
 		set_aside(upstream, now_us, OVERLOAD_EJECTION_US);
-	upstream->error_share +=
+	upstream->error_rate +=
 		FADE * ((failed || outcome == POOL_ERROR_ANSWER ? 1.0 : 0.0) -
-			upstream->error_share);
+			upstream->error_rate);
 	if (!failed && took_us && expected_us) {
 		double ratio = CLAMP((double)took_us / (double)expected_us, 0.5,
 				     SLOWNESS_MAX);
@@ -1030,8 +1043,8 @@
 {
 	int64_t now_us = lp_now_us(pool->clock);
 
-	if (!upstream->failures &&
-	    now_us - upstream->seen_us < RECENT_OUTCOME_US)
+	if (!upstream->consecutive_failures &&
+	    now_us - upstream->last_outcome_us < RECENT_OUTCOME_US)
 		return;
 	set_aside(upstream, now_us, MIN(aside_us, EJECTION_MAX_US));
 }
@@ -1040,7 +1053,7 @@
 		       const struct pool_upstream *upstream)
 {
 	return may_send(pool, upstream) &&
-	       lp_now_us(pool->clock) >= upstream->aside_until_us;
+	       lp_now_us(pool->clock) >= upstream->ejected_until_us;
 }
 
 /* ---- the choice ---- */
@@ -1056,17 +1069,17 @@
 static bool is_in_share(const struct pool_pick_args *ask,
 			const struct pool_upstream *upstream)
 {
-	return ask->share_count < 2 ||
-	       upstream->hash % ask->share_count == ask->share;
+	return ask->shard_count < 2 ||
+	       upstream->hash % ask->shard_count == ask->shard;
 }
 
 /* Where all entries would place this prefix, had they the same beliefs. */
 static uint64_t home_rank(const struct pool_pick_args *ask,
 			  const struct pool_upstream *upstream)
 {
-	uint32_t deepest_shared = ask->parts_count - 2;
+	uint32_t deepest_shared = ask->blocks_count - 2;
 
-	return lp_hash_pair(ask->parts[deepest_shared].id, upstream->hash);
+	return lp_hash_pair(ask->blocks[deepest_shared].id, upstream->hash);
 }
 
 static const struct pool_upstream *find_home(const struct pool_pick_args *ask,
@@ -1075,7 +1088,7 @@
 	const struct pool_upstream *home = NULL;
 	uint64_t best = 0;
 
-	if (ask->parts_count < 2)
+	if (ask->blocks_count < 2)
 		return NULL;
 	for (guint i = 0; i < list->len; i++) {
 		const struct pool_upstream *upstream =
@@ -1083,7 +1096,7 @@
 		uint64_t rank = home_rank(ask, upstream);
 
 		if (!pool_is_eligible(upstream) || rank <= best ||
-		    !homes_have(ask->homes, upstream->region) ||
+		    !homes_have(ask->allowed_regions, upstream->region) ||
 		    !is_in_share(ask, upstream))
 			continue;
 		best = rank;
@@ -1103,8 +1116,8 @@
 
 /* What a choice among all upstreams of a service goes by. */
 struct choice {
-	const struct pool_pick_args *ask;
-	const struct pool_upstream *home;
+	const struct pool_pick_args *args;
+	const struct pool_upstream *affinity_upstream;
 	struct source source; /* of the prompt */
 };
 
@@ -1113,7 +1126,8 @@
 static int64_t shared_cold(const struct pool_pick_args *ask,
 			   const struct pool_upstream *upstream)
 {
-	return pool_uncached_tokens(upstream, ask->parts, ask->parts_count - 1);
+	return pool_uncached_tokens(upstream, ask->blocks,
+				    ask->blocks_count - 1);
 }
 
 /* Estimated time until a prompt is read there, with what else counts as time.
@@ -1121,23 +1135,24 @@
 static double prompt_cost_us(const struct choice *choice,
 			     const struct pool_upstream *upstream)
 {
-	const struct pool_pick_args *ask = choice->ask;
+	const struct pool_pick_args *ask = choice->args;
 	const struct copying *copying = choice->source.copying;
 	struct pool_cache_copy copy = copy_from(&choice->source, upstream, ask);
-	int64_t tokens = upstream->tokens_ahead + copy.cold_tokens;
+	int64_t tokens = upstream->pending_prefill_tokens + copy.prefill_tokens;
 	double cost =
 		FIRST_DECODE_STEP_US +
 		(double)PER_REQUEST_US * upstream->in_flight +
 		(double)tokens * LP_US_PER_MS / POOL_PREFILL_TOKENS_PER_MS +
-		(double)copy_us(copying, copy.tokens);
+		(double)copy_us(copying, copy.copied_tokens);
 
 	if (ask->target_us &&
 	    cost * upstream->slowness > (double)ask->target_us)
 		cost += LATE_COST_US;
-	cost += (double)copy_price_us(copying, copy.tokens);
-	if (choice->home && upstream != choice->home)
+	cost += (double)copy_price_us(copying, copy.copied_tokens);
+	if (choice->affinity_upstream && upstream != choice->affinity_upstream)
 		cost += NON_AFFINITY_COST_US +
-			(double)MAX(shared_cold(ask, upstream) - copy.tokens,
+			(double)MAX(shared_cold(ask, upstream) -
+					    copy.copied_tokens,
 				    0) *
 				REPEATED_PREFILL_WEIGHT * LP_US_PER_MS /
 				POOL_PREFILL_TOKENS_PER_MS;
@@ -1146,7 +1161,7 @@
 
 static double plain_cost_us(const struct pool_upstream *upstream)
 {
-	uint32_t slots = MAX(upstream->entry.slots, 1);
+	uint32_t slots = MAX(upstream->info.slots, 1);
 
 	return PLAIN_CALL_COST_US * (1.0 + (double)upstream->in_flight / slots);
 }
@@ -1155,14 +1170,15 @@
 static double cost_us(const struct pool *pool, const struct choice *choice,
 		      const struct pool_upstream *upstream)
 {
-	const struct pool_pick_args *ask = choice->ask;
-	double cost = ask->parts_count ? prompt_cost_us(choice, upstream)
-				       : plain_cost_us(upstream);
+	const struct pool_pick_args *ask = choice->args;
+	double cost = ask->blocks_count ? prompt_cost_us(choice, upstream)
+					: plain_cost_us(upstream);
 
-	cost *= upstream->slowness * (1.0 + 4.0 * upstream->error_share);
-	if (strcmp(upstream->entry.domain, pool->domain) != 0)
+	cost *= upstream->slowness * (1.0 + 4.0 * upstream->error_rate);
+	if (strcmp(upstream->info.domain, pool->domain) != 0)
 		cost += OTHER_DOMAIN_COST_US;
-	if (ask->domain && strcmp(upstream->entry.domain, ask->domain) != 0)
+	if (ask->preferred_domain &&
+	    strcmp(upstream->info.domain, ask->preferred_domain) != 0)
 		cost += (double)ask->fetch_bytes / FETCH_BYTES_PER_US;
 	return cost;
 }
@@ -1180,8 +1196,8 @@
 	if (!list)
 		return NULL;
 	choice = (struct choice){
-		.ask = ask,
-		.home = find_home(ask, list),
+		.args = ask,
+		.affinity_upstream = find_home(ask, list),
 		.source = find_source(pool, list, ask),
 	};
 	for (guint i = 0; i < list->len; i++) {
@@ -1190,8 +1206,8 @@
 		double cost;
 
 		if (!may_send(pool, upstream) || !is_in_share(ask, upstream) ||
-		    !homes_have(ask->homes, upstream->region) ||
-		    was_tried(ask, upstream->entry.id))
+		    !homes_have(ask->allowed_regions, upstream->region) ||
+		    was_tried(ask, upstream->info.id))
 			continue;
 		fade_beliefs(upstream, now_us);
 		cost = cost_us(pool, &choice, upstream);
@@ -1219,7 +1235,7 @@
 		       const struct pool_upstream *upstream)
 {
 	return pool_is_eligible(upstream) && is_in_share(ask, upstream) &&
-	       homes_have(ask->homes, upstream->region);
+	       homes_have(ask->allowed_regions, upstream->region);
 }
 
 static struct outlook look_ahead(const struct pool *pool,
@@ -1238,7 +1254,7 @@
 			MIN(outlook.wait_us,
 			    MAX(rest_left_us(pool, upstream),
 				pool_rate_limit_wait_us(pool, upstream)));
-		outlook.per_s += upstream->limit.named
+		outlook.per_s += upstream->rate_limit.named
 					 ? pool_rate_limit_per_s(pool, upstream)
 					 : INFINITY;
 	}
--- a/policy/pool.h
+++ b/policy/pool.h
@@ -33,41 +33,45 @@
 	char *address; /**< "IP:PORT" */
 	char *domain;
 	uint32_t slots;
-	bool leaving;
-	int64_t born_ms; /**< wall clock at its start; 0: not said */
-	int64_t cold_us; /**< cold for so long yet, by the list; 0: it is not */
+	bool draining;
+	int64_t born_ms;      /**< wall clock at its start; 0: not said */
+	int64_t cold_left_us; /**< cold for so long yet, by the list; 0: it is
+				 not */
 };
 
 /** One life of an upstream: lives.h. */
 struct pool_upstream {
-	struct pool_upstream_info entry;
+	struct pool_upstream_info info;
 	uint64_t hash; /**< of its id: its place among upstreams, which a new
 			  life keeps */
-	uint64_t life; /**< of its id and start: names it to others */
+	uint64_t incarnation; /**< of its id and start: names it to others */
 	bool listed;
-	int64_t rest_until_us; /**< it wants nothing of us before */
-	bool said_leaving;     /**< it said in an answer that it leaves */
-	bool closed;	       /**< operators have closed its domain */
-	const char *region;    /**< of its domain; NULL: not known. Interned. */
+	int64_t pushback_until_us; /**< it wants nothing of us before */
+	bool drain_notice;	   /**< it said in an answer that it leaves */
+	bool domain_closed;	   /**< operators have closed its domain */
+	const char *region; /**< of its domain; NULL: not known. Interned. */
 	struct warmup warmup;
-	struct rate_limit limit; /**< that it has named */
-	uint32_t in_flight;	 /**< our requests or calls there */
-	int64_t tokens_ahead;	 /**< prompt tokens we sent, not read yet */
-	int64_t aside_until_us;	 /**< gets nothing before, if others can */
-	uint32_t failures;	 /**< in a row */
-	double error_share;	 /**< of late answers, 0 to 1 */
-	double slowness;	 /**< time taken / time expected, fading */
-	int64_t busy_until_us;	 /**< with calls of others */
-	struct room *room;	 /**< for results of stages */
-	int64_t room_asked_us;	 /**< when it was asked of its room; 0: never */
-	int64_t room_heard_us;	 /**< when it told of it; 0: never */
-	int64_t memory_asked_us; /**< when it was asked of its memory; 0: never
-				  */
+	struct rate_limit rate_limit;	/**< that it has named */
+	uint32_t in_flight;		/**< our requests or calls there */
+	int64_t pending_prefill_tokens; /**< prompt tokens we sent, not read yet
+					 */
+	int64_t ejected_until_us; /**< gets nothing before, if others can */
+	uint32_t consecutive_failures; /**< in a row */
+	double error_rate;	       /**< of late answers, 0 to 1 */
+	double slowness;	    /**< time taken / time expected, fading */
+	int64_t busy_until_us;	    /**< with calls of others */
+	struct room *result_memory; /**< for results of stages */
+	int64_t result_memory_queried_us; /**< when it was asked of its room; 0:
+					     never */
+	int64_t result_memory_reported_us; /**< when it told of it; 0: never */
+	int64_t prefix_cache_queried_us;   /**< when it was asked of its memory;
+					    * 0: never
+					    */
 	/* private */
 	uint32_t refs;
-	GHashTable *parts; /* part id -> struct part */
-	int64_t parts_tokens;
-	int64_t seen_us; /* an answer last */
+	GHashTable *cached_blocks; /* part id -> struct part */
+	int64_t cached_tokens;
+	int64_t last_outcome_us; /* an answer last */
 };
 
 /** One part of a prompt, in the order in which it is read. */
@@ -78,32 +82,33 @@
 
 /** What an engine does for a prompt's memory: copies some, reads the rest. */
 struct pool_cache_copy {
-	struct pool_upstream *from; /**< NULL: none is copied; not held */
-	int64_t tokens;		    /**< that are copied */
-	int64_t cold_tokens;	    /**< that are read */
+	struct pool_upstream *source; /**< NULL: none is copied; not held */
+	int64_t copied_tokens;	      /**< that are copied */
+	int64_t prefill_tokens;	      /**< that are read */
 };
 
 struct pool_pick_args {
 	const char *service;
-	const struct pool_prefix_block *parts; /**< of the prompt, or NULL */
-	uint32_t parts_count;
-	const char *homes;  /**< regions that may have it: homes.h */
-	const char *domain; /**< near what the upstream has to fetch, or NULL */
+	const struct pool_prefix_block *blocks; /**< of the prompt, or NULL */
+	uint32_t blocks_count;
+	const char *allowed_regions;  /**< regions that may have it: homes.h */
+	const char *preferred_domain; /**< near what the upstream has to fetch,
+					 or NULL */
 	int64_t fetch_bytes;  /**< that it has to fetch from that domain */
 	int64_t target_us;    /**< the first event is on time within this; 0: no
 				 matter */
-	uint32_t share_count; /**< of so many shares of the service's upstreams
+	uint32_t shard_count; /**< of so many shares of the service's upstreams
 			       */
-	uint32_t share;	      /**< only this one counts; 0 or 1 share: all */
+	uint32_t shard;	      /**< only this one counts; 0 or 1 share: all */
 	const char *const *tried; /**< ids that are not to be chosen */
 	uint32_t tried_count;
 };
 
 /** Our shares of the limits that a service's upstreams name: rate_limit.h. */
 struct pool_rate_limit_shares {
-	uint32_t parts; /**< of the service's upstreams */
-	uint64_t own;	/**< bits of those that we send to for all */
-	struct rate_limit_share own_share;   /**< of a limit there ... */
+	uint32_t shard_count;  /**< of the service's upstreams */
+	uint64_t owned_shards; /**< bits of those that we send to for all */
+	struct rate_limit_share owned_share; /**< of a limit there ... */
 	struct rate_limit_share other_share; /**< ... and elsewhere */
 };
 
--- a/tests/copy_test.cc
+++ b/tests/copy_test.cc
@@ -37,8 +37,8 @@
 		pool_pick_args ask = {};
 
 		ask.service = "s";
-		ask.parts = next.data();
-		ask.parts_count = next.size();
+		ask.blocks = next.data();
+		ask.blocks_count = next.size();
 		return pool_find_cache_copy(it, engine, &ask);
 	}
 	pool_cache_copy copy()
@@ -56,17 +56,17 @@
 	CopyingPool pool;
 
 	pool.pass_ms(1000);
-	EXPECT_EQ(pool.copy().from, pool.home);
-	EXPECT_EQ(pool.copy().tokens, 13000);
+	EXPECT_EQ(pool.copy().source, pool.home);
+	EXPECT_EQ(pool.copy().copied_tokens, 13000);
 }
 
 TEST(Copy, IsNotThereBeforeItHasBeenRead)
 {
 	CopyingPool pool;
 
-	EXPECT_EQ(pool.copy().from, nullptr);
+	EXPECT_EQ(pool.copy().source, nullptr);
 	pool.pass_ms(200);
-	EXPECT_EQ(pool.copy().from, nullptr);
+	EXPECT_EQ(pool.copy().source, nullptr);
 }
 
 TEST(Copy, IsNotTakenByWhoHasItOrFromWhoFails)
@@ -74,9 +74,9 @@
 	CopyingPool pool;
 
 	pool.pass_ms(1000);
-	EXPECT_EQ(pool.copy_to(pool.home).from, nullptr);
+	EXPECT_EQ(pool.copy_to(pool.home).source, nullptr);
 	pool_record_outcome(pool.it, pool.home, POOL_UNREACHABLE, 0, 0);
-	EXPECT_EQ(pool.copy().from, nullptr);
+	EXPECT_EQ(pool.copy().source, nullptr);
 }
 
 /* Links over which it would take longer than reading. */
@@ -85,7 +85,7 @@
 	CopyingPool slow(5000);
 
 	slow.pass_ms(1000);
-	EXPECT_EQ(slow.copy().from, nullptr);
+	EXPECT_EQ(slow.copy().source, nullptr);
 	EXPECT_GT(pool_cache_copy_us(slow.it, "s", 13000), 13000 * 16);
 }
 
@@ -95,7 +95,7 @@
 
 	pool_set_cache_copying(pool.it, "s", 163840, 0);
 	pool.pass_ms(1000);
-	EXPECT_EQ(pool.copy().from, nullptr);
+	EXPECT_EQ(pool.copy().source, nullptr);
 	EXPECT_EQ(pool_cache_copy_us(pool.it, "s", 13000), 0);
 }
 
@@ -105,7 +105,7 @@
 	CopyingPool pool;
 
 	pool.pass_ms(1000);
-	pool.home->tokens_ahead = 30000; /* 500 ms */
+	pool.home->pending_prefill_tokens = 30000; /* 500 ms */
 	EXPECT_NE(pool.pick(next), pool.home);
 	pool_set_cache_copying(pool.it, "s", 163840, 0);
 	EXPECT_EQ(pool.pick(next), pool.home);
@@ -121,8 +121,8 @@
 	pool.pass_ms(1000);
 	closures_set(closed, 1, "a", true);
 	pool_set_closed_domains(pool.it, closed);
-	EXPECT_STREQ(pool.pick(next)->entry.id, "there");
-	EXPECT_EQ(pool.copy_to(pool_find(pool.it, "there")).from, pool.home);
+	EXPECT_STREQ(pool.pick(next)->info.id, "there");
+	EXPECT_EQ(pool.copy_to(pool_find(pool.it, "there")).source, pool.home);
 	pool_set_closed_domains(pool.it, nullptr);
 	closures_destroy(closed);
 }
--- a/tests/direct_policy_test.cc
+++ b/tests/direct_policy_test.cc
@@ -363,17 +363,17 @@
 
 	pool.add("one", "a");
 	pool.add("two", "a");
-	pool.entries[0].leaving = true;
+	pool.entries[0].draining = true;
 	pool_update(pool.it, pool.entries.data(), 2);
-	EXPECT_STREQ(pool.pick()->entry.id, "two");
+	EXPECT_STREQ(pool.pick()->info.id, "two");
 	EXPECT_EQ(pool.pick({}, { "two" }), nullptr);
-	pool.entries[0].leaving = false;
+	pool.entries[0].draining = false;
 	pool_update(pool.it, pool.entries.data(), 2);
 	pool_record_outcome(pool.it, pool_find(pool.it, "two"),
 			    POOL_UNREACHABLE, 0, 0);
-	EXPECT_STREQ(pool.pick()->entry.id, "one");
+	EXPECT_STREQ(pool.pick()->info.id, "one");
 	/* One that is set aside is better than none. */
-	EXPECT_STREQ(pool.pick({}, { "one" })->entry.id, "two");
+	EXPECT_STREQ(pool.pick({}, { "one" })->info.id, "two");
 }
 
 TEST(Pool, ForgetsFailuresWithTime)
@@ -384,10 +384,10 @@
 	pool.add("two", "a");
 	pool_record_outcome(pool.it, pool_find(pool.it, "one"), POOL_SERVED,
 			    500000, 50000);
-	EXPECT_STREQ(pool.pick()->entry.id, "two");
+	EXPECT_STREQ(pool.pick()->info.id, "two");
 	pool.clock.now_us += 30 * LP_US_PER_S;
 	pool_find(pool.it, "two")->in_flight = 1;
-	EXPECT_STREQ(pool.pick()->entry.id, "one");
+	EXPECT_STREQ(pool.pick()->info.id, "one");
 }
 
 TEST(Pool, KeepsAPrefixAtItsHomeUnlessThatIsFarBehind)
@@ -403,7 +403,7 @@
 	pool_note_cached_blocks(pool.it, home, prompt.data(), 2, 100000);
 	EXPECT_EQ(pool_uncached_tokens(home, prompt.data(), 2), 0);
 	EXPECT_EQ(pool.pick({ { 7, 9000 }, { 9, 400 } }), home);
-	home->tokens_ahead = 200000;
+	home->pending_prefill_tokens = 200000;
 	EXPECT_NE(pool.pick({ { 7, 9000 }, { 9, 400 } }), home);
 }
 
@@ -417,15 +417,15 @@
 	for (const char *id : { "one", "two", "three" })
 		pool.add(id, "a");
 	ask.service = "s";
-	ask.parts = prompt.data();
-	ask.parts_count = prompt.size();
+	ask.blocks = prompt.data();
+	ask.blocks_count = prompt.size();
 	ask.target_us = 500000;
 	pool_upstream *home = pool_pick(pool.it, &ask);
 
 	pool_note_cached_blocks(pool.it, home, prompt.data(), 2, 100000);
-	home->tokens_ahead = 20000; /* 330 ms */
+	home->pending_prefill_tokens = 20000; /* 330 ms */
 	EXPECT_EQ(pool_pick(pool.it, &ask), home);
-	home->tokens_ahead = 40000; /* 670 ms */
+	home->pending_prefill_tokens = 40000; /* 670 ms */
 	EXPECT_NE(pool_pick(pool.it, &ask), home);
 	ask.target_us = 0; /* it is late in any case */
 	EXPECT_EQ(pool_pick(pool.it, &ask), home);
@@ -441,18 +441,19 @@
 	for (const char *id : { "one", "two", "three", "four", "five" })
 		pool.add(id, "a");
 	ask.service = "s";
-	ask.share_count = 2;
-	for (ask.share = 0; ask.share < 2; ask.share++) {
+	ask.shard_count = 2;
+	for (ask.shard = 0; ask.shard < 2; ask.shard++) {
 		pool_upstream *best;
 
 		ask.tried_count = 0;
 		std::vector<const char *> tried;
 
 		while ((best = pool_pick(pool.it, &ask))) {
-			EXPECT_EQ(best->hash % 2, ask.share);
-			EXPECT_EQ(pool_find_incarnation(pool.it, best->life),
+			EXPECT_EQ(best->hash % 2, ask.shard);
+			EXPECT_EQ(pool_find_incarnation(pool.it,
+							best->incarnation),
 				  best);
-			tried.push_back(best->entry.id);
+			tried.push_back(best->info.id);
 			ask.tried = tried.data();
 			ask.tried_count = tried.size();
 			found++;
@@ -695,14 +696,15 @@
 	void tell_rooms(int64_t bytes)
 	{
 		while (pool_upstream *upstream = pieces_ask_room(queue))
-			pieces_room_told(queue, upstream,
-					 room_own_bytes(upstream->room), bytes,
-					 bytes);
+			pieces_room_told(
+				queue, upstream,
+				room_own_bytes(upstream->result_memory), bytes,
+				bytes);
 	}
 	/* A result is kept there. */
 	void keep(const char *id, const char *handle, int64_t bytes)
 	{
-		room *at = pool_find(it, id)->room;
+		room *at = pool_find(it, id)->result_memory;
 
 		room_begin(at, bytes);
 		room_made(at, handle, bytes);
@@ -719,7 +721,7 @@
 		       rig.clock.now_us + 900000);
 	rig.ask(1, 1, 900000);
 	ASSERT_EQ(rig.next(&call), (std::vector<int>{ 1 }));
-	EXPECT_STREQ(call->upstream->entry.id, "one");
+	EXPECT_STREQ(call->upstream->info.id, "one");
 	rig.ask(2, 2, 900000);
 	rig.ask(3, 1, 800000);
 	ASSERT_TRUE(rig.next(&second).empty());
@@ -751,7 +753,7 @@
 	rig.ask(3, 1, 700000, 0, 200);
 	rig.tell_rooms(1000);
 	ASSERT_EQ(rig.next(&call), (std::vector<int>{ 1, 1, 1, 1, 3 }));
-	EXPECT_EQ(room_own_bytes(call->upstream->room), 1000);
+	EXPECT_EQ(room_own_bytes(call->upstream->result_memory), 1000);
 	rig.end(call);
 }
 
@@ -784,10 +786,11 @@
 	rig.ask(1, 1, 500000, 0, 200);
 	rig.tell_rooms(50);
 	ASSERT_TRUE(rig.next(&call).empty());
-	room_given_up(pool_find(rig.it, "two")->room, "2/a", 900);
-	EXPECT_EQ(room_taken_bytes(pool_find(rig.it, "two")->room), 50);
+	room_given_up(pool_find(rig.it, "two")->result_memory, "2/a", 900);
+	EXPECT_EQ(room_taken_bytes(pool_find(rig.it, "two")->result_memory),
+		  50);
 	ASSERT_EQ(rig.next(&call).size(), 1u);
-	EXPECT_STREQ(call->upstream->entry.id, "two");
+	EXPECT_STREQ(call->upstream->info.id, "two");
 	rig.end(call);
 }
 
@@ -814,7 +817,7 @@
 	rig.ask(2, 1, 900000);
 	ASSERT_EQ(rig.next(&one).size(), 8u);
 	ASSERT_EQ(rig.next(&two), (std::vector<int>{ 2 }));
-	EXPECT_STRNE(one->upstream->entry.id, two->upstream->entry.id);
+	EXPECT_STRNE(one->upstream->info.id, two->upstream->info.id);
 	rig.ask(3, 1, 900000);
 	ASSERT_TRUE(rig.next(&three).empty());
 	rig.end(one);
@@ -871,13 +874,13 @@
 	pool_find(rig.it, "two")->slowness = 10;
 	rig.ask(1, 1, 900000);
 	ASSERT_EQ(rig.next(&one).size(), 1u);
-	EXPECT_STREQ(one->upstream->entry.id, "one");
+	EXPECT_STREQ(one->upstream->info.id, "one");
 	rig.ask(2, 1, 900000);
 	ASSERT_TRUE(rig.next(&two).empty());
 	for (int i = 3; i < 20; i++)
 		rig.ask(i, 1, 900000);
 	ASSERT_EQ(rig.next(&two).size(), 8u);
-	EXPECT_STREQ(two->upstream->entry.id, "two");
+	EXPECT_STREQ(two->upstream->info.id, "two");
 	rig.end(one);
 	rig.end(two);
 }
@@ -892,7 +895,7 @@
 	pieces_set_parts(rig.queue, 64, UINT64_C(1) << part);
 	rig.ask(1, 1, 900000);
 	ASSERT_EQ(rig.next(&call).size(), 1u);
-	EXPECT_STREQ(call->upstream->entry.id, "one");
+	EXPECT_STREQ(call->upstream->info.id, "one");
 	rig.ask(2, 1, 900000);
 	pieces_call *second;
 
--- a/tests/lives_test.cc
+++ b/tests/lives_test.cc
@@ -121,7 +121,7 @@
 	void list(int64_t born_ms, bool leaving = false)
 	{
 		entries[0].born_ms = born_ms;
-		entries[0].leaving = leaving;
+		entries[0].draining = leaving;
 		pool_update(it, entries.data(), entries.size());
 	}
 	Born()
@@ -151,27 +151,27 @@
 	pool_upstream *after;
 
 	before->in_flight = 3;
-	before->tokens_ahead = 5000;
+	before->pending_prefill_tokens = 5000;
 	pool_note_cached_blocks(pool.it, before, &part, 1, 0);
 	for (int i = 0; i < 5; i++)
 		pool_record_outcome(pool.it, before, POOL_UNREACHABLE, 0, 0);
-	room_begin(before->room, 900);
-	room_made(before->room, "h", 900);
+	room_begin(before->result_memory, 900);
+	room_made(before->result_memory, "h", 900);
 	EXPECT_EQ(pool_uncached_tokens(before, &part, 1), 0);
 	pool.list(1001);
 	after = pool.i();
 	ASSERT_NE(after, before);
 	EXPECT_FALSE(before->listed);
 	EXPECT_EQ(after->in_flight, 0u);
-	EXPECT_EQ(after->tokens_ahead, 0);
+	EXPECT_EQ(after->pending_prefill_tokens, 0);
 	EXPECT_EQ(pool_uncached_tokens(after, &part, 1), 900);
 	EXPECT_TRUE(pool_is_available(pool.it, after));
-	EXPECT_EQ(room_taken_bytes(after->room), 0);
+	EXPECT_EQ(room_taken_bytes(after->result_memory), 0);
 	/* Its place among the others stays; words of peers part them. */
 	EXPECT_EQ(after->hash, before->hash);
-	EXPECT_NE(after->life, before->life);
-	EXPECT_EQ(pool_find_incarnation(pool.it, after->life), after);
-	EXPECT_EQ(pool_find_incarnation(pool.it, before->life), nullptr);
+	EXPECT_NE(after->incarnation, before->incarnation);
+	EXPECT_EQ(pool_find_incarnation(pool.it, after->incarnation), after);
+	EXPECT_EQ(pool_find_incarnation(pool.it, before->incarnation), nullptr);
 	pool_upstream_unref(before);
 }
 
@@ -180,13 +180,13 @@
 	Born pool;
 
 	pool.list(1000, true);
-	EXPECT_TRUE(pool.i()->entry.leaving);
+	EXPECT_TRUE(pool.i()->info.draining);
 	pool.list(1001, false);
-	EXPECT_FALSE(pool.i()->entry.leaving);
+	EXPECT_FALSE(pool.i()->info.draining);
 	EXPECT_FALSE(pool_needs_reapply(pool.it));
 	pool.list(1000, true); /* late */
-	EXPECT_FALSE(pool.i()->entry.leaving);
-	EXPECT_EQ(pool.i()->entry.born_ms, 1001);
+	EXPECT_FALSE(pool.i()->info.draining);
+	EXPECT_EQ(pool.i()->info.born_ms, 1001);
 	EXPECT_TRUE(pool_needs_reapply(pool.it));
 }
 
@@ -217,8 +217,8 @@
 	ASSERT_NE(newer, nullptr);
 	EXPECT_NE(newer, asked);
 	EXPECT_EQ(pool.i(), newer);
-	EXPECT_EQ(newer->entry.born_ms, 1001);
-	EXPECT_STREQ(newer->entry.service, "s");
+	EXPECT_EQ(newer->info.born_ms, 1001);
+	EXPECT_STREQ(newer->info.service, "s");
 	/* What the ended one says, or one that may be it, is of no use. */
 	EXPECT_EQ(answered(pool, asked, 1000), nullptr);
 	EXPECT_EQ(answered(pool, asked, 0), nullptr);
--- a/tests/pool_rig.h
+++ b/tests/pool_rig.h
@@ -42,8 +42,8 @@
 		pool_pick_args ask = {};
 
 		ask.service = "s";
-		ask.parts = parts.data();
-		ask.parts_count = parts.size();
+		ask.blocks = parts.data();
+		ask.blocks_count = parts.size();
 		ask.tried = tried.data();
 		ask.tried_count = tried.size();
 		return pool_pick(it, &ask);
--- a/tests/preferred_domain_test.cc
+++ b/tests/preferred_domain_test.cc
@@ -66,7 +66,7 @@
 
 			all_bytes += one->preferred_bytes;
 			if (strcmp(one->preferred_domain,
-				   call->upstream->entry.domain))
+				   call->upstream->info.domain))
 				far_bytes += one->preferred_bytes;
 			late += clock.now_us > one->due_us;
 			served++;
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -142,11 +142,11 @@
 	EXPECT_TRUE(pool_note_rate_limit(it, pool_find(it, "1"), &word));
 	pool_update(it, nullptr, 0);
 	pool_update(it, &entry, 1);
-	EXPECT_TRUE(pool_find(it, "1")->limit.named);
+	EXPECT_TRUE(pool_find(it, "1")->rate_limit.named);
 	/* Its next life has named none. */
 	entry.born_ms = 8;
 	pool_update(it, &entry, 1);
-	EXPECT_FALSE(pool_find(it, "1")->limit.named);
+	EXPECT_FALSE(pool_find(it, "1")->rate_limit.named);
 	pool_destroy(it);
 }
 
--- a/tests/room_test.cc
+++ b/tests/room_test.cc
@@ -188,12 +188,13 @@
 	{
 		while (pool_upstream *upstream = pieces_ask_room(queue)) {
 			int64_t free_bytes = makers.free_bytes(
-				upstream->entry.id, clock.now_us);
+				upstream->info.id, clock.now_us);
 
 			free_bytes -= free_bytes % step_bytes;
-			pieces_room_told(queue, upstream,
-					 room_own_bytes(upstream->room),
-					 free_bytes, free_bytes + step_bytes);
+			pieces_room_told(
+				queue, upstream,
+				room_own_bytes(upstream->result_memory),
+				free_bytes, free_bytes + step_bytes);
 		}
 	}
 	/* Room is taken up from a call's start. */
@@ -207,7 +208,7 @@
 
 		for (guint i = 0; i < call->pieces->len; i++)
 			out.has_room.push_back(makers.make(
-				call->upstream->entry.id, clock.now_us));
+				call->upstream->info.id, clock.now_us));
 		return out;
 	}
 	void end(const Call &call)
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -55,7 +55,7 @@
 	EXPECT_STREQ(entry.address, "10.0.0.1:80");
 	EXPECT_STREQ(entry.domain, "a");
 	EXPECT_EQ(entry.slots, 6u);
-	EXPECT_FALSE(entry.leaving);
+	EXPECT_FALSE(entry.draining);
 	EXPECT_EQ(entry.born_ms, 1764720000123);
 	plf_clear_upstream(&entry);
 	EXPECT_TRUE(names_one(engine));
@@ -316,7 +316,7 @@
 	plf_list *later = plf_list_read((before + "300\n").c_str());
 
 	ASSERT_TRUE(warm && cold && later);
-	EXPECT_EQ(plf_list_entries(cold)->cold_us, 900000);
+	EXPECT_EQ(plf_list_entries(cold)->cold_left_us, 900000);
 	EXPECT_EQ(plf_list_hash(cold), plf_list_hash(later));
 	EXPECT_NE(plf_list_hash(cold), plf_list_hash(warm));
 	plf_list_destroy(warm);
--- a/tests/warmup_test.cc
+++ b/tests/warmup_test.cc
@@ -207,14 +207,14 @@
 	for (int i = 0; i < 6; i++)
 		pool.add(std::to_string(i).c_str(), i % 2 ? "a" : "b");
 	ask.service = "s";
-	ask.parts = parts.data();
-	ask.parts_count = parts.size();
+	ask.blocks = parts.data();
+	ask.blocks_count = parts.size();
 	const pool_upstream *home = pool_affinity_upstream(pool.it, &ask);
-	std::string domain = home->entry.domain;
+	std::string domain = home->info.domain;
 
 	pool.set(domain.c_str(), true);
-	EXPECT_NE(pool_affinity_upstream(pool.it, &ask)->entry.domain, domain);
-	EXPECT_NE(pool.pick(parts)->entry.domain, domain);
+	EXPECT_NE(pool_affinity_upstream(pool.it, &ask)->info.domain, domain);
+	EXPECT_NE(pool.pick(parts)->info.domain, domain);
 	pool.set(domain.c_str(), false);
 	EXPECT_EQ(pool_affinity_upstream(pool.it, &ask), home);
 }
@@ -276,7 +276,7 @@
 	Pool pool;
 
 	pool.add("1", "a");
-	pool.entries[0].cold_us = engine.cold_us;
+	pool.entries[0].cold_left_us = engine.cold_us;
 	pool_update(pool.it, pool.entries.data(), 1);
 	pool_set_warmup(pool.it, "s", &engine);
 	pool_note_sent(pool.it, pool.pick());
