--- a/policy/pool.c
+++ b/policy/pool.c
@@ -7,68 +7,69 @@
 #include <math.h>
 #include <string.h>
 
-/* Time of an engine's answer beside its prompt: the first step. */
+/* Time from the end of the prefill to an engine's first event. */
 #define FIRST_DECODE_STEP_US (10 * LP_US_PER_MS)
-/* Requests at work slow an engine's steps: about 0.3% each. */
-#define PER_REQUEST_US (500)
-/* A request that goes elsewhere than where all entries would place its
- * prefix must gain this much by it: two thirds of a usual prompt's reading. */
+/* Each request in flight slows an engine's steps by about 0.3%. */
+#define STEP_SLOWDOWN_PER_REQUEST_US (500)
+/* Another upstream than the affinity upstream of a prefix must be faster by
+ * this to be selected: two thirds of the prefill of a typical prompt. */
 #define NON_AFFINITY_COST_US (40 * LP_US_PER_MS)
-/* Shared tokens read once more cost the platform beside the time: five times
- * it, by the prices of the sites (a thousand tokens weigh like 3 MB fetched
- * across domains). */
+/* Repeating the prefill of shared tokens costs the platform five times its
+ * duration, by the prices of the sites (a thousand tokens cost as much as 3 MB
+ * fetched across domains). */
 #define REPEATED_PREFILL_WEIGHT 5
-/* Being late costs as much as reading some 25,000 tokens again: six sevenths of
- * a request's worth, by the sites' sheets. */
+/* Missing the latency target costs as much as repeating the prefill of some
+ * 25,000 tokens: six sevenths of a request's value, by the sites' prices. */
 #define LATE_COST_US (2000 * LP_US_PER_MS)
-/* Another domain: a round trip more, and its bytes are paid for. */
+/* An upstream in another domain than this entry: one more round trip, and the
+ * traffic is paid for. */
 #define OTHER_DOMAIN_COST_US (20 * LP_US_PER_MS)
-/* Bytes fetched across domains are weighed as time: 3 MB as 95 ms. */
+/* Cost of bytes fetched across domains, as time: 3 MB cost 95 ms. */
 #define FETCH_BYTES_PER_US 31
-/* An upstream that fails is left alone, twice as long each time. */
+/* Ejection time after a failure; doubles with each consecutive one. */
 #define EJECTION_BASE_US (250 * LP_US_PER_MS)
 #define EJECTION_DOUBLINGS_MAX 4
 #define EJECTION_MAX_US (4 * LP_US_PER_S)
-/* An answer of this age outweighs the word of others. */
+/* Reports of other entries are ignored for so long after an answer. */
 #define RECENT_OUTCOME_US (300 * LP_US_PER_MS)
-/* One that is full is asked again soon. */
+/* Ejection time after a refusal because of load. */
 #define OVERLOAD_EJECTION_US (60 * LP_US_PER_MS)
-/* Weight of the newest outcome in a fading mean. */
-#define FADE 0.3
-/* Time after which half of a belief in slowness or errors is forgotten, so
- * that an upstream that has recovered is tried again. */
+/* Weight of the newest outcome in an exponential moving average. */
+#define OUTCOME_WEIGHT 0.3
+/* Half-life of the slowness and error rate estimates without outcomes, so that
+ * an upstream that has recovered is selected again. */
 #define ESTIMATE_HALF_LIFE_US (2 * LP_US_PER_S)
 #define SLOWNESS_MAX 20.0
-/* Upstreams keep results that nobody gives up for about so long, until the
- * configuration says how long. */
+/* Time after which upstreams drop results that were not freed, until the
+ * configuration gives it. */
 #define DEFAULT_RESULT_TTL_US (4 * LP_US_PER_S)
-/* Requests of plain services are weighed in these units of time. */
+/* Cost of a request to an idle upstream of a service without prompts. */
 #define PLAIN_CALL_COST_US (60 * LP_US_PER_MS)
 
-/* Copied memory is priced by the byte: what a token of a usual model costs is
- * about a fifth of what reading it again does. */
+/* Cost of a copied prefix cache, as time: a token of a typical model costs
+ * about a fifth of the cost of repeating its prefill. */
 #define CACHE_COPY_COST_BYTES_PER_US 8000
-/* A copy is asked for and begun in this time. */
+/* Time to request and start a copy. */
 #define CACHE_COPY_SETUP_US (5 * LP_US_PER_MS)
 
-/* What unlisted upstreams have said of themselves is kept for so long, ... */
+/* Retention of the state of upstreams that left the list ... */
 #define UNLISTED_KEEP_US (600 * LP_US_PER_S)
-/* ... and of so many of them. */
+/* ... and the maximum number of them. */
 #define UNLISTED_MAX 1000
 
-struct part {
+struct cached_block {
 	int64_t tokens;
 	int64_t used_us;
-	int64_t prefilled_us; /* it is being read until then, about */
+	int64_t prefilled_us; /* estimated end of its prefill */
 };
 
-/* How engines of a service copy memory of prompts. */
-struct copying {
+/* How engines of a service copy prefix caches from each other. */
+struct cache_copying {
 	int64_t token_bytes;
 	double bytes_per_us;
 };
 
-/* What a life said of itself that is not in the list. */
+/* State received from an incarnation that is not in the list. */
 struct unlisted {
 	struct rate_limit rate_limit;
 	int64_t pushback_until_us;
@@ -80,25 +81,25 @@
 	const struct lp_clock *clock;
 	char *domain;
 	GHashTable *upstreams;	    /* id -> struct pool_upstream */
-	GHashTable *by_incarnation; /* life -> the same */
+	GHashTable *by_incarnation; /* incarnation -> the same */
 	struct lives *lives;
 	bool needs_reapply;
 	pool_restarted_fn restarted;
 	void *restarted_userdata;
 	GHashTable *services; /* name -> GPtrArray of struct pool_upstream */
-	const struct closures *closures; /* NULL: none are known */
+	const struct closures *closures; /* NULL: unknown */
 	GHashTable *warmups;		 /* service -> struct warmup_limits */
-	GHashTable *cache_copying;	 /* service -> struct copying */
-	GHashTable
-		*rate_limit_shares; /* likewise struct pool_rate_limit_shares */
+	GHashTable *cache_copying;	 /* service -> struct cache_copying */
+	GHashTable *rate_limit_shares;	 /* service -> struct
+					    pool_rate_limit_shares */
 	struct pool_rate_limit_shares
 		default_rate_limit_shares; /* of other services */
 	GHashTable *turns;		   /* service -> struct turns */
-	GHashTable *unlisted;		   /* life -> struct unlisted */
+	GHashTable *unlisted;		   /* incarnation -> struct unlisted */
 	GHashTable *regions;		   /* domain -> interned region */
 };
 
-/* ---- start and end ---- */
+/* ---- creation and destruction ---- */
 
 struct pool_upstream *pool_upstream_ref(struct pool_upstream *upstream)
 {
@@ -106,25 +107,25 @@
 	return upstream;
 }
 
-static void clear_entry(struct pool_upstream_info *entry)
+static void clear_info(struct pool_upstream_info *info)
 {
-	g_free(entry->id);
-	g_free(entry->service);
-	g_free(entry->address);
-	g_free(entry->domain);
+	g_free(info->id);
+	g_free(info->service);
+	g_free(info->address);
+	g_free(info->domain);
 }
 
 void pool_upstream_unref(struct pool_upstream *upstream)
 {
 	if (!upstream || --upstream->refs)
 		return;
-	clear_entry(&upstream->info);
+	clear_info(&upstream->info);
 	g_hash_table_unref(upstream->cached_blocks);
 	room_destroy(upstream->result_memory);
 	g_free(upstream);
 }
 
-static void unlist(gpointer data)
+static void unlist_upstream(gpointer data)
 {
 	struct pool_upstream *upstream = data;
 
@@ -139,8 +140,8 @@
 	pool->clock = clock;
 	pool->domain = g_strdup(domain);
 	pool->lives = lives_create(clock);
-	pool->upstreams =
-		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, unlist);
+	pool->upstreams = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+						unlist_upstream);
 	pool->by_incarnation = g_hash_table_new(g_int64_hash, g_int64_equal);
 	pool->services =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
@@ -186,35 +187,37 @@
 /* ---- closed domains, cold upstreams ---- */
 
 static const struct warmup_limits *
-limits_of(const struct pool *pool, const struct pool_upstream *upstream)
+warmup_limits_of(const struct pool *pool, const struct pool_upstream *upstream)
 {
 	return g_hash_table_lookup(pool->warmups, upstream->info.service);
 }
 
-static void note_cold(const struct pool *pool, struct pool_upstream *upstream,
-		      int64_t for_us)
+static void begin_cold_period(const struct pool *pool,
+			      struct pool_upstream *upstream, int64_t for_us)
 {
 	int64_t now_us = lp_now_us(pool->clock);
 
-	warmup_begin(&upstream->warmup, limits_of(pool, upstream), now_us,
-		     now_us + for_us);
+	warmup_begin(&upstream->warmup, warmup_limits_of(pool, upstream),
+		     now_us, now_us + for_us);
 }
 
-/* It has started, or is opened again: cold for as long as one that has. */
+/* The upstream has started, or its domain was reopened, after which its state
+ * is unknown: assumes the full cold period. */
 static void assume_cold(const struct pool *pool, struct pool_upstream *upstream)
 {
-	const struct warmup_limits *limits = limits_of(pool, upstream);
+	const struct warmup_limits *limits = warmup_limits_of(pool, upstream);
 
 	if (limits)
-		note_cold(pool, upstream, limits->cold_us);
+		begin_cold_period(pool, upstream, limits->cold_us);
 }
 
-/* It may have started unnoticed. Whoever sends for all can wait for the list to
- * say more; the share of one entry is too small to live on a suspicion. */
+/* The upstream may have restarted unnoticed. An entry that sends on behalf of
+ * all entries paces it until the list says more; the share of any other entry
+ * is too small to be paced on a suspicion. */
 static void suspect_cold(const struct pool *pool,
 			 struct pool_upstream *upstream)
 {
-	const struct warmup_limits *limits = limits_of(pool, upstream);
+	const struct warmup_limits *limits = warmup_limits_of(pool, upstream);
 
 	if (limits && limits->for_all)
 		assume_cold(pool, upstream);
@@ -261,7 +264,8 @@
 {
 	int64_t now_us = lp_now_us(pool->clock);
 
-	warmup_sent(&upstream->warmup, limits_of(pool, upstream), now_us);
+	warmup_sent(&upstream->warmup, warmup_limits_of(pool, upstream),
+		    now_us);
 	rate_limit_sent(&upstream->rate_limit, now_us);
 }
 
@@ -291,7 +295,7 @@
 }
 
 bool pool_service_is_closed(const struct pool *pool, const char *service,
-			    const char *homes)
+			    const char *allowed_regions)
 {
 	const GPtrArray *list = pool_service_upstreams(pool, service);
 	bool any = false;
@@ -303,53 +307,55 @@
 		if (pool_is_draining(upstream))
 			continue;
 		if (!upstream->domain_closed &&
-		    homes_have(homes, upstream->region))
+		    homes_have(allowed_regions, upstream->region))
 			return false;
 		any = true;
 	}
 	return any;
 }
 
-/* ---- limits that upstreams name ---- */
+/* ---- advertised rate limits ---- */
 
 void pool_set_rate_limit_shares(struct pool *pool, const char *service,
-				const struct pool_rate_limit_shares *share)
+				const struct pool_rate_limit_shares *shares)
 {
 	if (service)
 		g_hash_table_replace(pool->rate_limit_shares, g_strdup(service),
-				     g_memdup2(share, sizeof(*share)));
+				     g_memdup2(shares, sizeof(*shares)));
 	else
-		pool->default_rate_limit_shares = *share;
+		pool->default_rate_limit_shares = *shares;
 }
 
-static struct rate_limit_share share_of(const struct pool *pool,
-					const struct pool_upstream *upstream)
+static struct rate_limit_share
+rate_limit_share_of(const struct pool *pool,
+		    const struct pool_upstream *upstream)
 {
 	const struct pool_rate_limit_shares *found = g_hash_table_lookup(
 		pool->rate_limit_shares, upstream->info.service);
-	const struct pool_rate_limit_shares *all =
+	const struct pool_rate_limit_shares *shares =
 		found ? found : &pool->default_rate_limit_shares;
-	bool is_own =
-		all->owned_shards >> (upstream->hash % all->shard_count) & 1;
+	bool is_owned =
+		shares->owned_shards >> (upstream->hash % shares->shard_count) &
+		1;
 	struct rate_limit_share share =
-		is_own ? all->owned_share : all->other_share;
+		is_owned ? shares->owned_share : shares->other_share;
 
-	/* Slots of one entry at several upstreams do not coincide. */
+	/* Keeps this entry's slots at several upstreams from coinciding. */
 	share.phase += (double)upstream->hash / (double)UINT64_MAX;
 	share.phase -= floor(share.phase);
 	return share;
 }
 
 bool pool_note_rate_limit(struct pool *pool, struct pool_upstream *upstream,
-			  const struct rate_limit_word *word)
+			  const struct rate_limit_word *report)
 {
-	return rate_limit_hear(&upstream->rate_limit, word);
+	return rate_limit_hear(&upstream->rate_limit, report);
 }
 
-/* Listed upstreams of which something holds. */
+/* Listed upstreams that satisfy the predicate. */
 static GPtrArray *
 find_upstreams(const struct pool *pool,
-	       bool (*holds)(const struct pool_upstream *upstream))
+	       bool (*predicate)(const struct pool_upstream *upstream))
 {
 	GPtrArray *found = g_ptr_array_new();
 	GHashTableIter iter;
@@ -357,29 +363,29 @@
 
 	g_hash_table_iter_init(&iter, pool->upstreams);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (holds(value))
+		if (predicate(value))
 			g_ptr_array_add(found, value);
 	return found;
 }
 
-static bool names_limit(const struct pool_upstream *upstream)
+static bool advertises_rate_limit(const struct pool_upstream *upstream)
 {
 	return upstream->rate_limit.named;
 }
 
 GPtrArray *pool_list_rate_limited(const struct pool *pool)
 {
-	return find_upstreams(pool, names_limit);
+	return find_upstreams(pool, advertises_rate_limit);
 }
 
-static bool has_said_leaving(const struct pool_upstream *upstream)
+static bool gave_drain_notice(const struct pool_upstream *upstream)
 {
 	return upstream->drain_notice;
 }
 
 GPtrArray *pool_list_drain_notices(const struct pool *pool)
 {
-	return find_upstreams(pool, has_said_leaving);
+	return find_upstreams(pool, gave_drain_notice);
 }
 
 int64_t pool_rate_limit_wait_us(const struct pool *pool,
@@ -389,7 +395,7 @@
 
 	if (!upstream->rate_limit.named)
 		return 0;
-	share = share_of(pool, upstream);
+	share = rate_limit_share_of(pool, upstream);
 	return rate_limit_wait_us(&upstream->rate_limit, &share,
 				  lp_now_us(pool->clock));
 }
@@ -397,24 +403,24 @@
 double pool_rate_limit_per_s(const struct pool *pool,
 			     const struct pool_upstream *upstream)
 {
-	struct rate_limit_share share = share_of(pool, upstream);
+	struct rate_limit_share share = rate_limit_share_of(pool, upstream);
 
 	return rate_limit_own_per_s(&upstream->rate_limit, &share);
 }
 
-/* ---- upstreams that rest ---- */
+/* ---- pushback ---- */
 
 void pool_note_pushback(struct pool *pool, struct pool_upstream *upstream,
-			int64_t rest_us)
+			int64_t pushback_us)
 {
 	upstream->pushback_until_us = MAX(upstream->pushback_until_us,
-					  lp_now_us(pool->clock) + rest_us);
+					  lp_now_us(pool->clock) + pushback_us);
 }
 
-static int64_t rest_left_us(const struct pool *pool,
-			    const struct pool_upstream *upstream)
+static int64_t pushback_left_us(const struct pool *pool,
+				const struct pool_upstream *upstream)
 {
-	/* Most never asked for any: the clock is not read for them. */
+	/* Most upstreams never asked for it: avoids reading the clock. */
 	if (!upstream->pushback_until_us)
 		return 0;
 	return MAX(upstream->pushback_until_us - lp_now_us(pool->clock), 0);
@@ -423,12 +429,13 @@
 bool pool_has_pushback(const struct pool *pool,
 		       const struct pool_upstream *upstream)
 {
-	return rest_left_us(pool, upstream) > 0;
+	return pushback_left_us(pool, upstream) > 0;
 }
 
-/* ---- what outlives the list ---- */
+/* ---- state of upstreams that left the list ---- */
 
-static gboolean is_forgotten(gpointer life, gpointer value, gpointer userdata)
+static gboolean unlisted_has_expired(gpointer incarnation, gpointer value,
+				     gpointer userdata)
 {
 	const int64_t *now_us = userdata;
 
@@ -436,10 +443,10 @@
 	       UNLISTED_KEEP_US;
 }
 
-/* It leaves the list, and may be back in it: an entry lapses while the service
- * is away. */
-static void keep_unlisted(struct pool *pool,
-			  const struct pool_upstream *upstream)
+/* Saves state of an upstream that leaves the list and may return: its entry
+ * expires while the key-value service is unavailable. */
+static void save_unlisted_state(struct pool *pool,
+				const struct pool_upstream *upstream)
 {
 	int64_t now_us = lp_now_us(pool->clock);
 	struct unlisted unlisted = {
@@ -452,7 +459,8 @@
 	if (!upstream->rate_limit.named && !upstream->drain_notice &&
 	    !pool_has_pushback(pool, upstream))
 		return;
-	g_hash_table_foreach_remove(pool->unlisted, is_forgotten, &now_us);
+	g_hash_table_foreach_remove(pool->unlisted, unlisted_has_expired,
+				    &now_us);
 	if (g_hash_table_size(pool->unlisted) >= UNLISTED_MAX)
 		return;
 	g_hash_table_replace(pool->unlisted,
@@ -461,7 +469,8 @@
 			     g_memdup2(&unlisted, sizeof(unlisted)));
 }
 
-static void take_unlisted(struct pool *pool, struct pool_upstream *upstream)
+static void restore_unlisted_state(struct pool *pool,
+				   struct pool_upstream *upstream)
 {
 	const struct unlisted *unlisted =
 		g_hash_table_lookup(pool->unlisted, &upstream->incarnation);
@@ -474,10 +483,10 @@
 	g_hash_table_remove(pool->unlisted, &upstream->incarnation);
 }
 
-/* Whether it may get something at this moment, as far as others' safety goes.
- */
-static bool may_send(const struct pool *pool,
-		     const struct pool_upstream *upstream)
+/* Whether a request is permitted now by eligibility, warm-up, pushback and the
+ * advertised rate limit, which must hold even if there is no other upstream. */
+static bool is_send_permitted(const struct pool *pool,
+			      const struct pool_upstream *upstream)
 {
 	return pool_is_eligible(upstream) &&
 	       warmup_may_send(&upstream->warmup, lp_now_us(pool->clock)) &&
@@ -488,39 +497,39 @@
 /* ---- the list ---- */
 
 static struct pool_upstream *
-create_upstream(const struct pool *pool, const struct pool_upstream_info *entry)
+create_upstream(const struct pool *pool, const struct pool_upstream_info *info)
 {
-	const struct room_options room = {
+	const struct room_options options = {
 		.clock = pool->clock,
 		.linger_us = DEFAULT_RESULT_TTL_US,
 	};
 	struct pool_upstream *upstream = g_new0(struct pool_upstream, 1);
 
-	upstream->info.id = g_strdup(entry->id);
-	upstream->info.service = g_strdup(entry->service);
-	upstream->info.address = g_strdup(entry->address);
-	upstream->info.domain = g_strdup(entry->domain);
-	upstream->info.slots = entry->slots;
-	upstream->info.draining = entry->draining;
-	upstream->info.born_ms = entry->born_ms;
-	upstream->hash = lp_hash_str(entry->id);
+	upstream->info.id = g_strdup(info->id);
+	upstream->info.service = g_strdup(info->service);
+	upstream->info.address = g_strdup(info->address);
+	upstream->info.domain = g_strdup(info->domain);
+	upstream->info.slots = info->slots;
+	upstream->info.draining = info->draining;
+	upstream->info.born_ms = info->born_ms;
+	upstream->hash = lp_hash_str(info->id);
 	upstream->incarnation =
-		entry->born_ms
-			? lp_hash_pair(upstream->hash, (uint64_t)entry->born_ms)
+		info->born_ms
+			? lp_hash_pair(upstream->hash, (uint64_t)info->born_ms)
 			: upstream->hash;
 	upstream->listed = true;
 	upstream->refs = 1;
 	upstream->slowness = 1.0;
-	upstream->result_memory = room_create(&room);
+	upstream->result_memory = room_create(&options);
 	upstream->cached_blocks = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, g_free, g_free);
 	upstream->domain_closed = is_closed(pool, upstream);
-	upstream->region = g_hash_table_lookup(pool->regions, entry->domain);
-	note_cold(pool, upstream, entry->cold_left_us);
+	upstream->region = g_hash_table_lookup(pool->regions, info->domain);
+	begin_cold_period(pool, upstream, info->cold_left_us);
 	return upstream;
 }
 
-static GPtrArray *service_list(struct pool *pool, const char *service)
+static GPtrArray *service_upstreams(struct pool *pool, const char *service)
 {
 	GPtrArray *list = g_hash_table_lookup(pool->services, service);
 
@@ -531,11 +540,11 @@
 	return list;
 }
 
-static bool is_same(const struct pool_upstream *upstream,
-		    const struct pool_upstream_info *entry)
+static bool has_same_address_and_service(const struct pool_upstream *upstream,
+					 const struct pool_upstream_info *info)
 {
-	return !strcmp(upstream->info.address, entry->address) &&
-	       !strcmp(upstream->info.service, entry->service);
+	return !strcmp(upstream->info.address, info->address) &&
+	       !strcmp(upstream->info.service, info->service);
 }
 
 void pool_set_restart_callback(struct pool *pool, pool_restarted_fn restarted,
@@ -545,27 +554,27 @@
 	pool->restarted_userdata = userdata;
 }
 
-static struct pool_upstream *begin_life(struct pool *pool,
-					const struct pool_upstream_info *entry)
+static struct pool_upstream *
+add_incarnation(struct pool *pool, const struct pool_upstream_info *info)
 {
-	struct pool_upstream *upstream = create_upstream(pool, entry);
+	struct pool_upstream *upstream = create_upstream(pool, info);
 
-	take_unlisted(pool, upstream);
+	restore_unlisted_state(pool, upstream);
 	g_hash_table_insert(pool->upstreams, upstream->info.id, upstream);
 	return upstream;
 }
 
-/* All that was believed of the life before ends with it; who holds it ends
- * what is under way there. */
-static struct pool_upstream *follow_life(struct pool *pool,
-					 struct pool_upstream *listed,
-					 const struct pool_upstream_info *entry)
+/* Replaces an incarnation; no estimate is carried over. Holders of the previous
+ * one end what is under way there. */
+static struct pool_upstream *
+replace_incarnation(struct pool *pool, struct pool_upstream *listed,
+		    const struct pool_upstream_info *info)
 {
 	struct pool_upstream *before = pool_upstream_ref(listed);
 	struct pool_upstream *after;
 
 	g_hash_table_remove(pool->upstreams, before->info.id);
-	after = begin_life(pool, entry);
+	after = add_incarnation(pool, info);
 	if (pool->restarted)
 		pool->restarted(pool->restarted_userdata, before, after);
 	pool_upstream_unref(before);
@@ -573,65 +582,66 @@
 }
 
 /* Returns whether anything changed. */
-static bool take_entry(struct pool *pool,
-		       const struct pool_upstream_info *entry)
+static bool apply_info(struct pool *pool, const struct pool_upstream_info *info)
 {
-	struct pool_upstream *upstream = pool_find(pool, entry->id);
-	enum lives_word word =
-		lives_listed(pool->lives, entry->id, entry->born_ms);
+	struct pool_upstream *upstream = pool_find(pool, info->id);
+	enum lives_word verdict =
+		lives_listed(pool->lives, info->id, info->born_ms);
 	bool changed;
 
-	if (word == LIVES_OLD) {
+	if (verdict == LIVES_OLD) {
 		pool->needs_reapply = true;
 		return false;
 	}
 	if (!upstream) {
-		begin_life(pool, entry);
+		add_incarnation(pool, info);
 		return true;
 	}
-	if (word == LIVES_NEW || !is_same(upstream, entry)) {
-		follow_life(pool, upstream, entry);
+	if (verdict == LIVES_NEW ||
+	    !has_same_address_and_service(upstream, info)) {
+		replace_incarnation(pool, upstream, info);
 		return true;
 	}
-	if (entry->cold_left_us)
-		note_cold(pool, upstream, entry->cold_left_us);
-	changed = upstream->info.draining != entry->draining;
-	upstream->info.slots = entry->slots;
-	upstream->info.draining = entry->draining;
+	if (info->cold_left_us)
+		begin_cold_period(pool, upstream, info->cold_left_us);
+	changed = upstream->info.draining != info->draining;
+	upstream->info.slots = info->slots;
+	upstream->info.draining = info->draining;
 	return changed;
 }
 
 static uint32_t remove_missing(struct pool *pool,
-			       const struct pool_upstream_info *entries,
+			       const struct pool_upstream_info *infos,
 			       uint32_t count)
 {
-	g_autoptr(GHashTable) named = g_hash_table_new(g_str_hash, g_str_equal);
+	g_autoptr(GHashTable) listed_ids =
+		g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTableIter iter;
 	gpointer key;
 	gpointer value;
 	uint32_t removed = 0;
 
 	for (uint32_t i = 0; i < count; i++)
-		g_hash_table_add(named, entries[i].id);
+		g_hash_table_add(listed_ids, infos[i].id);
 	g_hash_table_iter_init(&iter, pool->upstreams);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		if (g_hash_table_contains(named, key))
+		if (g_hash_table_contains(listed_ids, key))
 			continue;
-		keep_unlisted(pool, value);
+		save_unlisted_state(pool, value);
 		g_hash_table_iter_remove(&iter);
 		removed++;
 	}
 	return removed;
 }
 
-/* It borrows from upstreams, of which some may leave now. */
+/* The index borrows from upstreams, some of which may be removed next. */
 static void clear_index(struct pool *pool)
 {
 	g_hash_table_remove_all(pool->services);
 	g_hash_table_remove_all(pool->by_incarnation);
 }
 
-/* Lists by service, and lives: of what is listed now. */
+/* Rebuilds the indexes by service and by incarnation. */
 static void index_upstreams(struct pool *pool)
 {
 	GHashTableIter iter;
@@ -641,23 +651,23 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct pool_upstream *upstream = value;
 
-		g_ptr_array_add(service_list(pool, upstream->info.service),
+		g_ptr_array_add(service_upstreams(pool, upstream->info.service),
 				upstream);
 		g_hash_table_insert(pool->by_incarnation,
 				    &upstream->incarnation, upstream);
 	}
 }
 
-uint32_t pool_update(struct pool *pool,
-		     const struct pool_upstream_info *entries, uint32_t count)
+uint32_t pool_update(struct pool *pool, const struct pool_upstream_info *infos,
+		     uint32_t count)
 {
 	uint32_t changes;
 
 	clear_index(pool);
 	pool->needs_reapply = false;
-	changes = remove_missing(pool, entries, count);
+	changes = remove_missing(pool, infos, count);
 	for (uint32_t i = 0; i < count; i++)
-		if (take_entry(pool, &entries[i]))
+		if (apply_info(pool, &infos[i]))
 			changes++;
 	lives_forget(pool->lives);
 	index_upstreams(pool);
@@ -669,16 +679,18 @@
 	return pool->needs_reapply;
 }
 
-/* The list has not heard yet: the same entry, but for its start. */
+/* Replaces the listed incarnation by one that the list does not have yet: the
+ * same info except for the start time. */
 static struct pool_upstream *
-renew(struct pool *pool, struct pool_upstream *listed, int64_t born_ms)
+replace_unlisted_incarnation(struct pool *pool, struct pool_upstream *listed,
+			     int64_t born_ms)
 {
-	struct pool_upstream_info entry = listed->info;
+	struct pool_upstream_info info = listed->info;
 	struct pool_upstream *after;
 
-	entry.born_ms = born_ms;
+	info.born_ms = born_ms;
 	clear_index(pool);
-	after = follow_life(pool, listed, &entry);
+	after = replace_incarnation(pool, listed, &info);
 	assume_cold(pool, after);
 	index_upstreams(pool);
 	return after;
@@ -689,18 +701,19 @@
 					    int64_t born_ms, int64_t asked_us)
 {
 	struct pool_upstream *listed = pool_find(pool, upstream->info.id);
-	enum lives_word word = lives_answered(pool->lives, upstream->info.id,
-					      born_ms, asked_us);
+	enum lives_word verdict = lives_answered(pool->lives, upstream->info.id,
+						 born_ms, asked_us);
 
-	if (word == LIVES_OLD)
+	if (verdict == LIVES_OLD)
 		return NULL;
-	if (!listed) /* it leaves, and has what it made for a while */
+	if (!listed) /* unlisted while draining; keeps results for a while */
 		return upstream;
-	if (!is_same(listed, &upstream->info)) /* it has moved */
+	if (!has_same_address_and_service(listed, &upstream->info))
 		return NULL;
-	if (word == LIVES_NEW)
-		return renew(pool, listed, born_ms);
-	/* Who does not say may be the one that was asked, and has ended. */
+	if (verdict == LIVES_NEW)
+		return replace_unlisted_incarnation(pool, listed, born_ms);
+	/* Without a start time the answer may come from `upstream`, which has
+	 * terminated. */
 	return listed == upstream || born_ms ? listed : NULL;
 }
 
@@ -716,62 +729,62 @@
 }
 
 struct pool_upstream *pool_find_incarnation(const struct pool *pool,
-					    uint64_t life)
+					    uint64_t incarnation)
 {
-	return g_hash_table_lookup(pool->by_incarnation, &life);
+	return g_hash_table_lookup(pool->by_incarnation, &incarnation);
 }
 
-/* ---- beliefs ---- */
+/* ---- prefix caches ---- */
 
 int64_t pool_uncached_tokens(const struct pool_upstream *upstream,
-			     const struct pool_prefix_block *parts,
+			     const struct pool_prefix_block *blocks,
 			     uint32_t count)
 {
-	int64_t cold = 0;
+	int64_t uncached = 0;
 
 	for (uint32_t i = 0; i < count; i++)
-		/* A part counts only if all before it are there. */
-		if (cold || !g_hash_table_contains(upstream->cached_blocks,
-						   &parts[i].id))
-			cold += parts[i].tokens;
-	return cold;
+		/* A block is usable only if all before it are cached. */
+		if (uncached || !g_hash_table_contains(upstream->cached_blocks,
+						       &blocks[i].id))
+			uncached += blocks[i].tokens;
+	return uncached;
 }
 
-/* Until it has read a prompt that is sent there now, about. */
-static int64_t read_time_us(const struct pool_upstream *upstream,
-			    const struct pool_prefix_block *parts,
-			    uint32_t count)
+/* Estimated time until the prefill of a prompt that is sent now completes. */
+static int64_t prefill_time_us(const struct pool_upstream *upstream,
+			       const struct pool_prefix_block *blocks,
+			       uint32_t count)
 {
 	int64_t tokens = upstream->pending_prefill_tokens +
-			 pool_uncached_tokens(upstream, parts, count);
+			 pool_uncached_tokens(upstream, blocks, count);
 
 	return tokens * LP_US_PER_MS / POOL_PREFILL_TOKENS_PER_MS;
 }
 
-/* Tokens at the start of a prompt that an engine has read. */
-static int64_t tokens_read(const struct pool_upstream *upstream,
-			   const struct pool_prefix_block *parts,
-			   uint32_t count, int64_t now_us)
+/* Tokens at the start of a prompt whose prefill has completed at an engine. */
+static int64_t prefilled_prefix_tokens(const struct pool_upstream *upstream,
+				       const struct pool_prefix_block *blocks,
+				       uint32_t count, int64_t now_us)
 {
 	int64_t tokens = 0;
 
 	for (uint32_t i = 0; i < count; i++) {
-		const struct part *part = g_hash_table_lookup(
-			upstream->cached_blocks, &parts[i].id);
+		const struct cached_block *block = g_hash_table_lookup(
+			upstream->cached_blocks, &blocks[i].id);
 
-		if (!part || part->prefilled_us > now_us)
+		if (!block || block->prefilled_us > now_us)
 			break;
-		tokens += part->tokens;
+		tokens += block->tokens;
 	}
 	return tokens;
 }
 
-/* ---- memory that engines copy from each other ---- */
+/* ---- prefix caches copied between engines ---- */
 
 void pool_set_cache_copying(struct pool *pool, const char *service,
 			    int64_t token_bytes, double bytes_per_us)
 {
-	const struct copying copying = { token_bytes, bytes_per_us };
+	const struct cache_copying copying = { token_bytes, bytes_per_us };
 
 	if (token_bytes > 0 && bytes_per_us > 0)
 		g_hash_table_replace(pool->cache_copying, g_strdup(service),
@@ -780,14 +793,14 @@
 		g_hash_table_remove(pool->cache_copying, service);
 }
 
-static const struct copying *copying_of(const struct pool *pool,
-					const char *service)
+static const struct cache_copying *cache_copying_of(const struct pool *pool,
+						    const char *service)
 {
 	return g_hash_table_lookup(pool->cache_copying, service);
 }
 
-/* `copying` NULL: they do not, and no tokens are copied. */
-static int64_t copy_us(const struct copying *copying, int64_t tokens)
+/* `copying` NULL: the service does not copy; then `tokens` is 0. */
+static int64_t copy_us(const struct cache_copying *copying, int64_t tokens)
 {
 	if (!copying || !tokens)
 		return 0;
@@ -799,43 +812,45 @@
 int64_t pool_cache_copy_us(const struct pool *pool, const char *service,
 			   int64_t tokens)
 {
-	return copy_us(copying_of(pool, service), tokens);
+	return copy_us(cache_copying_of(pool, service), tokens);
 }
 
-/* Its price, as time. */
-static int64_t copy_price_us(const struct copying *copying, int64_t tokens)
+/* Cost of a copy, as time. */
+static int64_t copy_cost_us(const struct cache_copying *copying, int64_t tokens)
 {
 	return copying ? tokens * copying->token_bytes /
 				 CACHE_COPY_COST_BYTES_PER_US
 		       : 0;
 }
 
-static int64_t all_tokens(const struct pool_prefix_block *parts, uint32_t count)
+static int64_t total_tokens(const struct pool_prefix_block *blocks,
+			    uint32_t count)
 {
 	int64_t tokens = 0;
 
 	for (uint32_t i = 0; i < count; i++)
-		tokens += parts[i].tokens;
+		tokens += blocks[i].tokens;
 	return tokens;
 }
 
-/* Who can copy a prompt to the others of its service. */
-struct source {
-	const struct copying *copying;	/* NULL: nothing is copied */
-	struct pool_upstream *upstream; /* has read the most of it; or NULL */
-	int64_t prefilled_tokens;	/* that it has read */
-	int64_t prompt_tokens;		/* of the prompt */
+/* The engine from which a prompt's prefix cache can be copied. */
+struct copy_source {
+	const struct cache_copying *copying; /* NULL: nothing is copied */
+	struct pool_upstream *upstream; /* with the longest prefix; or NULL */
+	int64_t prefilled_tokens;	/* in its cache */
+	int64_t prompt_tokens;
 };
 
-/* A prompt of one part has nothing that others share. */
-static struct source find_source(const struct pool *pool, const GPtrArray *list,
-				 const struct pool_pick_args *ask)
+/* The last block is the request's own: a prompt of one block shares nothing. */
+static struct copy_source find_source(const struct pool *pool,
+				      const GPtrArray *list,
+				      const struct pool_pick_args *args)
 {
-	struct source source = {
-		.copying = ask->blocks_count > 1
-				   ? copying_of(pool, ask->service)
+	struct copy_source source = {
+		.copying = args->blocks_count > 1
+				   ? cache_copying_of(pool, args->service)
 				   : NULL,
-		.prompt_tokens = all_tokens(ask->blocks, ask->blocks_count),
+		.prompt_tokens = total_tokens(args->blocks, args->blocks_count),
 	};
 	int64_t now_us = lp_now_us(pool->clock);
 
@@ -845,10 +860,10 @@
 
 		if (upstream->consecutive_failures ||
 		    now_us < upstream->ejected_until_us ||
-		    !homes_have(ask->allowed_regions, upstream->region))
+		    !homes_have(args->allowed_regions, upstream->region))
 			continue;
-		tokens = tokens_read(upstream, ask->blocks, ask->blocks_count,
-				     now_us);
+		tokens = prefilled_prefix_tokens(upstream, args->blocks,
+						 args->blocks_count, now_us);
 		if (tokens <= source.prefilled_tokens)
 			continue;
 		source.upstream = upstream;
@@ -857,37 +872,38 @@
 	return source;
 }
 
-static struct pool_cache_copy copy_from(const struct source *source,
+static struct pool_cache_copy plan_copy(const struct copy_source *source,
 					const struct pool_upstream *upstream,
-					const struct pool_pick_args *ask)
+					const struct pool_pick_args *args)
 {
-	int64_t cold =
-		pool_uncached_tokens(upstream, ask->blocks, ask->blocks_count);
+	int64_t uncached = pool_uncached_tokens(upstream, args->blocks,
+						args->blocks_count);
 	int64_t tokens =
-		source->prefilled_tokens - (source->prompt_tokens - cold);
-	const struct pool_cache_copy none = { .prefill_tokens = cold };
+		source->prefilled_tokens - (source->prompt_tokens - uncached);
+	const struct pool_cache_copy none = { .prefill_tokens = uncached };
 
 	if (!source->upstream || source->upstream == upstream || tokens <= 0 ||
 	    copy_us(source->copying, tokens) >=
 		    tokens * LP_US_PER_MS / POOL_PREFILL_TOKENS_PER_MS)
 		return none;
 	return (struct pool_cache_copy){ source->upstream, tokens,
-					 cold - tokens };
+					 uncached - tokens };
 }
 
 struct pool_cache_copy
 pool_find_cache_copy(const struct pool *pool,
 		     const struct pool_upstream *upstream,
-		     const struct pool_pick_args *ask)
+		     const struct pool_pick_args *args)
 {
 	static const GPtrArray empty;
-	const GPtrArray *list = pool_service_upstreams(pool, ask->service);
-	struct source source = find_source(pool, list ? list : &empty, ask);
+	const GPtrArray *list = pool_service_upstreams(pool, args->service);
+	struct copy_source source =
+		find_source(pool, list ? list : &empty, args);
 
-	return copy_from(&source, upstream, ask);
+	return plan_copy(&source, upstream, args);
 }
 
-static void forget_oldest(struct pool_upstream *upstream)
+static void drop_least_recently_used(struct pool_upstream *upstream)
 {
 	GHashTableIter iter;
 	gpointer key;
@@ -897,83 +913,87 @@
 
 	g_hash_table_iter_init(&iter, upstream->cached_blocks);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		const struct part *part = value;
+		const struct cached_block *block = value;
 
-		if (part->used_us < oldest_us) {
+		if (block->used_us < oldest_us) {
 			oldest = key;
-			oldest_us = part->used_us;
+			oldest_us = block->used_us;
 		}
 	}
 	if (!oldest)
 		return;
-	upstream->cached_tokens -= ((struct part *)g_hash_table_lookup(
+	upstream->cached_tokens -= ((struct cached_block *)g_hash_table_lookup(
 					    upstream->cached_blocks, oldest))
 					   ->tokens;
 	g_hash_table_remove(upstream->cached_blocks, oldest);
 }
 
 void pool_note_cached_blocks(struct pool *pool, struct pool_upstream *upstream,
-			     const struct pool_prefix_block *parts,
+			     const struct pool_prefix_block *blocks,
 			     uint32_t count, int64_t capacity_tokens)
 {
 	int64_t now_us = lp_now_us(pool->clock);
-	int64_t read_us = now_us + read_time_us(upstream, parts, count);
+	int64_t prefilled_us =
+		now_us + prefill_time_us(upstream, blocks, count);
 
 	for (uint32_t i = 0; i < count; i++) {
-		struct part *part = g_hash_table_lookup(upstream->cached_blocks,
-							&parts[i].id);
-
-		if (!part) {
-			part = g_new0(struct part, 1);
-			part->tokens = parts[i].tokens;
-			part->prefilled_us = read_us;
-			upstream->cached_tokens += part->tokens;
+		struct cached_block *block = g_hash_table_lookup(
+			upstream->cached_blocks, &blocks[i].id);
+
+		if (!block) {
+			block = g_new0(struct cached_block, 1);
+			block->tokens = blocks[i].tokens;
+			block->prefilled_us = prefilled_us;
+			upstream->cached_tokens += block->tokens;
 			g_hash_table_insert(
 				upstream->cached_blocks,
-				g_memdup2(&parts[i].id, sizeof(parts[i].id)),
-				part);
+				g_memdup2(&blocks[i].id, sizeof(blocks[i].id)),
+				block);
 		}
-		part->used_us = now_us;
+		block->used_us = now_us;
 	}
 	while (capacity_tokens && upstream->cached_tokens > capacity_tokens &&
 	       g_hash_table_size(upstream->cached_blocks))
-		forget_oldest(upstream);
+		drop_least_recently_used(upstream);
 }
 
-static gboolean is_read_part(gpointer id, gpointer value, gpointer userdata)
+static gboolean is_prefilled(gpointer block_id, gpointer value,
+			     gpointer userdata)
 {
 	const int64_t *now_us = userdata;
 
-	return ((const struct part *)value)->prefilled_us <= *now_us;
+	return ((const struct cached_block *)value)->prefilled_us <= *now_us;
 }
 
 void pool_set_cached_blocks(struct pool *pool, struct pool_upstream *upstream,
-			    const struct pool_prefix_block *parts,
+			    const struct pool_prefix_block *blocks,
 			    uint32_t count)
 {
 	int64_t now_us = lp_now_us(pool->clock);
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_foreach_remove(upstream->cached_blocks, is_read_part,
+	g_hash_table_foreach_remove(upstream->cached_blocks, is_prefilled,
 				    &now_us);
 	for (uint32_t i = 0; i < count; i++) {
-		struct part part = { parts[i].tokens, now_us, now_us };
+		struct cached_block block = { blocks[i].tokens, now_us,
+					      now_us };
 
 		if (!g_hash_table_contains(upstream->cached_blocks,
-					   &parts[i].id))
+					   &blocks[i].id))
 			g_hash_table_insert(
 				upstream->cached_blocks,
-				g_memdup2(&parts[i].id, sizeof(parts[i].id)),
-				g_memdup2(&part, sizeof(part)));
+				g_memdup2(&blocks[i].id, sizeof(blocks[i].id)),
+				g_memdup2(&block, sizeof(block)));
 	}
 	upstream->cached_tokens = 0;
 	g_hash_table_iter_init(&iter, upstream->cached_blocks);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		upstream->cached_tokens += ((const struct part *)value)->tokens;
+		upstream->cached_tokens +=
+			((const struct cached_block *)value)->tokens;
 }
 
-static void fade_beliefs(struct pool_upstream *upstream, int64_t now_us)
+static void decay_estimates(struct pool_upstream *upstream, int64_t now_us)
 {
 	int64_t quiet_us = now_us - upstream->last_outcome_us;
 
@@ -989,11 +1009,11 @@
 	}
 }
 
-static void set_aside(struct pool_upstream *upstream, int64_t now_us,
-		      int64_t time_us)
+static void eject(struct pool_upstream *upstream, int64_t now_us,
+		  int64_t ejection_us)
 {
-	if (now_us + time_us > upstream->ejected_until_us)
-		upstream->ejected_until_us = now_us + time_us;
+	if (now_us + ejection_us > upstream->ejected_until_us)
+		upstream->ejected_until_us = now_us + ejection_us;
 }
 
 void pool_record_outcome(struct pool *pool, struct pool_upstream *upstream,
@@ -1008,27 +1028,29 @@
 
 	if (outcome == POOL_UNDETERMINED)
 		return;
-	fade_beliefs(upstream, now_us);
+	decay_estimates(upstream, now_us);
 	upstream->last_outcome_us = now_us;
 	if (failed) {
-		set_aside(upstream, now_us,
-			  MIN(MAX(EJECTION_BASE_US, took_us) << doublings,
-			      EJECTION_MAX_US));
+		eject(upstream, now_us,
+		      MIN(MAX(EJECTION_BASE_US, took_us) << doublings,
+			  EJECTION_MAX_US));
 		upstream->consecutive_failures++;
 		suspect_cold(pool, upstream);
 	} else {
 		upstream->consecutive_failures = 0;
 	}
 	if (outcome == POOL_OVERLOADED)
-		set_aside(upstream, now_us, OVERLOAD_EJECTION_US);
+		eject(upstream, now_us, OVERLOAD_EJECTION_US);
 	upstream->error_rate +=
-		FADE * ((failed || outcome == POOL_ERROR_ANSWER ? 1.0 : 0.0) -
-			upstream->error_rate);
+		OUTCOME_WEIGHT *
+		((failed || outcome == POOL_ERROR_ANSWER ? 1.0 : 0.0) -
+		 upstream->error_rate);
 	if (!failed && took_us && expected_us) {
 		double ratio = CLAMP((double)took_us / (double)expected_us, 0.5,
 				     SLOWNESS_MAX);
 
-		upstream->slowness += FADE * (ratio - upstream->slowness);
+		upstream->slowness +=
+			OUTCOME_WEIGHT * (ratio - upstream->slowness);
 	}
 }
 
@@ -1039,119 +1061,120 @@
 }
 
 void pool_note_unreachable(struct pool *pool, struct pool_upstream *upstream,
-			   int64_t aside_us)
+			   int64_t ejection_us)
 {
 	int64_t now_us = lp_now_us(pool->clock);
 
 	if (!upstream->consecutive_failures &&
 	    now_us - upstream->last_outcome_us < RECENT_OUTCOME_US)
 		return;
-	set_aside(upstream, now_us, MIN(aside_us, EJECTION_MAX_US));
+	eject(upstream, now_us, MIN(ejection_us, EJECTION_MAX_US));
 }
 
 bool pool_is_available(const struct pool *pool,
 		       const struct pool_upstream *upstream)
 {
-	return may_send(pool, upstream) &&
+	return is_send_permitted(pool, upstream) &&
 	       lp_now_us(pool->clock) >= upstream->ejected_until_us;
 }
 
-/* ---- the choice ---- */
+/* ---- selection ---- */
 
-static bool was_tried(const struct pool_pick_args *ask, const char *id)
+static bool was_tried(const struct pool_pick_args *args, const char *id)
 {
-	for (uint32_t i = 0; i < ask->tried_count; i++)
-		if (!strcmp(ask->tried[i], id))
+	for (uint32_t i = 0; i < args->tried_count; i++)
+		if (!strcmp(args->tried[i], id))
 			return true;
 	return false;
 }
 
-static bool is_in_share(const struct pool_pick_args *ask,
+static bool is_in_shard(const struct pool_pick_args *args,
 			const struct pool_upstream *upstream)
 {
-	return ask->shard_count < 2 ||
-	       upstream->hash % ask->shard_count == ask->shard;
+	return args->shard_count < 2 ||
+	       upstream->hash % args->shard_count == args->shard;
 }
 
-/* Where all entries would place this prefix, had they the same beliefs. */
-static uint64_t home_rank(const struct pool_pick_args *ask,
-			  const struct pool_upstream *upstream)
+/* Rendezvous hash: gives all entries the same ranking for a prefix. */
+static uint64_t affinity_rank(const struct pool_pick_args *args,
+			      const struct pool_upstream *upstream)
 {
-	uint32_t deepest_shared = ask->blocks_count - 2;
+	uint32_t deepest_shared = args->blocks_count - 2;
 
-	return lp_hash_pair(ask->blocks[deepest_shared].id, upstream->hash);
+	return lp_hash_pair(args->blocks[deepest_shared].id, upstream->hash);
 }
 
-static const struct pool_upstream *find_home(const struct pool_pick_args *ask,
-					     const GPtrArray *list)
+static const struct pool_upstream *
+find_affinity_upstream(const struct pool_pick_args *args, const GPtrArray *list)
 {
-	const struct pool_upstream *home = NULL;
+	const struct pool_upstream *preferred = NULL;
 	uint64_t best = 0;
 
-	if (ask->blocks_count < 2)
+	if (args->blocks_count < 2)
 		return NULL;
 	for (guint i = 0; i < list->len; i++) {
 		const struct pool_upstream *upstream =
 			g_ptr_array_index(list, i);
-		uint64_t rank = home_rank(ask, upstream);
+		uint64_t rank = affinity_rank(args, upstream);
 
 		if (!pool_is_eligible(upstream) || rank <= best ||
-		    !homes_have(ask->allowed_regions, upstream->region) ||
-		    !is_in_share(ask, upstream))
+		    !homes_have(args->allowed_regions, upstream->region) ||
+		    !is_in_shard(args, upstream))
 			continue;
 		best = rank;
-		home = upstream;
+		preferred = upstream;
 	}
-	return home;
+	return preferred;
 }
 
 const struct pool_upstream *
 pool_affinity_upstream(const struct pool *pool,
-		       const struct pool_pick_args *ask)
+		       const struct pool_pick_args *args)
 {
-	const GPtrArray *list = pool_service_upstreams(pool, ask->service);
+	const GPtrArray *list = pool_service_upstreams(pool, args->service);
 
-	return list ? find_home(ask, list) : NULL;
+	return list ? find_affinity_upstream(args, list) : NULL;
 }
 
-/* What a choice among all upstreams of a service goes by. */
-struct choice {
+/* State of one selection that is common to all candidates. */
+struct selection {
 	const struct pool_pick_args *args;
 	const struct pool_upstream *affinity_upstream;
-	struct source source; /* of the prompt */
+	struct copy_source source; /* of a cache copy */
 };
 
-/* Shared tokens that would be read once more; the last part is the request's
- * own and is read in any case. */
-static int64_t shared_cold(const struct pool_pick_args *ask,
-			   const struct pool_upstream *upstream)
+/* Shared tokens whose prefill would be repeated. The last block is the
+ * request's own, which needs prefill anywhere. */
+static int64_t uncached_shared_tokens(const struct pool_pick_args *args,
+				      const struct pool_upstream *upstream)
 {
-	return pool_uncached_tokens(upstream, ask->blocks,
-				    ask->blocks_count - 1);
+	return pool_uncached_tokens(upstream, args->blocks,
+				    args->blocks_count - 1);
 }
 
-/* Estimated time until a prompt is read there, with what else counts as time.
- */
-static double prompt_cost_us(const struct choice *choice,
+/* Estimated time to the first event, plus other costs expressed as time. */
+static double prompt_cost_us(const struct selection *selection,
 			     const struct pool_upstream *upstream)
 {
-	const struct pool_pick_args *ask = choice->args;
-	const struct copying *copying = choice->source.copying;
-	struct pool_cache_copy copy = copy_from(&choice->source, upstream, ask);
+	const struct pool_pick_args *args = selection->args;
+	const struct cache_copying *copying = selection->source.copying;
+	struct pool_cache_copy copy =
+		plan_copy(&selection->source, upstream, args);
 	int64_t tokens = upstream->pending_prefill_tokens + copy.prefill_tokens;
 	double cost =
 		FIRST_DECODE_STEP_US +
-		(double)PER_REQUEST_US * upstream->in_flight +
+		(double)STEP_SLOWDOWN_PER_REQUEST_US * upstream->in_flight +
 		(double)tokens * LP_US_PER_MS / POOL_PREFILL_TOKENS_PER_MS +
 		(double)copy_us(copying, copy.copied_tokens);
 
-	if (ask->target_us &&
-	    cost * upstream->slowness > (double)ask->target_us)
+	if (args->target_us &&
+	    cost * upstream->slowness > (double)args->target_us)
 		cost += LATE_COST_US;
-	cost += (double)copy_price_us(copying, copy.copied_tokens);
-	if (choice->affinity_upstream && upstream != choice->affinity_upstream)
+	cost += (double)copy_cost_us(copying, copy.copied_tokens);
+	if (selection->affinity_upstream &&
+	    upstream != selection->affinity_upstream)
 		cost += NON_AFFINITY_COST_US +
-			(double)MAX(shared_cold(ask, upstream) -
+			(double)MAX(uncached_shared_tokens(args, upstream) -
 					    copy.copied_tokens,
 				    0) *
 				REPEATED_PREFILL_WEIGHT * LP_US_PER_MS /
@@ -1166,102 +1189,106 @@
 	return PLAIN_CALL_COST_US * (1.0 + (double)upstream->in_flight / slots);
 }
 
-/* Estimated time to the answer's start, with what else counts as time. */
-static double cost_us(const struct pool *pool, const struct choice *choice,
+/* Estimated time to the start of the answer, plus other costs as time. */
+static double cost_us(const struct pool *pool,
+		      const struct selection *selection,
 		      const struct pool_upstream *upstream)
 {
-	const struct pool_pick_args *ask = choice->args;
-	double cost = ask->blocks_count ? prompt_cost_us(choice, upstream)
-					: plain_cost_us(upstream);
+	const struct pool_pick_args *args = selection->args;
+	double cost = args->blocks_count ? prompt_cost_us(selection, upstream)
+					 : plain_cost_us(upstream);
 
 	cost *= upstream->slowness * (1.0 + 4.0 * upstream->error_rate);
 	if (strcmp(upstream->info.domain, pool->domain) != 0)
 		cost += OTHER_DOMAIN_COST_US;
-	if (ask->preferred_domain &&
-	    strcmp(upstream->info.domain, ask->preferred_domain) != 0)
-		cost += (double)ask->fetch_bytes / FETCH_BYTES_PER_US;
+	if (args->preferred_domain &&
+	    strcmp(upstream->info.domain, args->preferred_domain) != 0)
+		cost += (double)args->fetch_bytes / FETCH_BYTES_PER_US;
 	return cost;
 }
 
 struct pool_upstream *pool_pick(struct pool *pool,
-				const struct pool_pick_args *ask)
+				const struct pool_pick_args *args)
 {
-	const GPtrArray *list = pool_service_upstreams(pool, ask->service);
-	struct choice choice;
+	const GPtrArray *list = pool_service_upstreams(pool, args->service);
+	struct selection selection;
 	struct pool_upstream *best = NULL;
 	double best_cost = 0;
-	bool best_usable = false;
+	bool best_available = false;
 	int64_t now_us = lp_now_us(pool->clock);
 
 	if (!list)
 		return NULL;
-	choice = (struct choice){
-		.args = ask,
-		.affinity_upstream = find_home(ask, list),
-		.source = find_source(pool, list, ask),
+	selection = (struct selection){
+		.args = args,
+		.affinity_upstream = find_affinity_upstream(args, list),
+		.source = find_source(pool, list, args),
 	};
 	for (guint i = 0; i < list->len; i++) {
 		struct pool_upstream *upstream = g_ptr_array_index(list, i);
-		bool usable = pool_is_available(pool, upstream);
+		bool available = pool_is_available(pool, upstream);
 		double cost;
 
-		if (!may_send(pool, upstream) || !is_in_share(ask, upstream) ||
-		    !homes_have(ask->allowed_regions, upstream->region) ||
-		    was_tried(ask, upstream->info.id))
+		if (!is_send_permitted(pool, upstream) ||
+		    !is_in_shard(args, upstream) ||
+		    !homes_have(args->allowed_regions, upstream->region) ||
+		    was_tried(args, upstream->info.id))
 			continue;
-		fade_beliefs(upstream, now_us);
-		cost = cost_us(pool, &choice, upstream);
-		/* One that is set aside is better than none. */
-		if (best && (best_usable > usable ||
-			     (best_usable == usable && cost >= best_cost)))
+		decay_estimates(upstream, now_us);
+		cost = cost_us(pool, &selection, upstream);
+		/* An ejected upstream is better than none. */
+		if (best &&
+		    (best_available > available ||
+		     (best_available == available && cost >= best_cost)))
 			continue;
 		best = upstream;
 		best_cost = cost;
-		best_usable = usable;
+		best_available = available;
 	}
 	return best;
 }
 
-/* ---- when to come back ---- */
+/* ---- Retry-After ---- */
 
-/* Of all that could take it: when the first may, and how often they may
- * together then. */
-struct outlook {
-	int64_t wait_us; /* G_MAXINT64: there is none */
-	double per_s;	 /* INFINITY: as often as they are asked */
+/* When the first of the upstreams that could take a request is permitted to,
+ * and their joint rate from then on. */
+struct capacity_forecast {
+	int64_t wait_us; /* G_MAXINT64: there is no such upstream */
+	double per_s;	 /* INFINITY: unlimited */
 };
 
-static bool could_take(const struct pool_pick_args *ask,
+static bool could_take(const struct pool_pick_args *args,
 		       const struct pool_upstream *upstream)
 {
-	return pool_is_eligible(upstream) && is_in_share(ask, upstream) &&
-	       homes_have(ask->allowed_regions, upstream->region);
+	return pool_is_eligible(upstream) && is_in_shard(args, upstream) &&
+	       homes_have(args->allowed_regions, upstream->region);
 }
 
-static struct outlook look_ahead(const struct pool *pool,
-				 const struct pool_pick_args *ask)
+static struct capacity_forecast
+forecast_capacity(const struct pool *pool, const struct pool_pick_args *args)
 {
-	const GPtrArray *list = pool_service_upstreams(pool, ask->service);
-	struct outlook outlook = { .wait_us = G_MAXINT64 };
+	const GPtrArray *list = pool_service_upstreams(pool, args->service);
+	struct capacity_forecast forecast = { .wait_us = G_MAXINT64 };
 
 	for (guint i = 0; list && i < list->len; i++) {
 		const struct pool_upstream *upstream =
 			g_ptr_array_index(list, i);
 
-		if (!could_take(ask, upstream))
+		if (!could_take(args, upstream))
 			continue;
-		outlook.wait_us =
-			MIN(outlook.wait_us,
-			    MAX(rest_left_us(pool, upstream),
+		forecast.wait_us =
+			MIN(forecast.wait_us,
+			    MAX(pushback_left_us(pool, upstream),
 				pool_rate_limit_wait_us(pool, upstream)));
-		outlook.per_s += upstream->rate_limit.named
-					 ? pool_rate_limit_per_s(pool, upstream)
-					 : INFINITY;
+		forecast.per_s +=
+			upstream->rate_limit.named
+				? pool_rate_limit_per_s(pool, upstream)
+				: INFINITY;
 	}
-	return outlook;
+	return forecast;
 }
 
-static struct turns *turns_of(struct pool *pool, const char *service)
+static struct turns *retry_schedule_of(struct pool *pool, const char *service)
 {
 	struct turns *turns = g_hash_table_lookup(pool->turns, service);
 
@@ -1272,12 +1299,14 @@
 	return turns;
 }
 
-int64_t pool_retry_after_us(struct pool *pool, const struct pool_pick_args *ask)
+int64_t pool_retry_after_us(struct pool *pool,
+			    const struct pool_pick_args *args)
 {
-	struct outlook outlook = look_ahead(pool, ask);
+	struct capacity_forecast forecast = forecast_capacity(pool, args);
 
-	if (!outlook.wait_us || outlook.wait_us == G_MAXINT64)
+	if (!forecast.wait_us || forecast.wait_us == G_MAXINT64)
 		return 0;
-	return turns_next_us(turns_of(pool, ask->service), outlook.wait_us,
-			     outlook.per_s, lp_now_us(pool->clock));
+	return turns_next_us(retry_schedule_of(pool, args->service),
+			     forecast.wait_us, forecast.per_s,
+			     lp_now_us(pool->clock));
 }
--- a/policy/pool.h
+++ b/policy/pool.h
@@ -1,11 +1,18 @@
 /**
- * Upstreams that an entry calls directly: what is believed of each, and which
- * one gets a request.
+ * Selection among the upstreams that an entry calls directly.
  *
- * A belief is this entry's own: calls in flight, prompt tokens not read yet,
- * parts of prompts sent there, how long answers took, how often they failed.
- * The list of upstreams comes from outside. An upstream that has left the list
- * stays valid for as long as someone holds it.
+ * The pool keeps this entry's own estimates for each upstream: calls in flight,
+ * prompt tokens whose prefill is pending, cached prefix blocks, latency and
+ * error rate. pool_pick() selects the upstream with the lowest estimated cost.
+ * The list of upstreams comes from outside (pool_update()). Upstreams are
+ * reference-counted: one that was removed from the list stays valid until its
+ * last reference is released.
+ *
+ * Terms: an entry is a process of this system that takes callers' requests; an
+ * engine is an upstream that runs prompts and caches their prefixes; a stage is
+ * an upstream that keeps the results of its calls; a piece is one unit of stage
+ * work, batched with others in a call. Times are in microseconds of the pool's
+ * clock unless the name says otherwise.
  */
 #ifndef POOL_H
 #define POOL_H
@@ -22,243 +29,256 @@
 
 struct pool;
 
-/** Prompt tokens that an engine reads in a millisecond: a start value, what an
- * engine really does shows in its slowness. */
+/** Assumed prefill rate of an engine. Deviations of a particular engine are
+ * captured by pool_upstream.slowness. */
 #define POOL_PREFILL_TOKENS_PER_MS INT64_C(60)
 
-/** What the list says of an upstream. */
+/** An upstream as described by the list. */
 struct pool_upstream_info {
-	char *id; /**< kept when it starts again */
+	char *id; /**< stable across restarts */
 	char *service;
 	char *address; /**< "IP:PORT" */
 	char *domain;
 	uint32_t slots;
 	bool draining;
-	int64_t born_ms;      /**< wall clock at its start; 0: not said */
-	int64_t cold_left_us; /**< cold for so long yet, by the list; 0: it is
-				 not */
+	int64_t born_ms; /**< start time, upstream's wall clock; 0: unknown */
+	int64_t cold_left_us; /**< remaining cold period; 0: warm */
 };
 
-/** One life of an upstream: lives.h. */
+/** One incarnation of an upstream: policy/lives.h. */
 struct pool_upstream {
 	struct pool_upstream_info info;
-	uint64_t hash; /**< of its id: its place among upstreams, which a new
-			  life keeps */
-	uint64_t incarnation; /**< of its id and start: names it to others */
-	bool listed;
-	int64_t pushback_until_us; /**< it wants nothing of us before */
-	bool drain_notice;	   /**< it said in an answer that it leaves */
-	bool domain_closed;	   /**< operators have closed its domain */
-	const char *region; /**< of its domain; NULL: not known. Interned. */
+	uint64_t hash; /**< of the id; ranks the upstream and assigns its shard,
+			  stable across restarts */
+	uint64_t incarnation;	   /**< of id and start time; identifies the
+				      incarnation to other entries */
+	bool listed;		   /**< in the current list */
+	int64_t pushback_until_us; /**< no requests before this time */
+	bool drain_notice;	   /**< received in an answer */
+	bool domain_closed;	   /**< closed by operators */
+	const char *region; /**< of its domain, interned; NULL: unknown */
 	struct warmup warmup;
-	struct rate_limit rate_limit;	/**< that it has named */
-	uint32_t in_flight;		/**< our requests or calls there */
-	int64_t pending_prefill_tokens; /**< prompt tokens we sent, not read yet
-					 */
-	int64_t ejected_until_us; /**< gets nothing before, if others can */
-	uint32_t consecutive_failures; /**< in a row */
-	double error_rate;	       /**< of late answers, 0 to 1 */
-	double slowness;	    /**< time taken / time expected, fading */
-	int64_t busy_until_us;	    /**< with calls of others */
-	struct room *result_memory; /**< for results of stages */
-	int64_t result_memory_queried_us; /**< when it was asked of its room; 0:
-					     never */
-	int64_t result_memory_reported_us; /**< when it told of it; 0: never */
-	int64_t prefix_cache_queried_us;   /**< when it was asked of its memory;
-					    * 0: never
-					    */
+	struct rate_limit rate_limit;	/**< that it advertises */
+	uint32_t in_flight;		/**< this entry's requests and calls */
+	int64_t pending_prefill_tokens; /**< prompt tokens sent by this entry
+					 whose prefill has not completed */
+	int64_t ejected_until_us; /**< selected before this time only if no
+				     other is available */
+	uint32_t consecutive_failures;
+	double error_rate;     /**< fading mean of recent outcomes, 0 to 1 */
+	double slowness;       /**< fading mean of time taken / time expected */
+	int64_t busy_until_us; /**< with calls of other entries */
+	struct room *result_memory;	   /**< of a stage */
+	int64_t result_memory_queried_us;  /**< last query; 0: never */
+	int64_t result_memory_reported_us; /**< last report; 0: never */
+	int64_t prefix_cache_queried_us;   /**< last query; 0: never */
 	/* private */
 	uint32_t refs;
-	GHashTable *cached_blocks; /* part id -> struct part */
+	GHashTable *cached_blocks; /* block id -> struct cached_block */
 	int64_t cached_tokens;
-	int64_t last_outcome_us; /* an answer last */
+	int64_t last_outcome_us; /* or last decay of the estimates */
 };
 
-/** One part of a prompt, in the order in which it is read. */
+/** One block of a prompt's prefix; blocks are ordered from its start. */
 struct pool_prefix_block {
 	uint64_t id;
 	int64_t tokens;
 };
 
-/** What an engine does for a prompt's memory: copies some, reads the rest. */
+/** How an engine gets the prefix cache for a prompt: part of it is copied from
+ * another engine, the rest is computed by prefill. */
 struct pool_cache_copy {
-	struct pool_upstream *source; /**< NULL: none is copied; not held */
-	int64_t copied_tokens;	      /**< that are copied */
-	int64_t prefill_tokens;	      /**< that are read */
+	struct pool_upstream *source; /**< borrowed; NULL: nothing is copied */
+	int64_t copied_tokens;
+	int64_t prefill_tokens;
 };
 
+/** Criteria of one selection. */
 struct pool_pick_args {
 	const char *service;
 	const struct pool_prefix_block *blocks; /**< of the prompt, or NULL */
 	uint32_t blocks_count;
-	const char *allowed_regions;  /**< regions that may have it: homes.h */
-	const char *preferred_domain; /**< near what the upstream has to fetch,
-					 or NULL */
-	int64_t fetch_bytes;  /**< that it has to fetch from that domain */
-	int64_t target_us;    /**< the first event is on time within this; 0: no
-				 matter */
-	uint32_t shard_count; /**< of so many shares of the service's upstreams
-			       */
-	uint32_t shard;	      /**< only this one counts; 0 or 1 share: all */
-	const char *const *tried; /**< ids that are not to be chosen */
+	const char *allowed_regions;  /**< policy/homes.h */
+	const char *preferred_domain; /**< where the inputs are, or NULL */
+	int64_t fetch_bytes;  /**< inputs to fetch from preferred_domain */
+	int64_t target_us;    /**< latency target of the first event; 0: none */
+	uint32_t shard_count; /**< shards into which the service's upstreams are
+				 divided */
+	uint32_t shard; /**< the only shard considered; all are considered if
+			   shard_count is 0 or 1 */
+	const char *const *tried; /**< ids excluded from selection */
 	uint32_t tried_count;
 };
 
-/** Our shares of the limits that a service's upstreams name: rate_limit.h. */
+/** This entry's shares of the rate limits that the upstreams of a service
+ * advertise: policy/rate_limit.h. */
 struct pool_rate_limit_shares {
-	uint32_t shard_count;  /**< of the service's upstreams */
-	uint64_t owned_shards; /**< bits of those that we send to for all */
-	struct rate_limit_share owned_share; /**< of a limit there ... */
-	struct rate_limit_share other_share; /**< ... and elsewhere */
+	uint32_t shard_count;  /**< into which the service's upstreams are
+				  divided */
+	uint64_t owned_shards; /**< bit set of the shards to which this entry
+				  sends on behalf of all entries */
+	struct rate_limit_share owned_share; /**< in owned shards */
+	struct rate_limit_share other_share; /**< in other shards */
 };
 
-/** What became of something sent. */
+/** Outcome of a request or call. */
 enum pool_outcome {
 	POOL_SERVED,
-	POOL_OVERLOADED,    /**< refused for load, not run */
-	POOL_ERROR_ANSWER,  /**< its own error answer */
-	POOL_UNREACHABLE,   /**< no connection, cut, or no answer in time */
+	POOL_OVERLOADED,    /**< refused because of load, not executed */
+	POOL_ERROR_ANSWER,  /**< error answer of the upstream itself */
+	POOL_UNREACHABLE,   /**< connection failed or broke, or timeout */
 	POOL_WRONG_PROCESS, /**< another process has the address */
-	POOL_UNDETERMINED,  /**< we ended it; nothing is learnt */
+	POOL_UNDETERMINED,  /**< cancelled by this entry; not recorded */
 };
 
-/** An upstream has started again; both lives are borrowed. */
+/** Called when an upstream has restarted; both incarnations are borrowed. */
 typedef void (*pool_restarted_fn)(void *userdata,
 				  const struct pool_upstream *before,
 				  const struct pool_upstream *after);
 
 struct pool *pool_create(const struct lp_clock *clock, const char *domain);
 void pool_destroy(struct pool *pool);
-/** Hear of lives that end; nothing of the pool may be changed meanwhile. */
+/** Set the callback for restarts. It must not modify the pool. */
 void pool_set_restart_callback(struct pool *pool, pool_restarted_fn restarted,
 			       void *userdata);
-/** Replace the list. Returns how many upstreams came, left, started again or
- * changed. */
+/** Replace the list. Returns how many upstreams were added, removed, restarted
+ * or changed. */
 uint32_t pool_update(struct pool *pool,
 		     const struct pool_upstream_info *entries, uint32_t count);
-/** Upstreams of a service in the list: of struct pool_upstream; or NULL. */
+/** Listed upstreams of a service (struct pool_upstream), borrowed; or NULL. */
 const GPtrArray *pool_service_upstreams(const struct pool *pool,
 					const char *service);
 struct pool_upstream *pool_find(const struct pool *pool, const char *id);
 struct pool_upstream *pool_find_incarnation(const struct pool *pool,
-					    uint64_t life);
+					    uint64_t incarnation);
 /**
- * What we asked of this upstream at `asked_us` was answered by the one that
- * started then (0: it did not say). Returns that life, or NULL: it has ended,
- * and what it made with it. A life that is newer than the list takes its place.
+ * Determine which incarnation answered a request sent to `upstream` at
+ * `asked_us`. `born_ms` is the start time given in the answer; 0: none.
+ * Returns NULL if that incarnation has terminated, and its results with it. An
+ * incarnation newer than the listed one replaces it.
  */
 struct pool_upstream *pool_attribute_answer(struct pool *pool,
 					    struct pool_upstream *upstream,
 					    int64_t born_ms, int64_t asked_us);
-/** The list names a life that seems to have ended: the same list may have to
- * be taken again. */
+/** Whether the last list had an incarnation that seems to have terminated: the
+ * same list must be applied again later, as the upstream's clock may have been
+ * set back. */
 bool pool_needs_reapply(const struct pool *pool);
-/** Domains that are closed to new work: borrowed, and looked at again with each
- * call. Returns how many upstreams were closed or opened by it. */
+/** Set the domains closed to new work; borrowed. To be called again after each
+ * change of `closures`. Returns for how many upstreams this changed. */
 uint32_t pool_set_closed_domains(struct pool *pool,
 				 const struct closures *closures);
-/** Bounds of a service's upstreams while they are cold; copied. */
+/** Set the warm-up limits of a service's upstreams; copied. */
 void pool_set_warmup(struct pool *pool, const char *service,
 		     const struct warmup_limits *limits);
-/** Our shares of the limits of a service's upstreams; copied. `service` NULL:
- * of all that are not set. */
+/** Set this entry's shares of a service's advertised rate limits; copied.
+ * `service` NULL: default for services without a setting. */
 void pool_set_rate_limit_shares(struct pool *pool, const char *service,
-				const struct pool_rate_limit_shares *share);
-/** An answer said this of an upstream's limit. Returns whether it changes what
- * is known, which outlives the upstream's entry in the list. */
+				const struct pool_rate_limit_shares *shares);
+/** Record an advertised rate limit or its withdrawal. Returns whether this
+ * changed the known limit, which is kept when the upstream leaves the list. */
 bool pool_note_rate_limit(struct pool *pool, struct pool_upstream *upstream,
-			  const struct rate_limit_word *word);
-/** Listed upstreams that name a limit, or have said that they leave: of struct
- * pool_upstream, borrowed; g_ptr_array_unref(). */
+			  const struct rate_limit_word *report);
+/** Listed upstreams that advertise a rate limit, or that gave a drain notice.
+ * An array of borrowed struct pool_upstream, owned by the caller:
+ * g_ptr_array_unref(). */
 GPtrArray *pool_list_rate_limited(const struct pool *pool);
 GPtrArray *pool_list_drain_notices(const struct pool *pool);
-/** Time until its limit lets us send there; 0: now. */
+/** Time until the advertised rate limit permits the next request; 0: now. */
 int64_t pool_rate_limit_wait_us(const struct pool *pool,
 				const struct pool_upstream *upstream);
-/** Requests a second that its limit leaves to us; only if it is named. */
+/** This entry's share of the advertised rate limit, in requests a second. Only
+ * valid while a limit is advertised. */
 double pool_rate_limit_per_s(const struct pool *pool,
 			     const struct pool_upstream *upstream);
 /**
- * When whoever asks may be told to come back: if all upstreams that could take
- * it rest or are at their limits, time until one of them may, behind those that
- * were told so before. Else 0.
+ * Retry-After time for a request that no upstream can take now. If all eligible
+ * upstreams are in pushback or at their rate limits, returns the time until one
+ * of them may take a request, after those already scheduled. Otherwise 0.
  */
 int64_t pool_retry_after_us(struct pool *pool,
 			    const struct pool_pick_args *ask);
-/** A request or call goes there now. */
+/** Record that a request or call is sent now. */
 void pool_note_sent(struct pool *pool, struct pool_upstream *upstream);
-/** An answer said that it leaves: nothing new goes there, whatever the list
- * says, for as long as this life lasts and beyond its entry in the list.
- * Returns whether that was not known. */
+/** Record a drain notice. It excludes this incarnation from selection whatever
+ * the list says, and is kept when the upstream leaves the list. Returns whether
+ * the notice was new. */
 bool pool_note_drain_notice(struct pool *pool, struct pool_upstream *upstream);
-/** It turned us away and wants nothing of us for so long. Kept to whatever else
- * there is, and beyond its entry in the list. */
+/** Record that the upstream rejected a request and asked for no further ones
+ * for `pushback_us`. This is enforced even if no other upstream is available,
+ * and is kept when the upstream leaves the list. */
 void pool_note_pushback(struct pool *pool, struct pool_upstream *upstream,
-			int64_t rest_us);
+			int64_t pushback_us);
 bool pool_has_pushback(const struct pool *pool,
 		       const struct pool_upstream *upstream);
-/** It leaves, by the list or by what it said. */
+/** Whether it is draining, by the list or by its drain notice. */
 bool pool_is_draining(const struct pool_upstream *upstream);
-/** Whether it may get anything new at all, now or later. */
+/** Whether it is listed, not draining, and its domain is not closed. */
 bool pool_is_eligible(const struct pool_upstream *upstream);
-/** Whether a service has upstreams, and all of them are closed or elsewhere
- * than in these regions. */
+/** Whether the service has upstreams that are not draining, and each of them is
+ * in a closed domain or outside the allowed regions. */
 bool pool_service_is_closed(const struct pool *pool, const char *service,
-			    const char *homes);
-/** The region of a failure domain, before the first list. */
+			    const char *allowed_regions);
+/** Set the region of a failure domain. To be called before the first list. */
 void pool_set_region(struct pool *pool, const char *domain, const char *region);
-/** Where all entries would place a prompt of these parts, or NULL. */
+/** The upstream that all entries prefer for prompts with this prefix, by
+ * rendezvous hashing; or NULL. */
 const struct pool_upstream *
 pool_affinity_upstream(const struct pool *pool,
 		       const struct pool_pick_args *ask);
 
 /**
- * Engines of a service copy memory of prompts from each other, at this many
- * bytes a token and bytes a microsecond; 0: they do not.
+ * Set the size and the transfer rate of prefix caches that engines of a service
+ * copy from each other; 0: no copying.
  */
 void pool_set_cache_copying(struct pool *pool, const char *service,
 			    int64_t token_bytes, double bytes_per_us);
-/** What this engine lacks of a prompt, and where it best copies from, if that
- * is faster than to read it. */
+/** How this engine best gets the uncached blocks of a prompt: the engine to
+ * copy from, if copying is faster than prefill. */
 struct pool_cache_copy
 pool_find_cache_copy(const struct pool *pool,
 		     const struct pool_upstream *upstream,
 		     const struct pool_pick_args *ask);
-/** How long engines of a service take to copy so many tokens. */
+/** Estimated time to copy the prefix cache of so many tokens. */
 int64_t pool_cache_copy_us(const struct pool *pool, const char *service,
 			   int64_t tokens);
-/** The best upstream, or NULL. Not held: see pool_upstream_ref(). */
+/** Select the upstream with the lowest estimated cost, or NULL. Borrowed: see
+ * pool_upstream_ref(). */
 struct pool_upstream *pool_pick(struct pool *pool,
 				const struct pool_pick_args *ask);
-/** Prompt tokens that this upstream would have to read for these parts. */
+/** Prompt tokens of these blocks that this upstream has not cached. */
 int64_t pool_uncached_tokens(const struct pool_upstream *upstream,
 			     const struct pool_prefix_block *parts,
 			     uint32_t count);
-/** Remember that these parts are in this upstream's memory, or will be once it
- * has read what it lacks of them. */
+/** Record that the upstream has these blocks in its prefix cache, or will have
+ * them after their prefill. If the total exceeds `capacity_tokens` (0:
+ * unlimited), the least recently used blocks are dropped. */
 void pool_note_cached_blocks(struct pool *pool, struct pool_upstream *upstream,
 			     const struct pool_prefix_block *parts,
 			     uint32_t count, int64_t capacity_tokens);
-/** An engine says which parts it has in memory: these, and no others but those
- * that it is believed to be reading. */
+/** Set the blocks that an engine reports to have cached. Other blocks are
+ * dropped, except those whose prefill is assumed to be under way. */
 void pool_set_cached_blocks(struct pool *pool, struct pool_upstream *upstream,
 			    const struct pool_prefix_block *parts,
 			    uint32_t count);
 /**
- * Learn from an outcome. `took_us` and `expected_us` compare the time of an
- * answer with what was expected; 0: not known. Of a failure, `took_us` is how
- * long it took to show: what costs more to find out is not tried as often.
+ * Update the estimates by an outcome. `took_us` and `expected_us` are the
+ * actual and the expected time to an answer; 0: unknown. For a failure,
+ * `took_us` is the time until it was detected: slower detection leads to longer
+ * ejection.
  */
 void pool_record_outcome(struct pool *pool, struct pool_upstream *upstream,
 			 enum pool_outcome outcome, int64_t took_us,
 			 int64_t expected_us);
-/** Calls of others keep it at work until then; in the past: none does. */
+/** Record until when calls of other entries keep the upstream busy; a time in
+ * the past: it is idle. */
 void pool_note_busy(struct pool *pool, struct pool_upstream *upstream,
 		    int64_t until_us);
-/** Others found it unreachable; believed unless it answered us lately. */
+/** Record that other entries could not reach the upstream. Ignored if this
+ * entry had an answer recently. */
 void pool_note_unreachable(struct pool *pool, struct pool_upstream *upstream,
-			   int64_t aside_us);
-/** Whether it may be called at this moment. */
+			   int64_t ejection_us);
+/** Whether it may get a request now and is not ejected. */
 bool pool_is_available(const struct pool *pool,
 		       const struct pool_upstream *upstream);
 
