--- a/direct/direct.c
+++ b/direct/direct.c
@@ -45,7 +45,7 @@
 	lp_event_end(log);
 }
 
-static void on_upstream_ended(void *userdata, const struct loss *lost,
+static void on_upstream_ended(void *userdata, const struct lost_request *lost,
 			      guint count)
 {
 	struct direct *direct = userdata;
@@ -348,7 +348,7 @@
 bool direct_ready(const struct direct *direct)
 {
 	return direct->config && direct->has_upstreams &&
-	       closures_is_known(direct_closures_known(direct->closures));
+	       closed_domains_is_known(direct_closures_known(direct->closures));
 }
 
 void direct_drain(struct direct *direct)
--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -226,8 +226,9 @@
 	lp_event_int(log, "pieces", made->pieces->len);
 	lp_event_int(log, "no_room", call->no_room);
 	lp_event_int(log, "own_bytes", made->own_bytes);
-	lp_event_int(log, "other_bytes",
-		     room_other_bytes(made->upstream->result_memory));
+	lp_event_int(
+		log, "other_bytes",
+		result_memory_untracked_bytes(made->upstream->result_memory));
 	lp_event_int(log, "took_us", now_us - made->started_us);
 	lp_event_int(log, "expected_us", made->expected_us);
 	lp_event_int(log, "rest_us", call->reply.rest_us);
@@ -486,7 +487,8 @@
 	lp_event_int(log, "least_bytes", least_bytes);
 	lp_event_int(log, "own_bytes", question->own_bytes);
 	lp_event_int(log, "other_bytes",
-		     room_other_bytes(question->upstream->result_memory));
+		     result_memory_untracked_bytes(
+			     question->upstream->result_memory));
 	lp_event_end(log);
 }
 
@@ -538,7 +540,8 @@
 
 	question->service = service;
 	question->upstream = pool_upstream_ref(upstream);
-	question->own_bytes = room_own_bytes(upstream->result_memory);
+	question->own_bytes =
+		result_memory_tracked_bytes(upstream->result_memory);
 	question->asked_us = lp_now_us(calls->direct->options.clock);
 	g_hash_table_add(calls->questions, question);
 	question->fetch = direct_fetch_start(&(struct direct_fetch_options){
--- a/direct/direct_closures.c
+++ b/direct/direct_closures.c
@@ -7,7 +7,7 @@
 
 struct direct_closures {
 	struct direct_closures_options options;
-	struct closures *known;
+	struct closed_domains *known;
 	struct direct_peers *peers; /* NULL: nobody */
 };
 
@@ -15,7 +15,7 @@
 
 static GVariant *write_known(const struct direct_closures *closures)
 {
-	g_autoptr(GPtrArray) domains = closures_list(closures->known);
+	g_autoptr(GPtrArray) domains = closed_domains_list(closures->known);
 	GVariantBuilder names;
 
 	g_variant_builder_init(&names, G_VARIANT_TYPE("as"));
@@ -23,7 +23,7 @@
 		g_variant_builder_add(&names, "s",
 				      g_ptr_array_index(domains, i));
 	return g_variant_new(CLOSURES_TYPE,
-			     (gint64)closures_revision(closures->known),
+			     (gint64)closed_domains_revision(closures->known),
 			     &names);
 }
 
@@ -32,7 +32,7 @@
 	struct direct_closures *closures = userdata;
 	g_autoptr(GVariant) body = NULL;
 
-	if (!closures_is_known(closures->known))
+	if (!closed_domains_is_known(closures->known))
 		return;
 	body = g_variant_ref_sink(write_known(closures));
 	direct_peers_send(closures->peers, peer, KIND_CLOSURES, body);
@@ -42,7 +42,7 @@
 
 static void note_change(struct direct_closures *closures, const char *source)
 {
-	g_autoptr(GPtrArray) domains = closures_list(closures->known);
+	g_autoptr(GPtrArray) domains = closed_domains_list(closures->known);
 	struct lp_event_log *log = closures->options.log;
 
 	*lp_counter(closures->options.counters, "linepier_closed_domains",
@@ -53,7 +53,7 @@
 		lp_event_text(log, "domains", names);
 		lp_event_text(log, "source", source);
 		lp_event_int(log, "revision",
-			     closures_revision(closures->known));
+			     closed_domains_revision(closures->known));
 		lp_event_end(log);
 	}
 	closures->options.changed(closures->options.userdata);
@@ -74,26 +74,26 @@
 	gint64 revision;
 
 	g_variant_get(body, "(x^a&s)", &revision, &domains);
-	if (closures_set_all(closures->known, revision, domains,
-			     g_strv_length((char **)domains)))
+	if (closed_domains_replace(closures->known, revision, domains,
+				   g_strv_length((char **)domains)))
 		note_change(closures, "peer");
 }
 
 void direct_closures_set_all(struct direct_closures *closures, int64_t revision,
 			     const char *const *domains, uint32_t count)
 {
-	if (closures_set_all(closures->known, revision, domains, count))
+	if (closed_domains_replace(closures->known, revision, domains, count))
 		take_from_service(closures);
 }
 
 void direct_closures_set(struct direct_closures *closures, int64_t revision,
 			 const char *domain, bool closed)
 {
-	if (closures_set(closures->known, revision, domain, closed))
+	if (closed_domains_set(closures->known, revision, domain, closed))
 		take_from_service(closures);
 }
 
-const struct closures *
+const struct closed_domains *
 direct_closures_known(const struct direct_closures *closures)
 {
 	return closures->known;
@@ -118,7 +118,7 @@
 	struct direct_closures *closures = g_new0(struct direct_closures, 1);
 
 	closures->options = *options;
-	closures->known = closures_create();
+	closures->known = closed_domains_create();
 	return closures;
 }
 
@@ -126,6 +126,6 @@
 {
 	if (!closures)
 		return;
-	closures_destroy(closures->known);
+	closed_domains_destroy(closures->known);
 	g_free(closures);
 }
--- a/direct/direct_closures.h
+++ b/direct/direct_closures.h
@@ -1,6 +1,6 @@
 /**
  * Which failure domains operators have closed to new work, as this entry and
- * its peers know it (policy/closures.h).
+ * its peers know it (policy/closed_domains.h).
  *
  * Learnt from the platform's service, whole or change by change, and from
  * peers: whoever learns of a change from the service tells all members, and
@@ -14,7 +14,7 @@
 #include "base/lp_counter.h"
 #include "base/lp_event.h"
 #include "direct/direct_peers.h"
-#include "policy/closures.h"
+#include "policy/closed_domains.h"
 
 struct direct_closures;
 
@@ -38,7 +38,7 @@
 /** The service tells a change. */
 void direct_closures_set(struct direct_closures *closures, int64_t revision,
 			 const char *domain, bool closed);
-const struct closures *
+const struct closed_domains *
 direct_closures_known(const struct direct_closures *closures);
 
 #endif
--- a/direct/direct_config.h
+++ b/direct/direct_config.h
@@ -6,7 +6,7 @@
 #ifndef DIRECT_CONFIG_H
 #define DIRECT_CONFIG_H
 
-#include "policy/homes.h"
+#include "policy/allowed_regions.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -48,7 +48,8 @@
 	uint32_t shares_count;
 	struct direct_stage *stages;
 	uint32_t stages_count;
-	const char *homes; /**< regions that may have it: policy/homes.h */
+	const char *homes; /**< regions that may have it:
+			      policy/allowed_regions.h */
 	bool is_public;	   /**< needs no key */
 	bool resumes;	   /**< a stream may go on at another upstream */
 };
--- a/direct/direct_ends.c
+++ b/direct/direct_ends.c
@@ -24,7 +24,7 @@
 
 struct direct_ends {
 	struct direct_ends_options options;
-	struct losses *losses;
+	struct lost_requests *losses;
 	GHashTable *questions; /* life -> struct question */
 };
 
@@ -73,7 +73,7 @@
 
 static void log_lost(struct direct_ends *ends,
 		     const struct pool_upstream *upstream,
-		     const struct loss *lost)
+		     const struct lost_request *lost)
 {
 	struct lp_event_log *log = direct_of(ends)->options.log;
 
@@ -88,20 +88,23 @@
 void direct_ends_saw(struct direct_ends *ends,
 		     const struct pool_upstream *upstream, enum direct_end how)
 {
-	g_autoptr(GArray) lost = g_array_new(FALSE, FALSE, sizeof(struct loss));
+	g_autoptr(GArray) lost =
+		g_array_new(FALSE, FALSE, sizeof(struct lost_request));
 	uint64_t life = upstream->incarnation;
 
 	if (pool_is_draining(upstream))
 		return;
-	if (losses_ended(ends->losses, life, how == DIRECT_END_RESTARTED,
-			 lost) &&
+	if (lost_requests_note_termination(ends->losses, life,
+					   how == DIRECT_END_RESTARTED, lost) &&
 	    lost->len)
 		log_end(ends, upstream, how, lost);
 	for (guint i = 0; i < lost->len; i++)
-		log_lost(ends, upstream, &g_array_index(lost, struct loss, i));
+		log_lost(ends, upstream,
+			 &g_array_index(lost, struct lost_request, i));
 	if (lost->len)
 		ends->options.ended(ends->options.userdata,
-				    (struct loss *)lost->data, lost->len);
+				    (struct lost_request *)lost->data,
+				    lost->len);
 	g_hash_table_remove(ends->questions, &life);
 }
 
@@ -113,7 +116,7 @@
 	struct direct_ends *ends = question->ends;
 	uint64_t life = question->upstream->incarnation;
 
-	losses_not_found(ends->losses, life, seen_alive);
+	lost_requests_note_undetermined(ends->losses, life, seen_alive);
 	g_hash_table_remove(ends->questions, &life);
 }
 
@@ -219,25 +222,26 @@
 }
 
 void direct_ends_lost(struct direct_ends *ends,
-		      const struct pool_upstream *upstream, struct loss loss)
+		      const struct pool_upstream *upstream,
+		      struct lost_request loss)
 {
 	bool superseded = is_superseded(ends, upstream);
 
 	loss.life = upstream->incarnation;
 	loss.lost_us = lp_now_us(direct_of(ends)->options.clock);
-	losses_forget(ends->losses);
+	lost_requests_expire(ends->losses);
 	if (pool_is_draining(upstream) || (!upstream->listed && !superseded))
 		return;
-	switch (losses_add(ends->losses, &loss)) {
-	case LOSSES_ENDED:
+	switch (lost_requests_add(ends->losses, &loss)) {
+	case LOST_REQUEST_UPSTREAM_TERMINATED:
 		log_lost(ends, upstream, &loss);
 		ends->options.ended(ends->options.userdata, &loss, 1);
 		return;
-	case LOSSES_ASK:
+	case LOST_REQUEST_PROBE_NEEDED:
 		if (!superseded)
 			find_out(ends, upstream);
 		break;
-	case LOSSES_WAIT:
+	case LOST_REQUEST_PROBE_PENDING:
 		break;
 	}
 	if (superseded)
@@ -250,7 +254,7 @@
 	struct direct_ends *ends = g_new0(struct direct_ends, 1);
 
 	ends->options = *options;
-	ends->losses = losses_create(options->direct->options.clock);
+	ends->losses = lost_requests_create(options->direct->options.clock);
 	ends->questions = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						NULL, free_question);
 	return ends;
@@ -259,6 +263,6 @@
 void direct_ends_destroy(struct direct_ends *ends)
 {
 	g_hash_table_unref(ends->questions);
-	losses_destroy(ends->losses);
+	lost_requests_destroy(ends->losses);
 	g_free(ends);
 }
--- a/direct/direct_ends.h
+++ b/direct/direct_ends.h
@@ -13,7 +13,7 @@
 #ifndef DIRECT_ENDS_H
 #define DIRECT_ENDS_H
 
-#include "policy/losses.h"
+#include "policy/lost_requests.h"
 #include "policy/pool.h"
 
 struct direct;
@@ -30,7 +30,8 @@
 	struct direct *direct;
 	/** An upstream has ended by itself; `lost`: what was under way there
 	 * for callers of ours. Borrowed. */
-	void (*ended)(void *userdata, const struct loss *lost, guint count);
+	void (*ended)(void *userdata, const struct lost_request *lost,
+		      guint count);
 	void *userdata;
 };
 
@@ -43,7 +44,8 @@
  * filled in here.
  */
 void direct_ends_lost(struct direct_ends *ends,
-		      const struct pool_upstream *upstream, struct loss loss);
+		      const struct pool_upstream *upstream,
+		      struct lost_request loss);
 /** It is known that this upstream has ended. */
 void direct_ends_saw(struct direct_ends *ends,
 		     const struct pool_upstream *upstream, enum direct_end how);
--- a/direct/direct_notices.c
+++ b/direct/direct_notices.c
@@ -170,7 +170,7 @@
 		       struct pool_upstream *upstream,
 		       const struct direct_reply *reply)
 {
-	struct rate_limit_word word = {
+	struct rate_limit_report word = {
 		.named = reply->limit == DIRECT_LIMIT_NAMED,
 		.per_s = reply->limit_per_s,
 		.heard_us = now(notices),
@@ -188,7 +188,7 @@
 	if (changed)
 		log_limit(notices, upstream, "answer");
 	if (changed ||
-	    rate_limit_is_to_be_told(&upstream->rate_limit, word.heard_us))
+	    rate_limit_needs_broadcast(&upstream->rate_limit, word.heard_us))
 		tell_limit(notices, upstream);
 }
 
@@ -238,7 +238,7 @@
 
 static void take_told(struct direct_notices *notices, uint64_t peer,
 		      struct pool_upstream *upstream,
-		      const struct rate_limit_word *word)
+		      const struct rate_limit_report *word)
 {
 	if (pool_note_rate_limit(notices->options.pool, upstream, word))
 		log_limit(notices, upstream,
@@ -260,7 +260,7 @@
 	g_variant_iter_init(&iter, body);
 	while (g_variant_iter_next(&iter, "(tbdx)", &life, &named, &per_s,
 				   &age_us)) {
-		struct rate_limit_word word = {
+		struct rate_limit_report word = {
 			.named = named,
 			.per_s = per_s,
 			.heard_us = now(notices) - MAX(age_us, 0),
--- a/direct/direct_places.c
+++ b/direct/direct_places.c
@@ -149,7 +149,7 @@
 		write_parts(ask), write_tried(places, ask),
 		ask->preferred_domain ? ask->preferred_domain : "",
 		(gint64)ask->fetch_bytes, (gint64)ask->target_us,
-		homes_write(ask->allowed_regions)));
+		allowed_regions_encode(ask->allowed_regions)));
 	struct question *question;
 
 	if (!direct_peers_send(places->peers, placer, KIND_PLACE, body))
@@ -361,7 +361,7 @@
 	g_variant_get(body, "(t&s@a(tx)@at&sxx&s)", &number, &ask.service,
 		      &list, &tried_list, &domain, &ask.fetch_bytes,
 		      &ask.target_us, &homes);
-	ask.allowed_regions = homes_read(homes);
+	ask.allowed_regions = allowed_regions_decode(homes);
 	parts = read_parts(list, &ask.blocks_count);
 	tried = read_tried(places, ask.service, tried_list);
 	ask.blocks = parts;
--- a/direct/direct_prepare.c
+++ b/direct/direct_prepare.c
@@ -67,7 +67,7 @@
 	int64_t us = expected_us(request, stage);
 
 	return stage < DIRECT_LEARNT_STAGES
-		       ? remaining_us(&learnt->remaining[stage], us)
+		       ? remaining_latency_us(&learnt->remaining[stage], us)
 		       : us;
 }
 
@@ -111,7 +111,7 @@
 	learnt = direct_request_learnt(request);
 	for (uint32_t i = 0; i < count; i++)
 		if (went_on(request, i))
-			remaining_learn(
+			remaining_latency_record(
 				&learnt->remaining[i], expected_us(request, i),
 				request->first_us - request->made_us[i]);
 }
--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -14,10 +14,10 @@
 #include "http/http_client.h"
 #include "http/http_server.h"
 #include "http/http_sock.h"
+#include "policy/client_wait.h"
 #include "policy/graph.h"
-#include "policy/patience.h"
 #include "policy/pieces.h"
-#include "policy/remaining.h"
+#include "policy/remaining_latency.h"
 #include "policy/retries.h"
 #include "policy/verdict.h"
 
@@ -37,8 +37,8 @@
 
 /** What is learnt of a route, for as long as it is in force. */
 struct direct_learnt {
-	struct patience patience;
-	struct remaining remaining[DIRECT_LEARNT_STAGES]; /* a stage */
+	struct client_wait patience;
+	struct remaining_latency remaining[DIRECT_LEARNT_STAGES]; /* a stage */
 };
 
 struct direct {
--- a/direct/direct_quarantine.c
+++ b/direct/direct_quarantine.c
@@ -324,7 +324,7 @@
 }
 
 void direct_quarantine_ended(struct direct_quarantine *quarantine,
-			     const struct loss *lost, guint count)
+			     const struct lost_request *lost, guint count)
 {
 	for (guint i = 0; i < count; i++) {
 		const struct quarantine_end end = {
--- a/direct/direct_quarantine.h
+++ b/direct/direct_quarantine.h
@@ -10,7 +10,7 @@
 #ifndef DIRECT_QUARANTINE_H
 #define DIRECT_QUARANTINE_H
 
-#include "policy/losses.h"
+#include "policy/lost_requests.h"
 #include "policy/quarantine.h"
 
 #include <glib.h>
@@ -31,7 +31,7 @@
 			      uint64_t request);
 /** An upstream has ended with these of our requests. */
 void direct_quarantine_ended(struct direct_quarantine *quarantine,
-			     const struct loss *lost, guint count);
+			     const struct lost_request *lost, guint count);
 /**
  * May it go to an upstream now? Refused: `*wait_us` is when to come back. One
  * that is tried goes on without being asked again, until it is lost: that was
--- a/direct/direct_relay.c
+++ b/direct/direct_relay.c
@@ -283,7 +283,8 @@
 		(gint64)(piece->until_us - now_us), piece->priority,
 		(gint64)piece->bytes, flags,
 		piece->preferred_domain ? piece->preferred_domain : "",
-		(gint64)piece->preferred_bytes, homes_write(piece->homes)));
+		(gint64)piece->preferred_bytes,
+		allowed_regions_encode(piece->homes)));
 }
 
 bool direct_relay_ask(struct direct_relay *relay, uint64_t peer,
@@ -533,7 +534,7 @@
 	/* Domains are few. */
 	piece->preferred_domain =
 		*preferred ? g_intern_string(preferred) : NULL;
-	piece->homes = homes_read(homes);
+	piece->homes = allowed_regions_decode(homes);
 }
 
 static void confirm_ask(struct direct_relay *relay, const struct served *served)
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -206,7 +206,7 @@
 			 const struct pool_upstream *upstream, uint32_t round,
 			 int64_t began_us)
 {
-	const struct loss loss = {
+	const struct lost_request loss = {
 		.request = direct_request_digest(request),
 		.round = round,
 		.began_us = began_us,
@@ -338,10 +338,10 @@
 	if (request->config->needs_keys && !request->route->is_public &&
 	    !request->organisation)
 		return 401;
-	request->homes =
-		homes_both(request->route->homes,
-			   request->organisation ? request->organisation->homes
-						 : HOMES_ANYWHERE);
+	request->homes = allowed_regions_intersect(
+		request->route->homes, request->organisation
+					       ? request->organisation->homes
+					       : ALLOWED_REGIONS_ANY);
 	request->priority = direct_config_rank(request->config, request->route,
 					       request->organisation);
 	request->service =
@@ -420,9 +420,9 @@
 				      "draining");
 		return;
 	}
-	request->waited_us =
-		patience_waited_us(&direct_request_learnt(request)->patience,
-				   request->ask.deadline_us);
+	request->waited_us = client_wait_elapsed_us(
+		&direct_request_learnt(request)->patience,
+		request->ask.deadline_us);
 	retries_saw_request(direct->retries, request->service);
 	if (!direct_request_passes(request))
 		return;
--- a/direct/direct_request.h
+++ b/direct/direct_request.h
@@ -32,7 +32,8 @@
 	const struct direct_route *route;
 	const char *service;
 	const struct direct_organisation *organisation;
-	const char *homes; /* regions that may have it: policy/homes.h */
+	const char
+		*homes; /* regions that may have it: policy/allowed_regions.h */
 	struct direct_ask ask;
 	int64_t arrived_us;
 	int64_t waited_us; /* in earlier tries, about */
--- a/direct/direct_results.c
+++ b/direct/direct_results.c
@@ -59,9 +59,9 @@
 		pool_find_incarnation(pool, call->maker);
 
 	for (guint i = 0; upstream && i < call->handles->len; i++)
-		room_given_up(upstream->result_memory,
-			      g_ptr_array_index(call->handles, i),
-			      call->each_bytes);
+		result_memory_release(upstream->result_memory,
+				      g_ptr_array_index(call->handles, i),
+				      call->each_bytes);
 	g_hash_table_remove(call->results->calls, call);
 	g_ptr_array_unref(call->handles);
 	g_free(call);
--- a/policy/homes.c
+++ b/policy/allowed_regions.c
@@ -1,11 +1,11 @@
-#include "policy/homes.h"
+#include "policy/allowed_regions.h"
 
 #include "base/lp_texts.h"
 
 #include <string.h>
 
 #define SEPARATOR ","
-/* How HOMES_ANYWHERE is written; no region has this name. */
+/* How ALLOWED_REGIONS_ANY is written; no region has this name. */
 #define ANYWHERE_TEXT "*"
 
 /* Takes an array of borrowed names, in any order. */
@@ -18,7 +18,7 @@
 	return g_intern_string(text);
 }
 
-const char *homes_create(const char *const *regions, guint count)
+const char *allowed_regions_create(const char *const *regions, guint count)
 {
 	g_autoptr(GPtrArray) names = g_ptr_array_new();
 
@@ -27,7 +27,7 @@
 	return intern_set(names);
 }
 
-const char *homes_both(const char *one, const char *two)
+const char *allowed_regions_intersect(const char *one, const char *two)
 {
 	g_autoptr(GPtrArray) names = g_ptr_array_new();
 	g_auto(GStrv) regions = NULL;
@@ -36,12 +36,12 @@
 		return one ? one : two;
 	regions = g_strsplit(one, SEPARATOR, -1);
 	for (char **region = regions; *region; region++)
-		if (homes_have(two, *region))
+		if (allowed_regions_contain(two, *region))
 			g_ptr_array_add(names, *region);
 	return intern_set(names);
 }
 
-bool homes_have(const char *homes, const char *region)
+bool allowed_regions_contain(const char *homes, const char *region)
 {
 	g_auto(GStrv) regions = NULL;
 
@@ -53,13 +53,13 @@
 	return g_strv_contains((const char *const *)regions, region);
 }
 
-const char *homes_write(const char *homes)
+const char *allowed_regions_encode(const char *homes)
 {
 	return homes ? homes : ANYWHERE_TEXT;
 }
 
-const char *homes_read(const char *text)
+const char *allowed_regions_decode(const char *text)
 {
 	return strcmp(text, ANYWHERE_TEXT) != 0 ? g_intern_string(text)
-						: HOMES_ANYWHERE;
+						: ALLOWED_REGIONS_ANY;
 }
--- a/policy/patience.c
+++ b/policy/client_wait.c
@@ -1,4 +1,4 @@
-#include "policy/patience.h"
+#include "policy/client_wait.h"
 
 #include "base/lp_clock.h"
 
@@ -11,22 +11,22 @@
 /* A time is usual if so many of those remembered are the same: a sixteenth. */
 #define USUAL_MIN 4
 
-static bool is_usual(const struct patience *patience, int32_t steps)
+static bool is_usual(const struct client_wait *patience, int32_t steps)
 {
 	uint32_t same = 0;
 
-	for (uint32_t i = 0; i < PATIENCE_KEPT; i++)
+	for (uint32_t i = 0; i < CLIENT_WAIT_SAMPLES; i++)
 		if (abs(patience->given[i] - steps) <= 1)
 			same++;
 	return same >= USUAL_MIN;
 }
 
 /* The next longer time that is usual, or 0. */
-static int32_t usual_above(const struct patience *patience, int32_t steps)
+static int32_t usual_above(const struct client_wait *patience, int32_t steps)
 {
 	int32_t best = 0;
 
-	for (uint32_t i = 0; i < PATIENCE_KEPT; i++) {
+	for (uint32_t i = 0; i < CLIENT_WAIT_SAMPLES; i++) {
 		int32_t given = patience->given[i];
 
 		if (given > steps && (!best || given < best) &&
@@ -36,14 +36,14 @@
 	return best;
 }
 
-int64_t patience_waited_us(struct patience *patience, int64_t left_us)
+int64_t client_wait_elapsed_us(struct client_wait *patience, int64_t left_us)
 {
 	int32_t steps = (int32_t)MIN(left_us / STEP_US, G_MAXINT32 / 2);
 	int32_t usual;
 
 	if (steps <= 0)
 		return 0;
-	patience->given[patience->next++ % PATIENCE_KEPT] = steps;
+	patience->given[patience->next++ % CLIENT_WAIT_SAMPLES] = steps;
 	if (is_usual(patience, steps))
 		return 0;
 	usual = usual_above(patience, steps);
--- a/policy/patience.h
+++ b/policy/client_wait.h
@@ -11,24 +11,24 @@
  * is not given often is what is left of the next longer one that is. Where all
  * wait differently nothing is concluded.
  */
-#ifndef PATIENCE_H
-#define PATIENCE_H
+#ifndef CLIENT_WAIT_H
+#define CLIENT_WAIT_H
 
 #include <stdint.h>
 
 /** Requests of one route that are remembered: some seconds' worth. */
-#define PATIENCE_KEPT 64
+#define CLIENT_WAIT_SAMPLES 64
 
 /** Of the callers of one route; all zero at first. */
-struct patience {
-	int32_t given[PATIENCE_KEPT]; /**< private: in steps, 0: none */
-	uint32_t next;		      /**< private */
+struct client_wait {
+	int32_t given[CLIENT_WAIT_SAMPLES]; /**< private: in steps, 0: none */
+	uint32_t next;			    /**< private */
 };
 
 /**
  * Note a request whose caller waits `left_us` from now on. Returns how long it
  * has waited before, about; 0: this is its first try, or nothing is known.
  */
-int64_t patience_waited_us(struct patience *patience, int64_t left_us);
+int64_t client_wait_elapsed_us(struct client_wait *patience, int64_t left_us);
 
 #endif
--- a/policy/closures.c
+++ b/policy/closed_domains.c
@@ -1,17 +1,17 @@
-#include "policy/closures.h"
+#include "policy/closed_domains.h"
 
 #include "base/lp_texts.h"
 
 #define REVISION_UNKNOWN (-1)
 
-struct closures {
+struct closed_domains {
 	GHashTable *domains; /* set of names */
 	int64_t revision;
 };
 
-struct closures *closures_create(void)
+struct closed_domains *closed_domains_create(void)
 {
-	struct closures *closures = g_new0(struct closures, 1);
+	struct closed_domains *closures = g_new0(struct closed_domains, 1);
 
 	closures->domains =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -19,7 +19,7 @@
 	return closures;
 }
 
-void closures_destroy(struct closures *closures)
+void closed_domains_destroy(struct closed_domains *closures)
 {
 	if (!closures)
 		return;
@@ -27,8 +27,8 @@
 	g_free(closures);
 }
 
-bool closures_set_all(struct closures *closures, int64_t revision,
-		      const char *const *domains, uint32_t count)
+bool closed_domains_replace(struct closed_domains *closures, int64_t revision,
+			    const char *const *domains, uint32_t count)
 {
 	if (revision <= closures->revision)
 		return false;
@@ -39,8 +39,8 @@
 	return true;
 }
 
-bool closures_set(struct closures *closures, int64_t revision,
-		  const char *domain, bool closed)
+bool closed_domains_set(struct closed_domains *closures, int64_t revision,
+			const char *domain, bool closed)
 {
 	if (revision < closures->revision)
 		return false;
@@ -52,22 +52,23 @@
 	return true;
 }
 
-bool closures_has(const struct closures *closures, const char *domain)
+bool closed_domains_contain(const struct closed_domains *closures,
+			    const char *domain)
 {
 	return g_hash_table_contains(closures->domains, domain);
 }
 
-bool closures_is_known(const struct closures *closures)
+bool closed_domains_is_known(const struct closed_domains *closures)
 {
 	return closures->revision != REVISION_UNKNOWN;
 }
 
-int64_t closures_revision(const struct closures *closures)
+int64_t closed_domains_revision(const struct closed_domains *closures)
 {
 	return closures->revision;
 }
 
-GPtrArray *closures_list(const struct closures *closures)
+GPtrArray *closed_domains_list(const struct closed_domains *closures)
 {
 	GPtrArray *list = g_ptr_array_new();
 	GHashTableIter iter;
--- a/policy/closures.h
+++ b/policy/closed_domains.h
@@ -6,31 +6,32 @@
  * whatever is older than what is known changes nothing. Work that runs in a
  * domain when it is closed goes on.
  */
-#ifndef CLOSURES_H
-#define CLOSURES_H
+#ifndef CLOSED_DOMAINS_H
+#define CLOSED_DOMAINS_H
 
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
 
-struct closures;
+struct closed_domains;
 
-struct closures *closures_create(void);
-void closures_destroy(struct closures *closures);
+struct closed_domains *closed_domains_create(void);
+void closed_domains_destroy(struct closed_domains *closures);
 /** All that is closed at this revision. Returns whether it was newer than what
  * was known. */
-bool closures_set_all(struct closures *closures, int64_t revision,
-		      const char *const *domains, uint32_t count);
+bool closed_domains_replace(struct closed_domains *closures, int64_t revision,
+			    const char *const *domains, uint32_t count);
 /** One change, the next after what is known; several may have one revision, as
  * they were made together. Returns whether it was not older. */
-bool closures_set(struct closures *closures, int64_t revision,
-		  const char *domain, bool closed);
-bool closures_has(const struct closures *closures, const char *domain);
+bool closed_domains_set(struct closed_domains *closures, int64_t revision,
+			const char *domain, bool closed);
+bool closed_domains_contain(const struct closed_domains *closures,
+			    const char *domain);
 /** Whether anything is known yet: that nothing is closed, too. */
-bool closures_is_known(const struct closures *closures);
-int64_t closures_revision(const struct closures *closures);
+bool closed_domains_is_known(const struct closed_domains *closures);
+int64_t closed_domains_revision(const struct closed_domains *closures);
 /** Names of closed domains, sorted; g_ptr_array_unref(). They are borrowed
  * until the next change. */
-GPtrArray *closures_list(const struct closures *closures);
+GPtrArray *closed_domains_list(const struct closed_domains *closures);
 
 #endif
--- a/policy/lives.c
+++ b/policy/incarnations.c
@@ -1,8 +1,8 @@
-#include "policy/lives.h"
+#include "policy/incarnations.h"
 
 #include <glib.h>
 
-struct life {
+struct incarnation {
 	int64_t born_ms;
 	int64_t since_us;  /* known */
 	int64_t listed_us; /* named by a list last */
@@ -10,14 +10,14 @@
 	int64_t older_since_us;
 };
 
-struct lives {
+struct incarnations {
 	const struct lp_clock *clock;
-	GHashTable *by_id; /* id -> struct life */
+	GHashTable *by_id; /* id -> struct incarnation */
 };
 
-struct lives *lives_create(const struct lp_clock *clock)
+struct incarnations *incarnations_create(const struct lp_clock *clock)
 {
-	struct lives *lives = g_new0(struct lives, 1);
+	struct incarnations *lives = g_new0(struct incarnations, 1);
 
 	lives->clock = clock;
 	lives->by_id =
@@ -25,7 +25,7 @@
 	return lives;
 }
 
-void lives_destroy(struct lives *lives)
+void incarnations_destroy(struct incarnations *lives)
 {
 	if (!lives)
 		return;
@@ -33,15 +33,16 @@
 	g_free(lives);
 }
 
-static struct life *add_life(struct lives *lives, const char *id)
+static struct incarnation *add_life(struct incarnations *lives, const char *id)
 {
-	struct life *life = g_new0(struct life, 1);
+	struct incarnation *life = g_new0(struct incarnation, 1);
 
 	g_hash_table_insert(lives->by_id, g_strdup(id), life);
 	return life;
 }
 
-static void begin_life(struct life *life, int64_t born_ms, int64_t now_us)
+static void begin_life(struct incarnation *life, int64_t born_ms,
+		       int64_t now_us)
 {
 	life->born_ms = born_ms;
 	life->since_us = now_us;
@@ -49,19 +50,21 @@
 }
 
 /* A list names an older start. Returns whether lists have for long enough. */
-static bool note_older(struct life *life, int64_t born_ms, int64_t now_us)
+static bool note_older(struct incarnation *life, int64_t born_ms,
+		       int64_t now_us)
 {
 	if (life->older_ms != born_ms) {
 		life->older_ms = born_ms;
 		life->older_since_us = now_us;
 	}
-	return now_us - life->older_since_us >= LIVES_SET_BACK_US;
+	return now_us - life->older_since_us >= INCARNATIONS_CLOCK_SET_BACK_US;
 }
 
-enum lives_word lives_listed(struct lives *lives, const char *id,
-			     int64_t born_ms)
+enum incarnation_status incarnations_observe_listed(struct incarnations *lives,
+						    const char *id,
+						    int64_t born_ms)
 {
-	struct life *life = g_hash_table_lookup(lives->by_id, id);
+	struct incarnation *life = g_hash_table_lookup(lives->by_id, id);
 	int64_t now_us = lp_now_us(lives->clock);
 	bool known = life != NULL;
 
@@ -70,29 +73,31 @@
 	life->listed_us = now_us;
 	if (known && born_ms < life->born_ms && born_ms &&
 	    !note_older(life, born_ms, now_us))
-		return LIVES_OLD;
+		return INCARNATION_STALE;
 	if (known && (!born_ms || born_ms == life->born_ms)) {
 		life->older_ms = 0;
-		return LIVES_SAME;
+		return INCARNATION_CURRENT;
 	}
 	begin_life(life, born_ms, now_us);
-	return LIVES_NEW;
+	return INCARNATION_NEW;
 }
 
-enum lives_word lives_answered(struct lives *lives, const char *id,
-			       int64_t born_ms, int64_t asked_us)
+enum incarnation_status incarnations_observe_answer(struct incarnations *lives,
+						    const char *id,
+						    int64_t born_ms,
+						    int64_t asked_us)
 {
-	struct life *life = g_hash_table_lookup(lives->by_id, id);
+	struct incarnation *life = g_hash_table_lookup(lives->by_id, id);
 
 	if (!life || !life->born_ms || !born_ms || born_ms == life->born_ms)
-		return LIVES_SAME;
+		return INCARNATION_CURRENT;
 	if (born_ms < life->born_ms && asked_us <= life->since_us)
-		return LIVES_OLD;
+		return INCARNATION_STALE;
 	begin_life(life, born_ms, lp_now_us(lives->clock));
-	return LIVES_NEW;
+	return INCARNATION_NEW;
 }
 
-void lives_forget(struct lives *lives)
+void incarnations_expire(struct incarnations *lives)
 {
 	int64_t now_us = lp_now_us(lives->clock);
 	GHashTableIter iter;
@@ -100,6 +105,7 @@
 
 	g_hash_table_iter_init(&iter, lives->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (now_us - ((struct life *)value)->listed_us > LIVES_KEEP_US)
+		if (now_us - ((struct incarnation *)value)->listed_us >
+		    INCARNATIONS_RETENTION_US)
 			g_hash_table_iter_remove(&iter);
 }
--- a/policy/losses.c
+++ b/policy/lost_requests.c
@@ -1,26 +1,27 @@
-#include "policy/losses.h"
+#include "policy/lost_requests.h"
 
 /* Losses that wait at a time; the oldest yield. A host's open requests. */
 #define WAITING_MAX 4096
 
-struct waiting {
-	struct loss loss;
+struct unresolved_loss {
+	struct lost_request loss;
 	bool seen_alive; /* after it, someone took connections there */
 };
 
-struct losses {
+struct lost_requests {
 	const struct lp_clock *clock;
-	GArray *waiting;   /* of struct waiting, the oldest first */
+	GArray *waiting;   /* of struct unresolved_loss, the oldest first */
 	GHashTable *asked; /* life that is asked about -> since when */
 	GHashTable *ended; /* life -> when */
 };
 
-struct losses *losses_create(const struct lp_clock *clock)
+struct lost_requests *lost_requests_create(const struct lp_clock *clock)
 {
-	struct losses *losses = g_new0(struct losses, 1);
+	struct lost_requests *losses = g_new0(struct lost_requests, 1);
 
 	losses->clock = clock;
-	losses->waiting = g_array_new(FALSE, FALSE, sizeof(struct waiting));
+	losses->waiting =
+		g_array_new(FALSE, FALSE, sizeof(struct unresolved_loss));
 	losses->asked = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 					      g_free, g_free);
 	losses->ended = g_hash_table_new_full(g_int64_hash, g_int64_equal,
@@ -28,7 +29,7 @@
 	return losses;
 }
 
-void losses_destroy(struct losses *losses)
+void lost_requests_destroy(struct lost_requests *losses)
 {
 	if (!losses)
 		return;
@@ -38,9 +39,10 @@
 	g_free(losses);
 }
 
-static struct waiting *waiting_at(const struct losses *losses, guint at)
+static struct unresolved_loss *waiting_at(const struct lost_requests *losses,
+					  guint at)
 {
-	return &g_array_index(losses->waiting, struct waiting, at);
+	return &g_array_index(losses->waiting, struct unresolved_loss, at);
 }
 
 /* Returns whether it was not noted yet. */
@@ -53,26 +55,29 @@
 	return true;
 }
 
-enum losses_word losses_add(struct losses *losses, struct loss *loss)
+enum lost_request_status lost_requests_add(struct lost_requests *losses,
+					   struct lost_request *loss)
 {
-	const struct waiting waiting = { .loss = *loss };
+	const struct unresolved_loss waiting = { .loss = *loss };
 	const int64_t *ended_us =
 		g_hash_table_lookup(losses->ended, &loss->life);
 
 	if (ended_us && loss->began_us <= *ended_us) {
 		loss->lost_us = MIN(loss->lost_us, *ended_us);
-		return LOSSES_ENDED;
+		return LOST_REQUEST_UPSTREAM_TERMINATED;
 	}
 	/* Sent after the end, and somebody took it. */
 	g_hash_table_remove(losses->ended, &loss->life);
 	if (losses->waiting->len == WAITING_MAX)
 		g_array_remove_index(losses->waiting, 0);
 	g_array_append_val(losses->waiting, waiting);
-	return note(losses->asked, loss->life, loss->lost_us) ? LOSSES_ASK
-							      : LOSSES_WAIT;
+	return note(losses->asked, loss->life, loss->lost_us)
+		       ? LOST_REQUEST_PROBE_NEEDED
+		       : LOST_REQUEST_PROBE_PENDING;
 }
 
-void losses_not_found(struct losses *losses, uint64_t life, bool seen_alive)
+void lost_requests_note_undetermined(struct lost_requests *losses,
+				     uint64_t life, bool seen_alive)
 {
 	g_hash_table_remove(losses->asked, &life);
 	for (guint i = 0; i < losses->waiting->len; i++)
@@ -81,13 +86,13 @@
 }
 
 /* Take out what counts of what was lost with a life. */
-static void take(struct losses *losses, uint64_t life, bool restarted,
+static void take(struct lost_requests *losses, uint64_t life, bool restarted,
 		 GArray *out)
 {
 	guint at = 0;
 
 	while (at < losses->waiting->len) {
-		const struct waiting *waiting = waiting_at(losses, at);
+		const struct unresolved_loss *waiting = waiting_at(losses, at);
 
 		if (waiting->loss.life != life ||
 		    (waiting->seen_alive && !restarted)) {
@@ -99,8 +104,8 @@
 	}
 }
 
-bool losses_ended(struct losses *losses, uint64_t life, bool restarted,
-		  GArray *out)
+bool lost_requests_note_termination(struct lost_requests *losses, uint64_t life,
+				    bool restarted, GArray *out)
 {
 	g_hash_table_remove(losses->asked, &life);
 	take(losses, life, restarted, out);
@@ -118,9 +123,10 @@
 			g_hash_table_iter_remove(&iter);
 }
 
-void losses_forget(struct losses *losses)
+void lost_requests_expire(struct lost_requests *losses)
 {
-	int64_t before_us = lp_now_us(losses->clock) - LOSSES_KEEP_US;
+	int64_t before_us =
+		lp_now_us(losses->clock) - LOST_REQUESTS_RETENTION_US;
 
 	while (losses->waiting->len &&
 	       waiting_at(losses, 0)->loss.lost_us < before_us)
--- a/policy/losses.h
+++ b/policy/lost_requests.h
@@ -9,8 +9,8 @@
  * answers at its address, or it says a new start. If nothing of this is seen,
  * it is forgotten.
  */
-#ifndef LOSSES_H
-#define LOSSES_H
+#ifndef LOST_REQUESTS_H
+#define LOST_REQUESTS_H
 
 #include "base/lp_clock.h"
 
@@ -20,11 +20,11 @@
 /** A loss that nothing was found out about is forgotten; also how long an end
  * is remembered for losses that show later. An upstream that starts again under
  * its id says so within some heartbeats. */
-#define LOSSES_KEEP_US (10 * LP_US_PER_S)
+#define LOST_REQUESTS_RETENTION_US (10 * LP_US_PER_S)
 
-struct losses;
+struct lost_requests;
 
-struct loss {
+struct lost_request {
 	uint64_t request; /**< digest of its content */
 	uint64_t life;	  /**< of the upstream */
 	uint32_t round;	  /**< quarantine_round() then */
@@ -32,34 +32,39 @@
 	int64_t lost_us;
 };
 
-enum losses_word {
-	LOSSES_ASK,   /**< the first one there: find out what became of it */
-	LOSSES_WAIT,  /**< that is being found out already */
-	LOSSES_ENDED, /**< it is known to have ended: the loss counts */
+enum lost_request_status {
+	LOST_REQUEST_PROBE_NEEDED,  /**< the first one there: find out what
+				       became of it */
+	LOST_REQUEST_PROBE_PENDING, /**< that is being found out already */
+	LOST_REQUEST_UPSTREAM_TERMINATED, /**< it is known to have ended: the
+					     loss counts */
 };
 
-struct losses *losses_create(const struct lp_clock *clock);
-void losses_destroy(struct losses *losses);
+struct lost_requests *lost_requests_create(const struct lp_clock *clock);
+void lost_requests_destroy(struct lost_requests *losses);
 /**
  * It had ended before: `loss->lost_us` becomes the time of the end if that was
  * earlier. What was sent after an end met a new process that the list does not
  * tell apart yet: that one's end is to be found out again.
  */
-enum losses_word losses_add(struct losses *losses, struct loss *loss);
+enum lost_request_status lost_requests_add(struct lost_requests *losses,
+					   struct lost_request *loss);
 /**
- * A life is over: what was lost with it (struct loss) is appended to `out`.
- * Returns whether that is news. `restarted`: it says a new start, else nobody
- * is there. Of the second, what someone was seen alive after did not end it.
+ * A life is over: what was lost with it (struct lost_request) is appended to
+ * `out`. Returns whether that is news. `restarted`: it says a new start, else
+ * nobody is there. Of the second, what someone was seen alive after did not end
+ * it.
  */
-bool losses_ended(struct losses *losses, uint64_t life, bool restarted,
-		  GArray *out);
+bool lost_requests_note_termination(struct lost_requests *losses, uint64_t life,
+				    bool restarted, GArray *out);
 /**
  * It was asked about, and nothing was found out: the next loss there is to be
  * asked about anew. `seen_alive`: someone takes connections there, who may be
  * another life of it; only a new start tells.
  */
-void losses_not_found(struct losses *losses, uint64_t life, bool seen_alive);
-/** Drop what is older than LOSSES_KEEP_US. */
-void losses_forget(struct losses *losses);
+void lost_requests_note_undetermined(struct lost_requests *losses,
+				     uint64_t life, bool seen_alive);
+/** Drop what is older than LOST_REQUESTS_RETENTION_US. */
+void lost_requests_expire(struct lost_requests *losses);
 
 #endif
--- a/policy/pieces.c
+++ b/policy/pieces.c
@@ -225,7 +225,7 @@
 	if (!pieces->options.room_bytes)
 		return G_MAXINT64;
 	return pieces->options.room_bytes -
-	       room_taken_bytes(upstream->result_memory);
+	       result_memory_used_bytes(upstream->result_memory);
 }
 
 /* It is being asked of its room, and may answer in a moment. */
@@ -337,8 +337,9 @@
 	       count < pieces->options.batch_max) {
 		guint end = group_end(pieces, start);
 		bool alone = waiting_at(pieces, start)->alone;
-		bool fits = homes_have(waiting_at(pieces, start)->homes,
-				       upstream->region) &&
+		bool fits = allowed_regions_contain(
+				    waiting_at(pieces, start)->homes,
+				    upstream->region) &&
 			    (!alone || !count) &&
 			    group_fits(pieces, start, end, room) &&
 			    may_split(pieces, count, end - start) &&
@@ -454,8 +455,8 @@
 	for (guint i = 0; i < pieces->waiting->len; i++) {
 		if (!taken[i])
 			continue;
-		room_begin(upstream->result_memory,
-			   waiting_at(pieces, i)->bytes);
+		result_memory_reserve(upstream->result_memory,
+				      waiting_at(pieces, i)->bytes);
 		g_array_append_val(out, *waiting_at(pieces, i));
 	}
 	for (guint i = pieces->waiting->len; i-- > 0;) {
@@ -475,8 +476,9 @@
 	call->upstream = pool_upstream_ref(upstream);
 	pool_note_sent(pieces->options.pool, upstream);
 	call->pieces = g_array_new(FALSE, FALSE, sizeof(struct piece));
-	room_set_linger(upstream->result_memory, pieces->options.linger_us);
-	call->own_bytes = room_own_bytes(upstream->result_memory);
+	result_memory_set_ttl(upstream->result_memory,
+			      pieces->options.linger_us);
+	call->own_bytes = result_memory_tracked_bytes(upstream->result_memory);
 	take_planned(pieces, upstream, call->pieces);
 	call->started_us = now(pieces);
 	call->expected_us =
@@ -522,14 +524,15 @@
 void pieces_made(struct pieces *pieces, struct pieces_call *call,
 		 const struct piece *piece, const char *handle)
 {
-	room_made(call->upstream->result_memory, handle, piece->bytes);
+	result_memory_commit(call->upstream->result_memory, handle,
+			     piece->bytes);
 	call->made_bytes += piece->bytes;
 }
 
 void pieces_not_made(struct pieces *pieces, struct pieces_call *call,
 		     const struct piece *piece, bool no_room)
 {
-	room_not_made(call->upstream->result_memory, piece->bytes);
+	result_memory_cancel(call->upstream->result_memory, piece->bytes);
 	call->was_short |= no_room;
 }
 
@@ -537,8 +540,9 @@
 {
 	struct pool_upstream *upstream = call->upstream;
 
-	room_learn(upstream->result_memory, pieces->options.room_bytes,
-		   call->own_bytes, call->made_bytes, call->was_short);
+	result_memory_note_call(upstream->result_memory,
+				pieces->options.room_bytes, call->own_bytes,
+				call->made_bytes, call->was_short);
 	upstream->result_memory_reported_us = now(pieces);
 }
 
@@ -576,7 +580,7 @@
 		return false;
 	if (!upstream->result_memory_queried_us)
 		return true;
-	return room_other_bytes(upstream->result_memory) &&
+	return result_memory_untracked_bytes(upstream->result_memory) &&
 	       now(pieces) - upstream->result_memory_queried_us >= ROOM_ASK_US;
 }
 
@@ -601,8 +605,9 @@
 		      int64_t own_bytes, int64_t least_bytes,
 		      int64_t most_bytes)
 {
-	room_told(upstream->result_memory, pieces->options.room_bytes,
-		  own_bytes, least_bytes, most_bytes);
+	result_memory_note_report(upstream->result_memory,
+				  pieces->options.room_bytes, own_bytes,
+				  least_bytes, most_bytes);
 	upstream->result_memory_reported_us = now(pieces);
 }
 
--- a/policy/pieces.h
+++ b/policy/pieces.h
@@ -30,8 +30,8 @@
 	const char *preferred_domain; /**< domain of what it takes in, or of who
 			     takes it; NULL: no matter. Interned. */
 	int64_t preferred_bytes;      /**< that would cross domains elsewhere */
-	const char *homes;	      /**< regions that may have it: homes.h */
-	int64_t added_us; /**< when it began to wait; set by pieces_add() */
+	const char *homes; /**< regions that may have it: allowed_regions.h */
+	int64_t added_us;  /**< when it began to wait; set by pieces_add() */
 };
 
 struct pieces_options {
--- a/policy/pool.c
+++ b/policy/pool.c
@@ -1,8 +1,8 @@
 #include "policy/pool.h"
 
 #include "base/lp_id.h"
-#include "policy/lives.h"
-#include "policy/turns.h"
+#include "policy/incarnations.h"
+#include "policy/retry_schedule.h"
 
 #include <math.h>
 #include <string.h>
@@ -82,21 +82,21 @@
 	char *domain;
 	GHashTable *upstreams;	    /* id -> struct pool_upstream */
 	GHashTable *by_incarnation; /* incarnation -> the same */
-	struct lives *lives;
+	struct incarnations *lives;
 	bool needs_reapply;
 	pool_restarted_fn restarted;
 	void *restarted_userdata;
 	GHashTable *services; /* name -> GPtrArray of struct pool_upstream */
-	const struct closures *closures; /* NULL: unknown */
-	GHashTable *warmups;		 /* service -> struct warmup_limits */
-	GHashTable *cache_copying;	 /* service -> struct cache_copying */
-	GHashTable *rate_limit_shares;	 /* service -> struct
-					    pool_rate_limit_shares */
+	const struct closed_domains *closures; /* NULL: unknown */
+	GHashTable *warmups;	       /* service -> struct warmup_limits */
+	GHashTable *cache_copying;     /* service -> struct cache_copying */
+	GHashTable *rate_limit_shares; /* service -> struct
+					  pool_rate_limit_shares */
 	struct pool_rate_limit_shares
 		default_rate_limit_shares; /* of other services */
-	GHashTable *turns;		   /* service -> struct turns */
-	GHashTable *unlisted;		   /* incarnation -> struct unlisted */
-	GHashTable *regions;		   /* domain -> interned region */
+	GHashTable *turns;    /* service -> struct retry_schedule */
+	GHashTable *unlisted; /* incarnation -> struct unlisted */
+	GHashTable *regions;  /* domain -> interned region */
 };
 
 /* ---- creation and destruction ---- */
@@ -121,7 +121,7 @@
 		return;
 	clear_info(&upstream->info);
 	g_hash_table_unref(upstream->cached_blocks);
-	room_destroy(upstream->result_memory);
+	result_memory_destroy(upstream->result_memory);
 	g_free(upstream);
 }
 
@@ -139,7 +139,7 @@
 
 	pool->clock = clock;
 	pool->domain = g_strdup(domain);
-	pool->lives = lives_create(clock);
+	pool->lives = incarnations_create(clock);
 	pool->upstreams = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						unlist_upstream);
 	pool->by_incarnation = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -155,7 +155,7 @@
 	pool->default_rate_limit_shares = (struct pool_rate_limit_shares){
 		.shard_count = 1,
 		.owned_shards = 1,
-		.owned_share = { .part = RATE_LIMIT_OWNER },
+		.owned_share = { .part = RATE_LIMIT_OWNER_FRACTION },
 	};
 	pool->turns =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -179,7 +179,7 @@
 	g_hash_table_unref(pool->regions);
 	g_hash_table_unref(pool->by_incarnation);
 	g_hash_table_unref(pool->upstreams);
-	lives_destroy(pool->lives);
+	incarnations_destroy(pool->lives);
 	g_free(pool->domain);
 	g_free(pool);
 }
@@ -227,11 +227,11 @@
 		      const struct pool_upstream *upstream)
 {
 	return pool->closures &&
-	       closures_has(pool->closures, upstream->info.domain);
+	       closed_domains_contain(pool->closures, upstream->info.domain);
 }
 
 uint32_t pool_set_closed_domains(struct pool *pool,
-				 const struct closures *closures)
+				 const struct closed_domains *closures)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -264,9 +264,9 @@
 {
 	int64_t now_us = lp_now_us(pool->clock);
 
-	warmup_sent(&upstream->warmup, warmup_limits_of(pool, upstream),
-		    now_us);
-	rate_limit_sent(&upstream->rate_limit, now_us);
+	warmup_note_sent(&upstream->warmup, warmup_limits_of(pool, upstream),
+			 now_us);
+	rate_limit_note_sent(&upstream->rate_limit, now_us);
 }
 
 bool pool_is_eligible(const struct pool_upstream *upstream)
@@ -307,7 +307,7 @@
 		if (pool_is_draining(upstream))
 			continue;
 		if (!upstream->domain_closed &&
-		    homes_have(allowed_regions, upstream->region))
+		    allowed_regions_contain(allowed_regions, upstream->region))
 			return false;
 		any = true;
 	}
@@ -347,9 +347,9 @@
 }
 
 bool pool_note_rate_limit(struct pool *pool, struct pool_upstream *upstream,
-			  const struct rate_limit_word *report)
+			  const struct rate_limit_report *report)
 {
-	return rate_limit_hear(&upstream->rate_limit, report);
+	return rate_limit_update(&upstream->rate_limit, report);
 }
 
 /* Listed upstreams that satisfy the predicate. */
@@ -405,7 +405,7 @@
 {
 	struct rate_limit_share share = rate_limit_share_of(pool, upstream);
 
-	return rate_limit_own_per_s(&upstream->rate_limit, &share);
+	return rate_limit_share_per_s(&upstream->rate_limit, &share);
 }
 
 /* ---- pushback ---- */
@@ -499,7 +499,7 @@
 static struct pool_upstream *
 create_upstream(const struct pool *pool, const struct pool_upstream_info *info)
 {
-	const struct room_options options = {
+	const struct result_memory_options options = {
 		.clock = pool->clock,
 		.linger_us = DEFAULT_RESULT_TTL_US,
 	};
@@ -520,7 +520,7 @@
 	upstream->listed = true;
 	upstream->refs = 1;
 	upstream->slowness = 1.0;
-	upstream->result_memory = room_create(&options);
+	upstream->result_memory = result_memory_create(&options);
 	upstream->cached_blocks = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, g_free, g_free);
 	upstream->domain_closed = is_closed(pool, upstream);
@@ -585,11 +585,11 @@
 static bool apply_info(struct pool *pool, const struct pool_upstream_info *info)
 {
 	struct pool_upstream *upstream = pool_find(pool, info->id);
-	enum lives_word verdict =
-		lives_listed(pool->lives, info->id, info->born_ms);
+	enum incarnation_status verdict = incarnations_observe_listed(
+		pool->lives, info->id, info->born_ms);
 	bool changed;
 
-	if (verdict == LIVES_OLD) {
+	if (verdict == INCARNATION_STALE) {
 		pool->needs_reapply = true;
 		return false;
 	}
@@ -597,7 +597,7 @@
 		add_incarnation(pool, info);
 		return true;
 	}
-	if (verdict == LIVES_NEW ||
+	if (verdict == INCARNATION_NEW ||
 	    !has_same_address_and_service(upstream, info)) {
 		replace_incarnation(pool, upstream, info);
 		return true;
@@ -669,7 +669,7 @@
 	for (uint32_t i = 0; i < count; i++)
 		if (apply_info(pool, &infos[i]))
 			changes++;
-	lives_forget(pool->lives);
+	incarnations_expire(pool->lives);
 	index_upstreams(pool);
 	return changes;
 }
@@ -701,16 +701,16 @@
 					    int64_t born_ms, int64_t asked_us)
 {
 	struct pool_upstream *listed = pool_find(pool, upstream->info.id);
-	enum lives_word verdict = lives_answered(pool->lives, upstream->info.id,
-						 born_ms, asked_us);
+	enum incarnation_status verdict = incarnations_observe_answer(
+		pool->lives, upstream->info.id, born_ms, asked_us);
 
-	if (verdict == LIVES_OLD)
+	if (verdict == INCARNATION_STALE)
 		return NULL;
 	if (!listed) /* unlisted while draining; keeps results for a while */
 		return upstream;
 	if (!has_same_address_and_service(listed, &upstream->info))
 		return NULL;
-	if (verdict == LIVES_NEW)
+	if (verdict == INCARNATION_NEW)
 		return replace_unlisted_incarnation(pool, listed, born_ms);
 	/* Without a start time the answer may come from `upstream`, which has
 	 * terminated. */
@@ -860,7 +860,8 @@
 
 		if (upstream->consecutive_failures ||
 		    now_us < upstream->ejected_until_us ||
-		    !homes_have(args->allowed_regions, upstream->region))
+		    !allowed_regions_contain(args->allowed_regions,
+					     upstream->region))
 			continue;
 		tokens = prefilled_prefix_tokens(upstream, args->blocks,
 						 args->blocks_count, now_us);
@@ -1118,7 +1119,8 @@
 		uint64_t rank = affinity_rank(args, upstream);
 
 		if (!pool_is_eligible(upstream) || rank <= best ||
-		    !homes_have(args->allowed_regions, upstream->region) ||
+		    !allowed_regions_contain(args->allowed_regions,
+					     upstream->region) ||
 		    !is_in_shard(args, upstream))
 			continue;
 		best = rank;
@@ -1231,7 +1233,8 @@
 
 		if (!is_send_permitted(pool, upstream) ||
 		    !is_in_shard(args, upstream) ||
-		    !homes_have(args->allowed_regions, upstream->region) ||
+		    !allowed_regions_contain(args->allowed_regions,
+					     upstream->region) ||
 		    was_tried(args, upstream->info.id))
 			continue;
 		decay_estimates(upstream, now_us);
@@ -1261,7 +1264,7 @@
 		       const struct pool_upstream *upstream)
 {
 	return pool_is_eligible(upstream) && is_in_shard(args, upstream) &&
-	       homes_have(args->allowed_regions, upstream->region);
+	       allowed_regions_contain(args->allowed_regions, upstream->region);
 }
 
 static struct capacity_forecast
@@ -1288,13 +1291,15 @@
 	return forecast;
 }
 
-static struct turns *retry_schedule_of(struct pool *pool, const char *service)
+static struct retry_schedule *retry_schedule_of(struct pool *pool,
+						const char *service)
 {
-	struct turns *turns = g_hash_table_lookup(pool->turns, service);
+	struct retry_schedule *turns =
+		g_hash_table_lookup(pool->turns, service);
 
 	if (turns)
 		return turns;
-	turns = g_new0(struct turns, 1);
+	turns = g_new0(struct retry_schedule, 1);
 	g_hash_table_insert(pool->turns, g_strdup(service), turns);
 	return turns;
 }
@@ -1306,7 +1311,7 @@
 
 	if (!forecast.wait_us || forecast.wait_us == G_MAXINT64)
 		return 0;
-	return turns_next_us(retry_schedule_of(pool, args->service),
-			     forecast.wait_us, forecast.per_s,
-			     lp_now_us(pool->clock));
+	return retry_schedule_next_us(retry_schedule_of(pool, args->service),
+				      forecast.wait_us, forecast.per_s,
+				      lp_now_us(pool->clock));
 }
--- a/policy/pool.h
+++ b/policy/pool.h
@@ -18,10 +18,10 @@
 #define POOL_H
 
 #include "base/lp_clock.h"
-#include "policy/closures.h"
-#include "policy/homes.h"
+#include "policy/allowed_regions.h"
+#include "policy/closed_domains.h"
 #include "policy/rate_limit.h"
-#include "policy/room.h"
+#include "policy/result_memory.h"
 #include "policy/warmup.h"
 
 #include <glib.h>
@@ -45,7 +45,7 @@
 	int64_t cold_left_us; /**< remaining cold period; 0: warm */
 };
 
-/** One incarnation of an upstream: policy/lives.h. */
+/** One incarnation of an upstream: policy/incarnations.h. */
 struct pool_upstream {
 	struct pool_upstream_info info;
 	uint64_t hash; /**< of the id; ranks the upstream and assigns its shard,
@@ -68,10 +68,10 @@
 	double error_rate;     /**< fading mean of recent outcomes, 0 to 1 */
 	double slowness;       /**< fading mean of time taken / time expected */
 	int64_t busy_until_us; /**< with calls of other entries */
-	struct room *result_memory;	   /**< of a stage */
-	int64_t result_memory_queried_us;  /**< last query; 0: never */
-	int64_t result_memory_reported_us; /**< last report; 0: never */
-	int64_t prefix_cache_queried_us;   /**< last query; 0: never */
+	struct result_memory *result_memory; /**< of a stage */
+	int64_t result_memory_queried_us;    /**< last query; 0: never */
+	int64_t result_memory_reported_us;   /**< last report; 0: never */
+	int64_t prefix_cache_queried_us;     /**< last query; 0: never */
 	/* private */
 	uint32_t refs;
 	GHashTable *cached_blocks; /* block id -> struct cached_block */
@@ -98,7 +98,7 @@
 	const char *service;
 	const struct pool_prefix_block *blocks; /**< of the prompt, or NULL */
 	uint32_t blocks_count;
-	const char *allowed_regions;  /**< policy/homes.h */
+	const char *allowed_regions;  /**< policy/allowed_regions.h */
 	const char *preferred_domain; /**< where the inputs are, or NULL */
 	int64_t fetch_bytes;  /**< inputs to fetch from preferred_domain */
 	int64_t target_us;    /**< latency target of the first event; 0: none */
@@ -167,7 +167,7 @@
 /** Set the domains closed to new work; borrowed. To be called again after each
  * change of `closures`. Returns for how many upstreams this changed. */
 uint32_t pool_set_closed_domains(struct pool *pool,
-				 const struct closures *closures);
+				 const struct closed_domains *closures);
 /** Set the warm-up limits of a service's upstreams; copied. */
 void pool_set_warmup(struct pool *pool, const char *service,
 		     const struct warmup_limits *limits);
@@ -178,7 +178,7 @@
 /** Record an advertised rate limit or its withdrawal. Returns whether this
  * changed the known limit, which is kept when the upstream leaves the list. */
 bool pool_note_rate_limit(struct pool *pool, struct pool_upstream *upstream,
-			  const struct rate_limit_word *report);
+			  const struct rate_limit_report *report);
 /** Listed upstreams that advertise a rate limit, or that gave a drain notice.
  * An array of borrowed struct pool_upstream, owned by the caller:
  * g_ptr_array_unref(). */
--- a/policy/rate_limit.c
+++ b/policy/rate_limit.c
@@ -4,12 +4,12 @@
 #include <math.h>
 
 /* What is known is told again this often at the most. */
-#define TELL_EACH_US (1 * LP_US_PER_S)
+#define BROADCAST_INTERVAL_US (1 * LP_US_PER_S)
 /* The end of a limit is told again for so long. */
-#define TELL_END_US (5 * LP_US_PER_S)
+#define WITHDRAWAL_BROADCAST_US (5 * LP_US_PER_S)
 
-bool rate_limit_hear(struct rate_limit *limit,
-		     const struct rate_limit_word *word)
+bool rate_limit_update(struct rate_limit *limit,
+		       const struct rate_limit_report *word)
 {
 	bool changed = limit->named != word->named ||
 		       (word->named && limit->per_s != word->per_s);
@@ -24,19 +24,21 @@
 	return changed;
 }
 
-bool rate_limit_is_to_be_told(const struct rate_limit *limit, int64_t now_us)
+bool rate_limit_needs_broadcast(const struct rate_limit *limit, int64_t now_us)
 {
 	bool has_ended_lately =
-		limit->ended_us && now_us - limit->ended_us < TELL_END_US;
+		limit->ended_us &&
+		now_us - limit->ended_us < WITHDRAWAL_BROADCAST_US;
 
 	return (limit->named || has_ended_lately) &&
-	       now_us - limit->told_us >= TELL_EACH_US;
+	       now_us - limit->told_us >= BROADCAST_INTERVAL_US;
 }
 
 static double owner_part(const struct rate_limit_fleet *fleet)
 {
-	double part = fleet->owner_us < RATE_LIMIT_NEW_US ? RATE_LIMIT_NEW_OWNER
-							  : RATE_LIMIT_OWNER;
+	double part = fleet->owner_us < RATE_LIMIT_NEW_OWNER_US
+			      ? RATE_LIMIT_NEW_OWNER_FRACTION
+			      : RATE_LIMIT_OWNER_FRACTION;
 
 	return part * fleet->heard / fleet->known;
 }
@@ -45,19 +47,21 @@
 rate_limit_find_share(const struct rate_limit_fleet *fleet)
 {
 	if (fleet->known <= 1)
-		return (struct rate_limit_share){ .part = RATE_LIMIT_OWNER };
+		return (struct rate_limit_share){
+			.part = RATE_LIMIT_OWNER_FRACTION
+		};
 	if (fleet->has_owner && fleet->is_owner)
 		return (struct rate_limit_share){ .part = owner_part(fleet) };
 	return (struct rate_limit_share){
-		.part = (fleet->has_owner ? RATE_LIMIT_OTHERS
-					  : RATE_LIMIT_EACH) /
+		.part = (fleet->has_owner ? RATE_LIMIT_OTHERS_FRACTION
+					  : RATE_LIMIT_NO_OWNER_FRACTION) /
 			fleet->known,
-		.valid_us = RATE_LIMIT_VALID_US,
+		.valid_us = RATE_LIMIT_SLOT_VALID_US,
 	};
 }
 
-double rate_limit_own_per_s(const struct rate_limit *limit,
-			    const struct rate_limit_share *share)
+double rate_limit_share_per_s(const struct rate_limit *limit,
+			      const struct rate_limit_share *share)
 {
 	return MAX(limit->per_s, RATE_LIMIT_MIN_PER_S) * share->part;
 }
@@ -79,7 +83,7 @@
 
 	if (!limit->named)
 		return 0;
-	slot_us = LP_US_PER_S / rate_limit_own_per_s(limit, share);
+	slot_us = LP_US_PER_S / rate_limit_share_per_s(limit, share);
 	start_us = slot_start_us(share, slot_us, now_us);
 	if (limit->sent_us < start_us &&
 	    (!share->valid_us || now_us - start_us < share->valid_us))
@@ -87,7 +91,7 @@
 	return MAX(start_us + (int64_t)slot_us - now_us, 1);
 }
 
-void rate_limit_sent(struct rate_limit *limit, int64_t now_us)
+void rate_limit_note_sent(struct rate_limit *limit, int64_t now_us)
 {
 	if (limit->named)
 		limit->sent_us = now_us;
--- a/policy/rate_limit.h
+++ b/policy/rate_limit.h
@@ -9,17 +9,19 @@
  * part of it, and one slot after the other in which it may send once. The
  * parts add up to less than the limit whoever can hear whom:
  *
- * - Whoever places or dispatches for a service has RATE_LIMIT_OWNER, and only
- *   as much of it as it hears of the fleet. So two groups of entries that are
- *   cut off from each other have one limit between them. One that has just
- *   taken over has RATE_LIMIT_NEW_OWNER: the one before may not know yet.
+ * - Whoever places or dispatches for a service has RATE_LIMIT_OWNER_FRACTION,
+ * and only as much of it as it hears of the fleet. So two groups of entries
+ * that are cut off from each other have one limit between them. One that has
+ * just taken over has RATE_LIMIT_NEW_OWNER_FRACTION: the one before may not
+ * know yet.
  * - The others, who send there only while that one does not answer, divide
- *   RATE_LIMIT_OTHERS among all.
- * - Where nobody places, entries divide RATE_LIMIT_EACH evenly. Hosts have no
- *   clock in common, so slots of many entries may fall together: it is less.
+ *   RATE_LIMIT_OTHERS_FRACTION among all.
+ * - Where nobody places, entries divide RATE_LIMIT_NO_OWNER_FRACTION evenly.
+ * Hosts have no clock in common, so slots of many entries may fall together: it
+ * is less.
  *
- * A slot that one of many does not use is lost after RATE_LIMIT_VALID_US, or
- * they could all save one up and use them at once.
+ * A slot that one of many does not use is lost after RATE_LIMIT_SLOT_VALID_US,
+ * or they could all save one up and use them at once.
  */
 #ifndef RATE_LIMIT_H
 #define RATE_LIMIT_H
@@ -29,14 +31,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RATE_LIMIT_OWNER 0.9
-#define RATE_LIMIT_NEW_OWNER 0.45
-#define RATE_LIMIT_OTHERS 0.1
-#define RATE_LIMIT_EACH 0.6
+#define RATE_LIMIT_OWNER_FRACTION 0.9
+#define RATE_LIMIT_NEW_OWNER_FRACTION 0.45
+#define RATE_LIMIT_OTHERS_FRACTION 0.1
+#define RATE_LIMIT_NO_OWNER_FRACTION 0.6
 /** An owner is new for so long: by then the one before has noticed that it
  * does not hear the others. */
-#define RATE_LIMIT_NEW_US (4 * LP_US_PER_S)
-#define RATE_LIMIT_VALID_US (1 * LP_US_PER_S)
+#define RATE_LIMIT_NEW_OWNER_US (4 * LP_US_PER_S)
+#define RATE_LIMIT_SLOT_VALID_US (1 * LP_US_PER_S)
 /** Less than this is not kept to, or nobody would hear that it has ended. */
 #define RATE_LIMIT_MIN_PER_S 0.2
 
@@ -51,7 +53,7 @@
 };
 
 /** What an answer said of it. */
-struct rate_limit_word {
+struct rate_limit_report {
 	bool named;
 	double per_s;
 	int64_t heard_us;
@@ -76,11 +78,11 @@
 
 /** Take a word, unless a newer one is known. Returns whether it changes what
  * is known. */
-bool rate_limit_hear(struct rate_limit *limit,
-		     const struct rate_limit_word *word);
+bool rate_limit_update(struct rate_limit *limit,
+		       const struct rate_limit_report *word);
 /** An answer has confirmed what is known: whether other entries are to be told
  * again. They have not been for a while, and may have missed it. */
-bool rate_limit_is_to_be_told(const struct rate_limit *limit, int64_t now_us);
+bool rate_limit_needs_broadcast(const struct rate_limit *limit, int64_t now_us);
 /** Our share of the limits of a service; its phase is left at 0. */
 struct rate_limit_share
 rate_limit_find_share(const struct rate_limit_fleet *fleet);
@@ -89,9 +91,9 @@
 			   const struct rate_limit_share *share,
 			   int64_t now_us);
 /** Requests a second that we may send there; only if it is named. */
-double rate_limit_own_per_s(const struct rate_limit *limit,
-			    const struct rate_limit_share *share);
+double rate_limit_share_per_s(const struct rate_limit *limit,
+			      const struct rate_limit_share *share);
 /** A request is sent there. */
-void rate_limit_sent(struct rate_limit *limit, int64_t now_us);
+void rate_limit_note_sent(struct rate_limit *limit, int64_t now_us);
 
 #endif
--- a/policy/remaining.c
+++ b/policy/remaining_latency.c
@@ -1,4 +1,4 @@
-#include "policy/remaining.h"
+#include "policy/remaining_latency.h"
 
 #include <glib.h>
 
@@ -7,8 +7,8 @@
 #define MEAN_WEIGHT 8
 #define SPREAD_WEIGHT 4
 
-void remaining_learn(struct remaining *remaining, int64_t expected_us,
-		     int64_t took_us)
+void remaining_latency_record(struct remaining_latency *remaining,
+			      int64_t expected_us, int64_t took_us)
 {
 	/* One that met a fault says nothing of the next one. */
 	int64_t over_us =
@@ -20,7 +20,8 @@
 		(ABS(off_us) - remaining->spread_us) / SPREAD_WEIGHT;
 }
 
-int64_t remaining_us(const struct remaining *remaining, int64_t expected_us)
+int64_t remaining_latency_us(const struct remaining_latency *remaining,
+			     int64_t expected_us)
 {
 	int64_t over_us = remaining->over_us + remaining->spread_us;
 
--- a/policy/remaining.h
+++ b/policy/remaining_latency.h
@@ -10,23 +10,24 @@
  * being on time would take. What is learnt is the time beyond the expected one:
  * its mean and its spread, so that most are on time and not half of them.
  */
-#ifndef REMAINING_H
-#define REMAINING_H
+#ifndef REMAINING_LATENCY_H
+#define REMAINING_LATENCY_H
 
 #include <stdint.h>
 
 /** Of one stage of one route; all zero at first. */
-struct remaining {
+struct remaining_latency {
 	int64_t over_us;   /**< private: fading mean beyond what is expected */
 	int64_t spread_us; /**< private: fading mean distance from that */
 };
 
 /** A request went on at once after the stage, and was answered `took_us` after
  * it; `expected_us` had been. */
-void remaining_learn(struct remaining *remaining, int64_t expected_us,
-		     int64_t took_us);
+void remaining_latency_record(struct remaining_latency *remaining,
+			      int64_t expected_us, int64_t took_us);
 /** What is to be allowed for where `expected_us` is expected: at least that, at
  * most twice as much. */
-int64_t remaining_us(const struct remaining *remaining, int64_t expected_us);
+int64_t remaining_latency_us(const struct remaining_latency *remaining,
+			     int64_t expected_us);
 
 #endif
--- a/policy/room.c
+++ b/policy/result_memory.c
@@ -1,40 +1,41 @@
-#include "policy/room.h"
+#include "policy/result_memory.h"
 
 #include <glib.h>
 
 /* A result that is kept. */
-struct result {
+struct held_result {
 	char *handle;
 	int64_t bytes;
 	int64_t until_us; /* its maker drops it then by itself */
 };
 
-struct room {
-	struct room_options options;
+struct result_memory {
+	struct result_memory_options options;
 	int64_t begun_bytes; /* of calls under way */
 	int64_t kept_bytes;
-	GQueue kept;	     /* of struct result, oldest first */
+	GQueue kept;	     /* of struct held_result, oldest first */
 	GHashTable *links;   /* handle -> its GList in `kept` */
 	int64_t other_bytes; /* not counted here */
 	int64_t other_until_us;
 };
 
-static int64_t now(const struct room *room)
+static int64_t now(const struct result_memory *room)
 {
 	return lp_now_us(room->options.clock);
 }
 
 static void free_result(gpointer data)
 {
-	struct result *result = data;
+	struct held_result *result = data;
 
 	g_free(result->handle);
 	g_free(result);
 }
 
-struct room *room_create(const struct room_options *options)
+struct result_memory *
+result_memory_create(const struct result_memory_options *options)
 {
-	struct room *room = g_new0(struct room, 1);
+	struct result_memory *room = g_new0(struct result_memory, 1);
 
 	room->options = *options;
 	g_queue_init(&room->kept);
@@ -42,7 +43,7 @@
 	return room;
 }
 
-void room_destroy(struct room *room)
+void result_memory_destroy(struct result_memory *room)
 {
 	if (!room)
 		return;
@@ -51,16 +52,16 @@
 	g_free(room);
 }
 
-void room_set_linger(struct room *room, int64_t linger_us)
+void result_memory_set_ttl(struct result_memory *room, int64_t linger_us)
 {
 	room->options.linger_us = linger_us;
 }
 
 /* ---- results of our calls ---- */
 
-static void remove_result(struct room *room, GList *link)
+static void remove_result(struct result_memory *room, GList *link)
 {
-	struct result *result = link->data;
+	struct held_result *result = link->data;
 
 	room->kept_bytes -= result->bytes;
 	g_hash_table_remove(room->links, result->handle);
@@ -68,12 +69,12 @@
 	free_result(result);
 }
 
-static void drop_expired(struct room *room)
+static void drop_expired(struct result_memory *room)
 {
 	GList *oldest = g_queue_peek_head_link(&room->kept);
 
 	while (oldest &&
-	       ((struct result *)oldest->data)->until_us <= now(room)) {
+	       ((struct held_result *)oldest->data)->until_us <= now(room)) {
 		remove_result(room, oldest);
 		oldest = g_queue_peek_head_link(&room->kept);
 	}
@@ -81,24 +82,25 @@
 		room->other_bytes = 0;
 }
 
-void room_begin(struct room *room, int64_t bytes)
+void result_memory_reserve(struct result_memory *room, int64_t bytes)
 {
 	room->begun_bytes += bytes;
 }
 
-void room_not_made(struct room *room, int64_t bytes)
+void result_memory_cancel(struct result_memory *room, int64_t bytes)
 {
 	room->begun_bytes -= bytes;
 }
 
-void room_made(struct room *room, const char *handle, int64_t bytes)
+void result_memory_commit(struct result_memory *room, const char *handle,
+			  int64_t bytes)
 {
-	struct result *result;
+	struct held_result *result;
 
 	room->begun_bytes -= bytes;
 	if (g_hash_table_contains(room->links, handle))
 		return;
-	result = g_new0(struct result, 1);
+	result = g_new0(struct held_result, 1);
 	result->handle = g_strdup(handle);
 	result->bytes = bytes;
 	result->until_us = now(room) + room->options.linger_us;
@@ -108,7 +110,8 @@
 	room->kept_bytes += bytes;
 }
 
-void room_given_up(struct room *room, const char *handle, int64_t bytes)
+void result_memory_release(struct result_memory *room, const char *handle,
+			   int64_t bytes)
 {
 	GList *link = g_hash_table_lookup(room->links, handle);
 
@@ -120,20 +123,21 @@
 
 /* ---- what is not counted here ---- */
 
-static void set_other(struct room *room, int64_t bytes)
+static void set_other(struct result_memory *room, int64_t bytes)
 {
 	room->other_bytes = MAX(bytes, 0);
 	room->other_until_us = now(room) + room->options.linger_us;
 }
 
 /* There is not more than that. */
-static void bound_other(struct room *room, int64_t most_bytes)
+static void bound_other(struct result_memory *room, int64_t most_bytes)
 {
 	room->other_bytes = MIN(room->other_bytes, MAX(most_bytes, 0));
 }
 
-void room_learn(struct room *room, int64_t all_bytes, int64_t own_bytes,
-		int64_t made_bytes, bool was_short)
+void result_memory_note_call(struct result_memory *room, int64_t all_bytes,
+			     int64_t own_bytes, int64_t made_bytes,
+			     bool was_short)
 {
 	int64_t other_bytes = all_bytes - own_bytes - made_bytes;
 
@@ -146,8 +150,9 @@
 		bound_other(room, other_bytes);
 }
 
-void room_told(struct room *room, int64_t all_bytes, int64_t own_bytes,
-	       int64_t least_bytes, int64_t most_bytes)
+void result_memory_note_report(struct result_memory *room, int64_t all_bytes,
+			       int64_t own_bytes, int64_t least_bytes,
+			       int64_t most_bytes)
 {
 	int64_t most_other = all_bytes - own_bytes - least_bytes;
 	int64_t least_other = all_bytes - own_bytes - most_bytes;
@@ -159,19 +164,19 @@
 		bound_other(room, most_other);
 }
 
-int64_t room_own_bytes(struct room *room)
+int64_t result_memory_tracked_bytes(struct result_memory *room)
 {
 	drop_expired(room);
 	return room->begun_bytes + room->kept_bytes;
 }
 
-int64_t room_other_bytes(struct room *room)
+int64_t result_memory_untracked_bytes(struct result_memory *room)
 {
 	drop_expired(room);
 	return room->other_bytes;
 }
 
-int64_t room_taken_bytes(struct room *room)
+int64_t result_memory_used_bytes(struct result_memory *room)
 {
-	return room_own_bytes(room) + room->other_bytes;
+	return result_memory_tracked_bytes(room) + room->other_bytes;
 }
--- a/policy/turns.h
+++ b/policy/retry_schedule.h
@@ -3,13 +3,13 @@
  * many requests a second: one after the other, as it can take them, so that
  * they are not all back at once for one place.
  */
-#ifndef TURNS_H
-#define TURNS_H
+#ifndef RETRY_SCHEDULE_H
+#define RETRY_SCHEDULE_H
 
 #include <stdint.h>
 
 /** Turns that were promised; all zero: none. */
-struct turns {
+struct retry_schedule {
 	int64_t next_us;
 };
 
@@ -18,7 +18,7 @@
  * it at this rate. Turns are given out for two seconds: callers who were told
  * more would rather go, and whoever comes then is told to come sooner.
  */
-int64_t turns_next_us(struct turns *turns, int64_t wait_us, double per_s,
-		      int64_t now_us);
+int64_t retry_schedule_next_us(struct retry_schedule *turns, int64_t wait_us,
+			       double per_s, int64_t now_us);
 
 #endif
--- a/policy/warmup.c
+++ b/policy/warmup.c
@@ -34,8 +34,8 @@
 	return !warmup_is_cold(warmup, now_us) || now_us >= warmup->next_us;
 }
 
-void warmup_sent(struct warmup *warmup, const struct warmup_limits *limits,
-		 int64_t now_us)
+void warmup_note_sent(struct warmup *warmup, const struct warmup_limits *limits,
+		      int64_t now_us)
 {
 	if (warmup_is_cold(warmup, now_us) && has_bound(limits))
 		warmup->next_us = now_us + pause_us(limits);
--- a/policy/warmup.h
+++ b/policy/warmup.h
@@ -38,7 +38,7 @@
 bool warmup_is_cold(const struct warmup *warmup, int64_t now_us);
 bool warmup_may_send(const struct warmup *warmup, int64_t now_us);
 /** A request is sent there. */
-void warmup_sent(struct warmup *warmup, const struct warmup_limits *limits,
-		 int64_t now_us);
+void warmup_note_sent(struct warmup *warmup, const struct warmup_limits *limits,
+		      int64_t now_us);
 
 #endif
--- a/tests/homes_test.cc
+++ b/tests/allowed_regions_test.cc
@@ -8,7 +8,7 @@
 
 const char *homes(std::vector<const char *> regions)
 {
-	return homes_create(regions.data(), regions.size());
+	return allowed_regions_create(regions.data(), regions.size());
 }
 
 TEST(Homes, BindBothWhereBothAreSet)
@@ -16,33 +16,39 @@
 	const char *route = homes({ "north", "south" });
 	const char *organisation = homes({ "south", "west" });
 
-	EXPECT_EQ(homes_both(route, organisation), homes({ "south" }));
-	EXPECT_EQ(homes_both(route, HOMES_ANYWHERE), route);
-	EXPECT_EQ(homes_both(HOMES_ANYWHERE, organisation), organisation);
-	EXPECT_EQ(homes_both(HOMES_ANYWHERE, HOMES_ANYWHERE), nullptr);
+	EXPECT_EQ(allowed_regions_intersect(route, organisation),
+		  homes({ "south" }));
+	EXPECT_EQ(allowed_regions_intersect(route, ALLOWED_REGIONS_ANY), route);
+	EXPECT_EQ(allowed_regions_intersect(ALLOWED_REGIONS_ANY, organisation),
+		  organisation);
+	EXPECT_EQ(allowed_regions_intersect(ALLOWED_REGIONS_ANY,
+					    ALLOWED_REGIONS_ANY),
+		  nullptr);
 	EXPECT_EQ(homes({ "south", "north" }), route);
 }
 
 TEST(Homes, AreNowhereWhereTheyHaveNothingInCommon)
 {
-	const char *none = homes_both(homes({ "north" }), homes({ "south" }));
+	const char *none = allowed_regions_intersect(homes({ "north" }),
+						     homes({ "south" }));
 
-	EXPECT_FALSE(homes_have(none, "north"));
-	EXPECT_FALSE(homes_have(none, ""));
-	EXPECT_FALSE(homes_have(homes({ "north" }), nullptr));
-	EXPECT_TRUE(homes_have(HOMES_ANYWHERE, nullptr));
+	EXPECT_FALSE(allowed_regions_contain(none, "north"));
+	EXPECT_FALSE(allowed_regions_contain(none, ""));
+	EXPECT_FALSE(allowed_regions_contain(homes({ "north" }), nullptr));
+	EXPECT_TRUE(allowed_regions_contain(ALLOWED_REGIONS_ANY, nullptr));
 }
 
 TEST(Homes, AreTheSameAtOtherEntries)
 {
 	const std::vector<const char *> sets = {
-		HOMES_ANYWHERE,
+		ALLOWED_REGIONS_ANY,
 		homes({ "north" }),
-		homes_both(homes({ "a" }), homes({ "b" })),
+		allowed_regions_intersect(homes({ "a" }), homes({ "b" })),
 	};
 
 	for (const char *set : sets)
-		EXPECT_EQ(homes_read(homes_write(set)), set);
+		EXPECT_EQ(allowed_regions_decode(allowed_regions_encode(set)),
+			  set);
 }
 
 /* Both domains have upstreams of each kind, and each is a region: what may only
--- a/tests/copy_test.cc
+++ b/tests/copy_test.cc
@@ -115,16 +115,16 @@
 TEST(Copy, IsTakenOutOfAClosedDomain)
 {
 	CopyingPool pool;
-	closures *closed = closures_create();
+	closed_domains *closed = closed_domains_create();
 
 	pool.add("there", "b");
 	pool.pass_ms(1000);
-	closures_set(closed, 1, "a", true);
+	closed_domains_set(closed, 1, "a", true);
 	pool_set_closed_domains(pool.it, closed);
 	EXPECT_STREQ(pool.pick(next)->info.id, "there");
 	EXPECT_EQ(pool.copy_to(pool_find(pool.it, "there")).source, pool.home);
 	pool_set_closed_domains(pool.it, nullptr);
-	closures_destroy(closed);
+	closed_domains_destroy(closed);
 }
 
 /* ---- what engines say they have ---- */
--- a/tests/direct_policy_test.cc
+++ b/tests/direct_policy_test.cc
@@ -314,45 +314,46 @@
 /* A burst: callers give 6 s, those that were refused come back with less. */
 TEST(Patience, WhoComesBackHasWaited)
 {
-	patience callers = {};
+	client_wait callers = {};
 
 	for (int i = 0; i < 8; i++)
-		EXPECT_EQ(patience_waited_us(&callers, 6000000 - i * 2000), 0);
+		EXPECT_EQ(client_wait_elapsed_us(&callers, 6000000 - i * 2000),
+			  0);
 	/* Told in steps of 20 ms. */
-	EXPECT_NEAR((double)patience_waited_us(&callers, 4500000), 1500000.0,
-		    40000.0);
-	EXPECT_EQ(patience_waited_us(&callers, 5992000), 0);
+	EXPECT_NEAR((double)client_wait_elapsed_us(&callers, 4500000),
+		    1500000.0, 40000.0);
+	EXPECT_EQ(client_wait_elapsed_us(&callers, 5992000), 0);
 	/* Many come back, each with what it has left. */
 	for (int i = 0; i < 40; i++)
-		EXPECT_NEAR((double)patience_waited_us(&callers,
-						       3000000 + i * 60000),
+		EXPECT_NEAR((double)client_wait_elapsed_us(&callers,
+							   3000000 + i * 60000),
 			    3000000.0 - i * 60000, 40000.0);
 }
 
 /* Callers of two kinds: the shorter time is not what is left of the longer. */
 TEST(Patience, AUsualTimeIsAFirstTry)
 {
-	patience callers = {};
+	client_wait callers = {};
 
 	for (int i = 0; i < 8; i++) {
-		patience_waited_us(&callers, 6000000);
-		patience_waited_us(&callers, 2000000);
+		client_wait_elapsed_us(&callers, 6000000);
+		client_wait_elapsed_us(&callers, 2000000);
 	}
-	EXPECT_EQ(patience_waited_us(&callers, 6000000), 0);
-	EXPECT_EQ(patience_waited_us(&callers, 2000000), 0);
-	EXPECT_EQ(patience_waited_us(&callers, 1200000), 800000);
-	EXPECT_EQ(patience_waited_us(&callers, 3000000), 3000000);
+	EXPECT_EQ(client_wait_elapsed_us(&callers, 6000000), 0);
+	EXPECT_EQ(client_wait_elapsed_us(&callers, 2000000), 0);
+	EXPECT_EQ(client_wait_elapsed_us(&callers, 1200000), 800000);
+	EXPECT_EQ(client_wait_elapsed_us(&callers, 3000000), 3000000);
 }
 
 TEST(Patience, NothingIsConcludedOfTimesThatAllDiffer)
 {
-	patience callers = {};
+	client_wait callers = {};
 
 	for (int i = 0; i < 200; i++)
-		EXPECT_EQ(patience_waited_us(&callers,
-					     9000000 - (i * 37 % 100) * 80000),
+		EXPECT_EQ(client_wait_elapsed_us(
+				  &callers, 9000000 - (i * 37 % 100) * 80000),
 			  0);
-	EXPECT_EQ(patience_waited_us(&callers, 0), 0);
+	EXPECT_EQ(client_wait_elapsed_us(&callers, 0), 0);
 }
 
 /* ---- pool ---- */
@@ -696,18 +697,18 @@
 	void tell_rooms(int64_t bytes)
 	{
 		while (pool_upstream *upstream = pieces_ask_room(queue))
-			pieces_room_told(
-				queue, upstream,
-				room_own_bytes(upstream->result_memory), bytes,
-				bytes);
+			pieces_room_told(queue, upstream,
+					 result_memory_tracked_bytes(
+						 upstream->result_memory),
+					 bytes, bytes);
 	}
 	/* A result is kept there. */
 	void keep(const char *id, const char *handle, int64_t bytes)
 	{
-		room *at = pool_find(it, id)->result_memory;
+		result_memory *at = pool_find(it, id)->result_memory;
 
-		room_begin(at, bytes);
-		room_made(at, handle, bytes);
+		result_memory_reserve(at, bytes);
+		result_memory_commit(at, handle, bytes);
 	}
 };
 
@@ -753,7 +754,8 @@
 	rig.ask(3, 1, 700000, 0, 200);
 	rig.tell_rooms(1000);
 	ASSERT_EQ(rig.next(&call), (std::vector<int>{ 1, 1, 1, 1, 3 }));
-	EXPECT_EQ(room_own_bytes(call->upstream->result_memory), 1000);
+	EXPECT_EQ(result_memory_tracked_bytes(call->upstream->result_memory),
+		  1000);
 	rig.end(call);
 }
 
@@ -786,8 +788,10 @@
 	rig.ask(1, 1, 500000, 0, 200);
 	rig.tell_rooms(50);
 	ASSERT_TRUE(rig.next(&call).empty());
-	room_given_up(pool_find(rig.it, "two")->result_memory, "2/a", 900);
-	EXPECT_EQ(room_taken_bytes(pool_find(rig.it, "two")->result_memory),
+	result_memory_release(pool_find(rig.it, "two")->result_memory, "2/a",
+			      900);
+	EXPECT_EQ(result_memory_used_bytes(
+			  pool_find(rig.it, "two")->result_memory),
 		  50);
 	ASSERT_EQ(rig.next(&call).size(), 1u);
 	EXPECT_STREQ(call->upstream->info.id, "two");
--- a/tests/lives_test.cc
+++ b/tests/incarnations_test.cc
@@ -11,19 +11,19 @@
 
 struct Lives {
 	TestClock clock;
-	lives *it = lives_create(&clock.clock);
+	incarnations *it = incarnations_create(&clock.clock);
 
 	~Lives()
 	{
-		lives_destroy(it);
+		incarnations_destroy(it);
 	}
-	lives_word listed(int64_t born_ms, const char *id = "i")
+	incarnation_status listed(int64_t born_ms, const char *id = "i")
 	{
-		return lives_listed(it, id, born_ms);
+		return incarnations_observe_listed(it, id, born_ms);
 	}
-	lives_word answered(int64_t born_ms, int64_t asked_us = 0)
+	incarnation_status answered(int64_t born_ms, int64_t asked_us = 0)
 	{
-		return lives_answered(it, "i", born_ms, asked_us);
+		return incarnations_observe_answer(it, "i", born_ms, asked_us);
 	}
 };
 
@@ -31,13 +31,13 @@
 {
 	Lives lives;
 
-	EXPECT_EQ(lives.listed(1000), LIVES_NEW);
-	EXPECT_EQ(lives.listed(1000), LIVES_SAME);
-	EXPECT_EQ(lives.listed(1001), LIVES_NEW);
-	EXPECT_EQ(lives.answered(1001), LIVES_SAME);
-	EXPECT_EQ(lives.answered(1002), LIVES_NEW);
-	EXPECT_EQ(lives.answered(1002), LIVES_SAME);
-	EXPECT_EQ(lives.listed(1000, "other"), LIVES_NEW);
+	EXPECT_EQ(lives.listed(1000), INCARNATION_NEW);
+	EXPECT_EQ(lives.listed(1000), INCARNATION_CURRENT);
+	EXPECT_EQ(lives.listed(1001), INCARNATION_NEW);
+	EXPECT_EQ(lives.answered(1001), INCARNATION_CURRENT);
+	EXPECT_EQ(lives.answered(1002), INCARNATION_NEW);
+	EXPECT_EQ(lives.answered(1002), INCARNATION_CURRENT);
+	EXPECT_EQ(lives.listed(1000, "other"), INCARNATION_NEW);
 }
 
 /* Peers' lists, answers and writes that are done late name it still. */
@@ -47,15 +47,16 @@
 
 	lives.listed(1000);
 	lives.answered(1001);
-	EXPECT_EQ(lives.answered(1000), LIVES_OLD);
-	EXPECT_EQ(lives.listed(1000), LIVES_OLD);
-	lives.clock.now_us += LIVES_SET_BACK_US - 1;
-	EXPECT_EQ(lives.listed(1000), LIVES_OLD);
-	EXPECT_EQ(lives.listed(1001), LIVES_SAME); /* it has written again */
+	EXPECT_EQ(lives.answered(1000), INCARNATION_STALE);
+	EXPECT_EQ(lives.listed(1000), INCARNATION_STALE);
+	lives.clock.now_us += INCARNATIONS_CLOCK_SET_BACK_US - 1;
+	EXPECT_EQ(lives.listed(1000), INCARNATION_STALE);
+	EXPECT_EQ(lives.listed(1001),
+		  INCARNATION_CURRENT); /* it has written again */
 	lives.clock.now_us += s;
-	EXPECT_EQ(lives.listed(1000), LIVES_OLD);
+	EXPECT_EQ(lives.listed(1000), INCARNATION_STALE);
 	lives.clock.now_us += 100 * s; /* only lists can tell */
-	EXPECT_EQ(lives.answered(1000), LIVES_OLD);
+	EXPECT_EQ(lives.answered(1000), INCARNATION_STALE);
 }
 
 TEST(Lives, AClockThatWasSetBackIsSeenByTheListsThatGoOnNamingIt)
@@ -63,15 +64,15 @@
 	Lives lives;
 
 	lives.listed(9000);
-	EXPECT_EQ(lives.listed(5000), LIVES_OLD);
-	lives.clock.now_us += LIVES_SET_BACK_US / 2;
-	EXPECT_EQ(lives.listed(4000), LIVES_OLD); /* yet another one */
-	lives.clock.now_us += LIVES_SET_BACK_US / 2;
-	EXPECT_EQ(lives.listed(4000), LIVES_OLD);
-	lives.clock.now_us += LIVES_SET_BACK_US / 2;
-	EXPECT_EQ(lives.listed(4000), LIVES_NEW);
-	EXPECT_EQ(lives.answered(4000), LIVES_SAME);
-	EXPECT_EQ(lives.listed(4001), LIVES_NEW);
+	EXPECT_EQ(lives.listed(5000), INCARNATION_STALE);
+	lives.clock.now_us += INCARNATIONS_CLOCK_SET_BACK_US / 2;
+	EXPECT_EQ(lives.listed(4000), INCARNATION_STALE); /* yet another one */
+	lives.clock.now_us += INCARNATIONS_CLOCK_SET_BACK_US / 2;
+	EXPECT_EQ(lives.listed(4000), INCARNATION_STALE);
+	lives.clock.now_us += INCARNATIONS_CLOCK_SET_BACK_US / 2;
+	EXPECT_EQ(lives.listed(4000), INCARNATION_NEW);
+	EXPECT_EQ(lives.answered(4000), INCARNATION_CURRENT);
+	EXPECT_EQ(lives.listed(4001), INCARNATION_NEW);
 }
 
 /* Who answers what was asked after the newer one was known is there. */
@@ -82,24 +83,24 @@
 
 	lives.listed(9000);
 	lives.clock.now_us += s;
-	EXPECT_EQ(lives.answered(5000, known_us), LIVES_OLD);
-	EXPECT_EQ(lives.answered(5000, known_us + 1), LIVES_NEW);
-	EXPECT_EQ(lives.listed(5000), LIVES_SAME);
+	EXPECT_EQ(lives.answered(5000, known_us), INCARNATION_STALE);
+	EXPECT_EQ(lives.answered(5000, known_us + 1), INCARNATION_NEW);
+	EXPECT_EQ(lives.listed(5000), INCARNATION_CURRENT);
 	/* The list that still names the one before is taken as a new one. */
-	EXPECT_EQ(lives.answered(5000, known_us + 2 * s), LIVES_SAME);
+	EXPECT_EQ(lives.answered(5000, known_us + 2 * s), INCARNATION_CURRENT);
 }
 
 TEST(Lives, AStartThatIsNotSaidAgreesWithEveryLife)
 {
 	Lives lives;
 
-	EXPECT_EQ(lives.listed(0), LIVES_NEW);
-	EXPECT_EQ(lives.listed(0), LIVES_SAME);
-	EXPECT_EQ(lives.answered(700), LIVES_SAME);
-	EXPECT_EQ(lives.listed(1000), LIVES_NEW);
-	EXPECT_EQ(lives.listed(0), LIVES_SAME);
-	EXPECT_EQ(lives.answered(0), LIVES_SAME);
-	EXPECT_EQ(lives.listed(999), LIVES_OLD);
+	EXPECT_EQ(lives.listed(0), INCARNATION_NEW);
+	EXPECT_EQ(lives.listed(0), INCARNATION_CURRENT);
+	EXPECT_EQ(lives.answered(700), INCARNATION_CURRENT);
+	EXPECT_EQ(lives.listed(1000), INCARNATION_NEW);
+	EXPECT_EQ(lives.listed(0), INCARNATION_CURRENT);
+	EXPECT_EQ(lives.answered(0), INCARNATION_CURRENT);
+	EXPECT_EQ(lives.listed(999), INCARNATION_STALE);
 }
 
 TEST(Lives, WhatNoListNamesIsForgottenInTheEnd)
@@ -107,12 +108,12 @@
 	Lives lives;
 
 	lives.listed(1000);
-	lives.clock.now_us += LIVES_KEEP_US;
-	lives_forget(lives.it);
-	EXPECT_EQ(lives.listed(999), LIVES_OLD);
-	lives.clock.now_us += LIVES_KEEP_US + 1;
-	lives_forget(lives.it);
-	EXPECT_EQ(lives.listed(999), LIVES_NEW);
+	lives.clock.now_us += INCARNATIONS_RETENTION_US;
+	incarnations_expire(lives.it);
+	EXPECT_EQ(lives.listed(999), INCARNATION_STALE);
+	lives.clock.now_us += INCARNATIONS_RETENTION_US + 1;
+	incarnations_expire(lives.it);
+	EXPECT_EQ(lives.listed(999), INCARNATION_NEW);
 }
 
 /* ---- in the pool ---- */
@@ -155,8 +156,8 @@
 	pool_note_cached_blocks(pool.it, before, &part, 1, 0);
 	for (int i = 0; i < 5; i++)
 		pool_record_outcome(pool.it, before, POOL_UNREACHABLE, 0, 0);
-	room_begin(before->result_memory, 900);
-	room_made(before->result_memory, "h", 900);
+	result_memory_reserve(before->result_memory, 900);
+	result_memory_commit(before->result_memory, "h", 900);
 	EXPECT_EQ(pool_uncached_tokens(before, &part, 1), 0);
 	pool.list(1001);
 	after = pool.i();
@@ -166,7 +167,7 @@
 	EXPECT_EQ(after->pending_prefill_tokens, 0);
 	EXPECT_EQ(pool_uncached_tokens(after, &part, 1), 900);
 	EXPECT_TRUE(pool_is_available(pool.it, after));
-	EXPECT_EQ(room_taken_bytes(after->result_memory), 0);
+	EXPECT_EQ(result_memory_used_bytes(after->result_memory), 0);
 	/* Its place among the others stays; words of peers part them. */
 	EXPECT_EQ(after->hash, before->hash);
 	EXPECT_NE(after->incarnation, before->incarnation);
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -254,19 +254,20 @@
 
 struct Losses {
 	TestClock clock;
-	losses *it = losses_create(&clock.clock);
+	lost_requests *it = lost_requests_create(&clock.clock);
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(loss));
 
 	~Losses()
 	{
-		losses_destroy(it);
+		lost_requests_destroy(it);
 		g_array_unref(out);
 	}
-	losses_word add(uint64_t request, uint64_t life)
+	lost_request_status add(uint64_t request, uint64_t life)
 	{
-		loss one = { request, life, 1, clock.now_us, clock.now_us };
+		lost_request one = { request, life, 1, clock.now_us,
+				     clock.now_us };
 
-		return losses_add(it, &one);
+		return lost_requests_add(it, &one);
 	}
 };
 
@@ -274,27 +275,30 @@
 {
 	Losses losses;
 
-	EXPECT_EQ(losses.add(1, 50), LOSSES_ASK);
-	EXPECT_EQ(losses.add(2, 50), LOSSES_WAIT);
-	EXPECT_EQ(losses.add(3, 51), LOSSES_ASK);
-	EXPECT_TRUE(losses_ended(losses.it, 50, false, losses.out));
+	EXPECT_EQ(losses.add(1, 50), LOST_REQUEST_PROBE_NEEDED);
+	EXPECT_EQ(losses.add(2, 50), LOST_REQUEST_PROBE_PENDING);
+	EXPECT_EQ(losses.add(3, 51), LOST_REQUEST_PROBE_NEEDED);
+	EXPECT_TRUE(lost_requests_note_termination(losses.it, 50, false,
+						   losses.out));
 	EXPECT_EQ(losses.out->len, 2u);
-	EXPECT_FALSE(losses_ended(losses.it, 50, false, losses.out));
+	EXPECT_FALSE(lost_requests_note_termination(losses.it, 50, false,
+						    losses.out));
 	EXPECT_EQ(losses.out->len, 2u);
-	EXPECT_EQ(losses.add(4, 50), LOSSES_ENDED);
+	EXPECT_EQ(losses.add(4, 50), LOST_REQUEST_UPSTREAM_TERMINATED);
 }
 
 /* A loss that shows late is as old as the end. */
 TEST(Losses, ThoseThatShowLateAreAsOldAsTheEnd)
 {
 	Losses losses;
-	loss late = { 1, 50, 1, 0, 0 };
+	lost_request late = { 1, 50, 1, 0, 0 };
 	int64_t ended_us = losses.clock.now_us;
 
-	losses_ended(losses.it, 50, false, losses.out);
+	lost_requests_note_termination(losses.it, 50, false, losses.out);
 	losses.clock.now_us += s;
 	late.lost_us = losses.clock.now_us;
-	EXPECT_EQ(losses_add(losses.it, &late), LOSSES_ENDED);
+	EXPECT_EQ(lost_requests_add(losses.it, &late),
+		  LOST_REQUEST_UPSTREAM_TERMINATED);
 	EXPECT_EQ(late.lost_us, ended_us);
 }
 
@@ -304,10 +308,11 @@
 	Losses losses;
 
 	losses.add(1, 50);
-	losses_ended(losses.it, 50, false, losses.out);
+	lost_requests_note_termination(losses.it, 50, false, losses.out);
 	losses.clock.now_us += s;
-	EXPECT_EQ(losses.add(1, 50), LOSSES_ASK);
-	EXPECT_TRUE(losses_ended(losses.it, 50, false, losses.out));
+	EXPECT_EQ(losses.add(1, 50), LOST_REQUEST_PROBE_NEEDED);
+	EXPECT_TRUE(lost_requests_note_termination(losses.it, 50, false,
+						   losses.out));
 	ASSERT_EQ(losses.out->len, 2u);
 }
 
@@ -318,11 +323,12 @@
 	for (bool restarted : { false, true }) {
 		Losses losses;
 
-		EXPECT_EQ(losses.add(1, 50), LOSSES_ASK);
-		losses_not_found(losses.it, 50, true);
-		EXPECT_EQ(losses.add(2, 50), LOSSES_ASK);
-		EXPECT_EQ(losses.add(3, 50), LOSSES_WAIT);
-		losses_ended(losses.it, 50, restarted, losses.out);
+		EXPECT_EQ(losses.add(1, 50), LOST_REQUEST_PROBE_NEEDED);
+		lost_requests_note_undetermined(losses.it, 50, true);
+		EXPECT_EQ(losses.add(2, 50), LOST_REQUEST_PROBE_NEEDED);
+		EXPECT_EQ(losses.add(3, 50), LOST_REQUEST_PROBE_PENDING);
+		lost_requests_note_termination(losses.it, 50, restarted,
+					       losses.out);
 		EXPECT_EQ(losses.out->len, restarted ? 3u : 2u);
 	}
 }
@@ -332,8 +338,8 @@
 	Losses losses;
 
 	losses.add(1, 50);
-	losses_not_found(losses.it, 50, false);
-	losses_ended(losses.it, 50, false, losses.out);
+	lost_requests_note_undetermined(losses.it, 50, false);
+	lost_requests_note_termination(losses.it, 50, false, losses.out);
 	EXPECT_EQ(losses.out->len, 1u);
 }
 
@@ -341,12 +347,13 @@
 {
 	Losses losses;
 
-	losses_ended(losses.it, 50, false, losses.out);
+	lost_requests_note_termination(losses.it, 50, false, losses.out);
 	losses.add(1, 51);
-	losses.clock.now_us += LOSSES_KEEP_US + 1;
-	losses_forget(losses.it);
-	EXPECT_EQ(losses.add(1, 51), LOSSES_ASK);
-	EXPECT_EQ(losses.add(1, 50), LOSSES_ASK); /* its end is forgotten too */
+	losses.clock.now_us += LOST_REQUESTS_RETENTION_US + 1;
+	lost_requests_expire(losses.it);
+	EXPECT_EQ(losses.add(1, 51), LOST_REQUEST_PROBE_NEEDED);
+	EXPECT_EQ(losses.add(1, 50),
+		  LOST_REQUEST_PROBE_NEEDED); /* its end is forgotten too */
 }
 
 } // namespace
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -136,7 +136,7 @@
 	char id[] = "1", service[] = "s", address[] = "1:1", domain[] = "a";
 	pool_upstream_info entry = { id, service, address, domain,
 				     4,	 false,	  7,	   0 };
-	rate_limit_word word = { true, 1, 5 };
+	rate_limit_report word = { true, 1, 5 };
 
 	pool_update(it, &entry, 1);
 	EXPECT_TRUE(pool_note_rate_limit(it, pool_find(it, "1"), &word));
@@ -157,34 +157,34 @@
 TEST(RateLimit, TheNewestAnswerCounts)
 {
 	rate_limit limit = {};
-	rate_limit_word named = { true, 2, 100 };
-	rate_limit_word none = { false, 0, 200 };
+	rate_limit_report named = { true, 2, 100 };
+	rate_limit_report none = { false, 0, 200 };
 
-	EXPECT_TRUE(rate_limit_hear(&limit, &named));
-	EXPECT_FALSE(rate_limit_hear(&limit, &named));
-	EXPECT_TRUE(rate_limit_hear(&limit, &none));
+	EXPECT_TRUE(rate_limit_update(&limit, &named));
+	EXPECT_FALSE(rate_limit_update(&limit, &named));
+	EXPECT_TRUE(rate_limit_update(&limit, &none));
 	/* Heard late, from another entry. */
-	EXPECT_FALSE(rate_limit_hear(&limit, &named));
+	EXPECT_FALSE(rate_limit_update(&limit, &named));
 	EXPECT_FALSE(limit.named);
 	named.heard_us = 300;
-	EXPECT_TRUE(rate_limit_hear(&limit, &named));
+	EXPECT_TRUE(rate_limit_update(&limit, &named));
 	EXPECT_TRUE(limit.named);
 }
 
 TEST(RateLimit, IsToldAgainWhileItHoldsAndAWhileAfter)
 {
 	rate_limit limit = {};
-	rate_limit_word word = { true, 2, 1000 * ms };
+	rate_limit_report word = { true, 2, 1000 * ms };
 
-	EXPECT_FALSE(rate_limit_is_to_be_told(&limit, 9000 * ms));
-	rate_limit_hear(&limit, &word);
+	EXPECT_FALSE(rate_limit_needs_broadcast(&limit, 9000 * ms));
+	rate_limit_update(&limit, &word);
 	limit.told_us = 1000 * ms;
-	EXPECT_FALSE(rate_limit_is_to_be_told(&limit, 1900 * ms));
-	EXPECT_TRUE(rate_limit_is_to_be_told(&limit, 2000 * ms));
+	EXPECT_FALSE(rate_limit_needs_broadcast(&limit, 1900 * ms));
+	EXPECT_TRUE(rate_limit_needs_broadcast(&limit, 2000 * ms));
 	word = { false, 0, 3000 * ms };
-	rate_limit_hear(&limit, &word);
-	EXPECT_TRUE(rate_limit_is_to_be_told(&limit, 7000 * ms));
-	EXPECT_FALSE(rate_limit_is_to_be_told(&limit, 8000 * ms));
+	rate_limit_update(&limit, &word);
+	EXPECT_TRUE(rate_limit_needs_broadcast(&limit, 7000 * ms));
+	EXPECT_FALSE(rate_limit_needs_broadcast(&limit, 8000 * ms));
 }
 
 /* Even one that takes nothing is asked now and then, or its end is not heard.
@@ -192,10 +192,10 @@
 TEST(RateLimit, NoneIsGivenUp)
 {
 	rate_limit limit = { true, 0, 1, 0, 0, 0 };
-	rate_limit_share share = { RATE_LIMIT_OWNER, 0, 0 };
+	rate_limit_share share = { RATE_LIMIT_OWNER_FRACTION, 0, 0 };
 	int64_t now_us = 1;
 
-	rate_limit_sent(&limit, now_us);
+	rate_limit_note_sent(&limit, now_us);
 	now_us += rate_limit_wait_us(&limit, &share, now_us) + ms;
 	EXPECT_EQ(rate_limit_wait_us(&limit, &share, now_us), 0);
 	EXPECT_LT(now_us, 10 * LP_US_PER_S);
@@ -233,7 +233,7 @@
 			if (g_rand_double(random) >= member.demand ||
 			    rate_limit_wait_us(&member.limit, &share, at + 1))
 				continue;
-			rate_limit_sent(&member.limit, at + 1);
+			rate_limit_note_sent(&member.limit, at + 1);
 			sent.push_back(at);
 		}
 		while (first < sent.size() &&
@@ -364,16 +364,18 @@
 
 TEST(Turns, CallersComeBackOneAfterTheOther)
 {
-	turns it = {};
+	retry_schedule it = {};
 
-	EXPECT_EQ(turns_next_us(&it, 100 * ms, 4, 0), 100 * ms);
-	EXPECT_EQ(turns_next_us(&it, 100 * ms, 4, 0), 350 * ms);
-	EXPECT_EQ(turns_next_us(&it, 40 * ms, 4, 60 * ms), 540 * ms);
+	EXPECT_EQ(retry_schedule_next_us(&it, 100 * ms, 4, 0), 100 * ms);
+	EXPECT_EQ(retry_schedule_next_us(&it, 100 * ms, 4, 0), 350 * ms);
+	EXPECT_EQ(retry_schedule_next_us(&it, 40 * ms, 4, 60 * ms), 540 * ms);
 	/* Beyond two seconds nobody is told. */
 	for (int i = 0; i < 20; i++)
-		EXPECT_LE(turns_next_us(&it, 100 * ms, 4, 60 * ms), 2100 * ms);
+		EXPECT_LE(retry_schedule_next_us(&it, 100 * ms, 4, 60 * ms),
+			  2100 * ms);
 	/* Turns that have passed are over. */
-	EXPECT_EQ(turns_next_us(&it, 100 * ms, 4, 9000 * ms), 100 * ms);
+	EXPECT_EQ(retry_schedule_next_us(&it, 100 * ms, 4, 9000 * ms),
+		  100 * ms);
 }
 
 } // namespace
--- a/tests/remaining_test.cc
+++ b/tests/remaining_latency_test.cc
@@ -13,42 +13,43 @@
 
 TEST(Remaining, AllowsForTheMeanAndTheSpreadOfWhatWasSeen)
 {
-	remaining it = {};
+	remaining_latency it = {};
 
-	EXPECT_EQ(remaining_us(&it, 300 * ms), 300 * ms);
+	EXPECT_EQ(remaining_latency_us(&it, 300 * ms), 300 * ms);
 	for (int i = 0; i < 100; i++)
-		remaining_learn(&it, 300 * ms, (i % 2 ? 400 : 440) * ms);
-	EXPECT_GT(remaining_us(&it, 300 * ms), 420 * ms);
-	EXPECT_LT(remaining_us(&it, 300 * ms), 460 * ms);
+		remaining_latency_record(&it, 300 * ms,
+					 (i % 2 ? 400 : 440) * ms);
+	EXPECT_GT(remaining_latency_us(&it, 300 * ms), 420 * ms);
+	EXPECT_LT(remaining_latency_us(&it, 300 * ms), 460 * ms);
 }
 
 /* Faults are not learnt as usual, and what is faster does not make it later
  * than expected. */
 TEST(Remaining, StaysBetweenWhatIsExpectedAndTwiceThat)
 {
-	remaining it = {};
+	remaining_latency it = {};
 
 	for (int i = 0; i < 100; i++)
-		remaining_learn(&it, 300 * ms, 60000 * ms);
-	EXPECT_EQ(remaining_us(&it, 300 * ms), 600 * ms);
-	EXPECT_EQ(remaining_us(&it, 100 * ms), 200 * ms);
+		remaining_latency_record(&it, 300 * ms, 60000 * ms);
+	EXPECT_EQ(remaining_latency_us(&it, 300 * ms), 600 * ms);
+	EXPECT_EQ(remaining_latency_us(&it, 100 * ms), 200 * ms);
 	for (int i = 0; i < 200; i++)
-		remaining_learn(&it, 300 * ms, 10 * ms);
-	EXPECT_EQ(remaining_us(&it, 300 * ms), 300 * ms);
+		remaining_latency_record(&it, 300 * ms, 10 * ms);
+	EXPECT_EQ(remaining_latency_us(&it, 300 * ms), 300 * ms);
 }
 
 /* One that fell out of the usual is forgotten in some ten more. */
 TEST(Remaining, ForgetsOneSlowRequest)
 {
-	remaining it = {};
+	remaining_latency it = {};
 
 	for (int i = 0; i < 50; i++)
-		remaining_learn(&it, 300 * ms, 350 * ms);
-	remaining_learn(&it, 300 * ms, 600 * ms);
-	EXPECT_GT(remaining_us(&it, 300 * ms), 400 * ms);
+		remaining_latency_record(&it, 300 * ms, 350 * ms);
+	remaining_latency_record(&it, 300 * ms, 600 * ms);
+	EXPECT_GT(remaining_latency_us(&it, 300 * ms), 400 * ms);
 	for (int i = 0; i < 20; i++)
-		remaining_learn(&it, 300 * ms, 350 * ms);
-	EXPECT_LT(remaining_us(&it, 300 * ms), 370 * ms);
+		remaining_latency_record(&it, 300 * ms, 350 * ms);
+	EXPECT_LT(remaining_latency_us(&it, 300 * ms), 370 * ms);
 }
 
 /*
@@ -66,7 +67,7 @@
 	pieces *queue;
 	std::vector<pieces_call *> calls;
 	std::vector<Request> requests;
-	remaining learnt = {};
+	remaining_latency learnt = {};
 	bool learns;
 	int on_time = 0;
 	int just_late = 0; /* by less than half a second */
@@ -96,8 +97,9 @@
 	void ask()
 	{
 		piece one = {};
-		int64_t after_us = learns ? remaining_us(&learnt, expected_us)
-					  : expected_us;
+		int64_t after_us =
+			learns ? remaining_latency_us(&learnt, expected_us)
+			       : expected_us;
 
 		requests.push_back({ clock.now_us });
 		one.request = &requests.back();
@@ -116,7 +118,7 @@
 			ms;
 		int64_t took_us = clock.now_us + after_us - request->came_us;
 
-		remaining_learn(&learnt, expected_us, after_us);
+		remaining_latency_record(&learnt, expected_us, after_us);
 		on_time += took_us <= target_us;
 		just_late +=
 			took_us > target_us && took_us < target_us + 500 * ms;
--- a/tests/restart_test.cc
+++ b/tests/restart_test.cc
@@ -161,7 +161,7 @@
 	pe_restart(plain, &way);
 	rig.settle();
 	EXPECT_EQ(Ask(rig.address, "a1", "/look/x").wait().status, 200u);
-	turn_until([] { return false; }, LIVES_SET_BACK_US / 1000);
+	turn_until([] { return false; }, INCARNATIONS_CLOCK_SET_BACK_US / 1000);
 	rig.settle();
 	EXPECT_EQ(Ask(rig.address, "a2", "/look/x").wait().status, 200u);
 	pe_drain(plain);
--- a/tests/room_test.cc
+++ b/tests/result_memory_test.cc
@@ -14,22 +14,22 @@
 
 struct Room {
 	TestClock clock;
-	room *it;
+	result_memory *it;
 
 	Room()
 	{
-		room_options options = { &clock.clock, linger_us };
+		result_memory_options options = { &clock.clock, linger_us };
 
-		it = room_create(&options);
+		it = result_memory_create(&options);
 	}
 	~Room()
 	{
-		room_destroy(it);
+		result_memory_destroy(it);
 	}
 	void keep(const char *handle, int64_t bytes)
 	{
-		room_begin(it, bytes);
-		room_made(it, handle, bytes);
+		result_memory_reserve(it, bytes);
+		result_memory_commit(it, handle, bytes);
 	}
 };
 
@@ -37,17 +37,17 @@
 {
 	Room rig;
 
-	room_begin(rig.it, 300);
-	EXPECT_EQ(room_taken_bytes(rig.it), 300);
-	room_made(rig.it, "a", 100);
-	room_made(rig.it, "b", 100);
-	room_not_made(rig.it, 100);
-	EXPECT_EQ(room_taken_bytes(rig.it), 200);
-	room_given_up(rig.it, "a", 100);
-	room_given_up(rig.it, "a", 100);
-	EXPECT_EQ(room_taken_bytes(rig.it), 100);
+	result_memory_reserve(rig.it, 300);
+	EXPECT_EQ(result_memory_used_bytes(rig.it), 300);
+	result_memory_commit(rig.it, "a", 100);
+	result_memory_commit(rig.it, "b", 100);
+	result_memory_cancel(rig.it, 100);
+	EXPECT_EQ(result_memory_used_bytes(rig.it), 200);
+	result_memory_release(rig.it, "a", 100);
+	result_memory_release(rig.it, "a", 100);
+	EXPECT_EQ(result_memory_used_bytes(rig.it), 100);
 	rig.clock.now_us += linger_us;
-	EXPECT_EQ(room_taken_bytes(rig.it), 0);
+	EXPECT_EQ(result_memory_used_bytes(rig.it), 0);
 }
 
 /* A new dispatcher hears of results that the earlier one had made, one after
@@ -58,9 +58,9 @@
 
 	rig.keep("ours", 800);
 	for (int i = 0; i < 8; i++)
-		room_given_up(rig.it, ("theirs" + std::to_string(i)).c_str(),
-			      100);
-	EXPECT_EQ(room_own_bytes(rig.it), 800);
+		result_memory_release(
+			rig.it, ("theirs" + std::to_string(i)).c_str(), 100);
+	EXPECT_EQ(result_memory_tracked_bytes(rig.it), 800);
 }
 
 TEST(Room, WhatOthersHoldShowsInACallThatWasShort)
@@ -69,18 +69,18 @@
 
 	rig.keep("ours", 200);
 	/* 1000 in all, 200 ours, 300 had room: 500 are others'. */
-	room_learn(rig.it, 1000, 200, 300, true);
-	EXPECT_EQ(room_other_bytes(rig.it), 500);
-	room_given_up(rig.it, "theirs", 100);
-	EXPECT_EQ(room_other_bytes(rig.it), 400);
+	result_memory_note_call(rig.it, 1000, 200, 300, true);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 500);
+	result_memory_release(rig.it, "theirs", 100);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 400);
 	/* More had room than there would be beside them. */
-	room_learn(rig.it, 1000, 200, 700, false);
-	EXPECT_EQ(room_other_bytes(rig.it), 100);
+	result_memory_note_call(rig.it, 1000, 200, 700, false);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 100);
 	/* A call that was not short tells of no more than it took. */
-	room_learn(rig.it, 1000, 200, 10, false);
-	EXPECT_EQ(room_other_bytes(rig.it), 100);
+	result_memory_note_call(rig.it, 1000, 200, 10, false);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 100);
 	rig.clock.now_us += linger_us;
-	EXPECT_EQ(room_other_bytes(rig.it), 0);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 0);
 }
 
 TEST(Room, WhatOthersHoldIsToldWithinBounds)
@@ -88,14 +88,14 @@
 	Room rig;
 
 	rig.keep("ours", 200);
-	room_told(rig.it, 1000, 200, 300, 400);
-	EXPECT_EQ(room_other_bytes(rig.it), 400);
-	room_told(rig.it, 1000, 200, 300, 500);
-	EXPECT_EQ(room_other_bytes(rig.it), 400);
-	room_told(rig.it, 1000, 200, 500, 600);
-	EXPECT_EQ(room_other_bytes(rig.it), 300);
-	room_told(rig.it, 1000, 200, 900, 1000);
-	EXPECT_EQ(room_other_bytes(rig.it), 0);
+	result_memory_note_report(rig.it, 1000, 200, 300, 400);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 400);
+	result_memory_note_report(rig.it, 1000, 200, 300, 500);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 400);
+	result_memory_note_report(rig.it, 1000, 200, 500, 600);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 300);
+	result_memory_note_report(rig.it, 1000, 200, 900, 1000);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 0);
 }
 
 /* ---- a restart of all entries, as a load ---- */
@@ -191,10 +191,10 @@
 				upstream->info.id, clock.now_us);
 
 			free_bytes -= free_bytes % step_bytes;
-			pieces_room_told(
-				queue, upstream,
-				room_own_bytes(upstream->result_memory),
-				free_bytes, free_bytes + step_bytes);
+			pieces_room_told(queue, upstream,
+					 result_memory_tracked_bytes(
+						 upstream->result_memory),
+					 free_bytes, free_bytes + step_bytes);
 		}
 	}
 	/* Room is taken up from a call's start. */
--- a/tests/warmup_test.cc
+++ b/tests/warmup_test.cc
@@ -11,20 +11,20 @@
 /* ---- closures ---- */
 
 struct Closures {
-	closures *it = closures_create();
+	closed_domains *it = closed_domains_create();
 
 	~Closures()
 	{
-		closures_destroy(it);
+		closed_domains_destroy(it);
 	}
 	bool all(int64_t revision, std::vector<const char *> domains)
 	{
-		return closures_set_all(it, revision, domains.data(),
-					domains.size());
+		return closed_domains_replace(it, revision, domains.data(),
+					      domains.size());
 	}
 	std::string list()
 	{
-		GPtrArray *names = closures_list(it);
+		GPtrArray *names = closed_domains_list(it);
 		std::string text;
 
 		for (guint i = 0; i < names->len; i++)
@@ -38,9 +38,9 @@
 {
 	Closures it;
 
-	EXPECT_FALSE(closures_is_known(it.it));
+	EXPECT_FALSE(closed_domains_is_known(it.it));
 	EXPECT_TRUE(it.all(4, {}));
-	EXPECT_TRUE(closures_is_known(it.it));
+	EXPECT_TRUE(closed_domains_is_known(it.it));
 	EXPECT_EQ(it.list(), "");
 }
 
@@ -50,10 +50,10 @@
 	Closures it;
 
 	EXPECT_TRUE(it.all(4, { "a" }));
-	EXPECT_TRUE(closures_set(it.it, 7, "a", false));
-	EXPECT_TRUE(closures_set(it.it, 7, "b", true));
+	EXPECT_TRUE(closed_domains_set(it.it, 7, "a", false));
+	EXPECT_TRUE(closed_domains_set(it.it, 7, "b", true));
 	EXPECT_EQ(it.list(), "b");
-	EXPECT_EQ(closures_revision(it.it), 7);
+	EXPECT_EQ(closed_domains_revision(it.it), 7);
 }
 
 TEST(Closures, WhatIsOlderChangesNothing)
@@ -61,15 +61,15 @@
 	Closures it;
 
 	EXPECT_TRUE(it.all(4, { "a" }));
-	EXPECT_TRUE(closures_set(it.it, 7, "b", true));
-	EXPECT_FALSE(closures_set(it.it, 6, "a", false));
+	EXPECT_TRUE(closed_domains_set(it.it, 7, "b", true));
+	EXPECT_FALSE(closed_domains_set(it.it, 6, "a", false));
 	EXPECT_FALSE(it.all(7, {}));
 	EXPECT_EQ(it.list(), "ab");
-	EXPECT_TRUE(closures_set(it.it, 8, "a", false));
+	EXPECT_TRUE(closed_domains_set(it.it, 8, "a", false));
 	EXPECT_EQ(it.list(), "b");
 	EXPECT_TRUE(it.all(9, { "c" }));
 	EXPECT_EQ(it.list(), "c");
-	EXPECT_EQ(closures_revision(it.it), 9);
+	EXPECT_EQ(closed_domains_revision(it.it), 9);
 }
 
 /* Entries that hear the service and each other in any order believe what the
@@ -95,26 +95,28 @@
 				entries[g_rand_int_range(random, 0, 4)];
 			Closures &to = entries[g_rand_int_range(random, 0, 4)];
 
-			closures_set(truth.it, ++revision, name, closed);
+			closed_domains_set(truth.it, ++revision, name, closed);
 			/* One entry hears the service, maybe after a gap, and
 			 * reads all anew; another hears some peer. */
 			if (g_rand_boolean(random)) {
-				GPtrArray *list = closures_list(truth.it);
+				GPtrArray *list = closed_domains_list(truth.it);
 
-				closures_set_all(from.it, revision,
-						 (const char **)list->pdata,
-						 list->len);
+				closed_domains_replace(
+					from.it, revision,
+					(const char **)list->pdata, list->len);
 				g_ptr_array_unref(list);
 			}
-			GPtrArray *list = closures_list(from.it);
-			int64_t before = closures_revision(to.it);
+			GPtrArray *list = closed_domains_list(from.it);
+			int64_t before = closed_domains_revision(to.it);
 
-			closures_set_all(to.it, closures_revision(from.it),
-					 (const char **)list->pdata, list->len);
+			closed_domains_replace(
+				to.it, closed_domains_revision(from.it),
+				(const char **)list->pdata, list->len);
 			g_ptr_array_unref(list);
-			ASSERT_GE(closures_revision(to.it), before);
+			ASSERT_GE(closed_domains_revision(to.it), before);
 			for (auto &entry : entries) {
-				if (closures_revision(entry.it) < revision)
+				if (closed_domains_revision(entry.it) <
+				    revision)
 					continue;
 				ASSERT_EQ(entry.list(), truth.list())
 					<< "seed " << seed;
@@ -136,7 +138,7 @@
 	for (int64_t now_us = 0; now_us < cold_us; now_us += 1000) {
 		if (!warmup_may_send(&warmup, now_us))
 			continue;
-		warmup_sent(&warmup, &limits, now_us);
+		warmup_note_sent(&warmup, &limits, now_us);
 		sent.push_back(now_us);
 	}
 	for (size_t i = 0; i < sent.size(); i++) {
@@ -172,7 +174,7 @@
 
 	EXPECT_TRUE(warmup_may_send(&warmup, 0));
 	warmup_begin(&warmup, &engine, 0, engine.cold_us);
-	warmup_sent(&warmup, &engine, 0);
+	warmup_note_sent(&warmup, &engine, 0);
 	EXPECT_FALSE(warmup_may_send(&warmup, 1000));
 	EXPECT_TRUE(warmup_may_send(&warmup, engine.cold_us));
 	EXPECT_FALSE(warmup_is_cold(&warmup, engine.cold_us));
@@ -181,17 +183,17 @@
 /* ---- the pool ---- */
 
 struct ClosedPool : Pool {
-	closures *closed = closures_create();
+	closed_domains *closed = closed_domains_create();
 	int64_t revision = 0;
 
 	~ClosedPool()
 	{
 		pool_set_closed_domains(it, nullptr);
-		closures_destroy(closed);
+		closed_domains_destroy(closed);
 	}
 	void set(const char *domain, bool is_closed)
 	{
-		closures_set(closed, ++revision, domain, is_closed);
+		closed_domains_set(closed, ++revision, domain, is_closed);
 		pool_set_closed_domains(it, closed);
 	}
 };
@@ -226,9 +228,9 @@
 	pool.add("1", "a");
 	pool.add("2", "b");
 	pool.set("a", true);
-	EXPECT_FALSE(pool_service_is_closed(pool.it, "s", HOMES_ANYWHERE));
+	EXPECT_FALSE(pool_service_is_closed(pool.it, "s", ALLOWED_REGIONS_ANY));
 	pool.set("b", true);
-	EXPECT_TRUE(pool_service_is_closed(pool.it, "s", HOMES_ANYWHERE));
+	EXPECT_TRUE(pool_service_is_closed(pool.it, "s", ALLOWED_REGIONS_ANY));
 	EXPECT_EQ(pool.pick(), nullptr);
 	/* One that comes there meanwhile is closed, too. */
 	pool.add("3", "a");
