--- a/direct/direct_ends.c
+++ b/direct/direct_ends.c
@@ -80,8 +80,8 @@
 	if (!lp_event_begin(log, "lost_with_upstream", NULL))
 		return;
 	lp_event_text(log, "upstream", upstream->info.id);
-	lp_event_digest(log, "content", lost->request);
-	lp_event_int(log, "after_us", lost->lost_us - lost->began_us);
+	lp_event_digest(log, "content", lost->request_digest);
+	lp_event_int(log, "after_us", lost->lost_us - lost->sent_us);
 	lp_event_end(log);
 }
 
@@ -227,7 +227,7 @@
 {
 	bool superseded = is_superseded(ends, upstream);
 
-	loss.life = upstream->incarnation;
+	loss.incarnation = upstream->incarnation;
 	loss.lost_us = lp_now_us(direct_of(ends)->options.clock);
 	lost_requests_expire(ends->losses);
 	if (pool_is_draining(upstream) || (!upstream->listed && !superseded))
--- a/direct/direct_memory.c
+++ b/direct/direct_memory.c
@@ -114,7 +114,7 @@
 {
 	/* One that takes only so many requests gets those of callers. */
 	return pool_is_available(memory->options.pool, engine) &&
-	       !engine->rate_limit.named &&
+	       !engine->rate_limit.advertised &&
 	       (!engine->prefix_cache_queried_us ||
 		now(memory) - engine->prefix_cache_queried_us >= ASK_EACH_US);
 }
--- a/direct/direct_notices.c
+++ b/direct/direct_notices.c
@@ -39,8 +39,8 @@
 	const struct rate_limit *limit = &upstream->rate_limit;
 
 	g_variant_builder_add(limits, "(tbdx)", (guint64)upstream->incarnation,
-			      (gboolean)limit->named, limit->per_s,
-			      (gint64)(now(notices) - limit->heard_us));
+			      (gboolean)limit->advertised, limit->per_s,
+			      (gint64)(now(notices) - limit->answered_us));
 }
 
 static void tell_limit(struct direct_notices *notices,
@@ -48,7 +48,7 @@
 {
 	GVariantBuilder limits;
 
-	upstream->rate_limit.told_us = now(notices);
+	upstream->rate_limit.broadcast_us = now(notices);
 	if (!notices->peers)
 		return;
 	g_variant_builder_init(&limits, G_VARIANT_TYPE(LIMITS_TYPE));
@@ -140,17 +140,17 @@
 	struct lp_event_log *log = notices->options.log;
 
 	*lp_counter(notices->options.counters, "linepier_upstream_limits_total",
-		    limit->named ? "outcome=\"named\"" : "outcome=\"ended\"") +=
-		1;
+		    limit->advertised ? "outcome=\"named\""
+				      : "outcome=\"ended\"") += 1;
 	if (!lp_event_begin(log, "upstream_limit", NULL))
 		return;
 	lp_event_text(log, "upstream", upstream->info.id);
 	lp_event_text(log, "service", upstream->info.service);
-	lp_event_text(log, "outcome", limit->named ? "named" : "ended");
+	lp_event_text(log, "outcome", limit->advertised ? "named" : "ended");
 	lp_event_int(log, "per_1000_s",
 		     (int64_t)(limit->per_s * LIMIT_LOG_SCALE));
 	lp_event_text(log, "source", source);
-	lp_event_int(log, "age_us", now(notices) - limit->heard_us);
+	lp_event_int(log, "age_us", now(notices) - limit->answered_us);
 	lp_event_end(log);
 }
 
@@ -171,9 +171,9 @@
 		       const struct direct_reply *reply)
 {
 	struct rate_limit_report word = {
-		.named = reply->limit == DIRECT_LIMIT_NAMED,
+		.advertised = reply->limit == DIRECT_LIMIT_NAMED,
 		.per_s = reply->limit_per_s,
-		.heard_us = now(notices),
+		.answered_us = now(notices),
 	};
 	bool changed;
 
@@ -182,13 +182,13 @@
 		return;
 	}
 	/* A refusal or a failure may leave out what a success says. */
-	if (!word.named && !reply->is_success)
+	if (!word.advertised && !reply->is_success)
 		return;
 	changed = pool_note_rate_limit(notices->options.pool, upstream, &word);
 	if (changed)
 		log_limit(notices, upstream, "answer");
 	if (changed ||
-	    rate_limit_needs_broadcast(&upstream->rate_limit, word.heard_us))
+	    rate_limit_needs_broadcast(&upstream->rate_limit, word.answered_us))
 		tell_limit(notices, upstream);
 }
 
@@ -244,8 +244,8 @@
 		log_limit(notices, upstream,
 			  direct_peers_ip(notices->peers, peer));
 	/* Whoever told us has told the others. */
-	if (upstream->rate_limit.heard_us == word->heard_us)
-		upstream->rate_limit.told_us = now(notices);
+	if (upstream->rate_limit.answered_us == word->answered_us)
+		upstream->rate_limit.broadcast_us = now(notices);
 }
 
 static void on_limits(void *userdata, uint64_t peer, GVariant *body)
@@ -261,9 +261,9 @@
 	while (g_variant_iter_next(&iter, "(tbdx)", &life, &named, &per_s,
 				   &age_us)) {
 		struct rate_limit_report word = {
-			.named = named,
+			.advertised = named,
 			.per_s = per_s,
-			.heard_us = now(notices) - MAX(age_us, 0),
+			.answered_us = now(notices) - MAX(age_us, 0),
 		};
 		struct pool_upstream *upstream =
 			pool_find_incarnation(notices->options.pool, life);
--- a/direct/direct_quarantine.c
+++ b/direct/direct_quarantine.c
@@ -328,11 +328,11 @@
 {
 	for (guint i = 0; i < count; i++) {
 		const struct quarantine_end end = {
-			.request = lost[i].request,
-			.life = lost[i].life,
+			.request = lost[i].request_digest,
+			.life = lost[i].incarnation,
 			.round = lost[i].round,
 			.ended_us = lost[i].lost_us,
-			.ran_us = MAX(lost[i].lost_us - lost[i].began_us, 0),
+			.ran_us = MAX(lost[i].lost_us - lost[i].sent_us, 0),
 		};
 
 		if (note_end(quarantine, &end, 0))
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -207,9 +207,9 @@
 			 int64_t began_us)
 {
 	const struct lost_request loss = {
-		.request = direct_request_digest(request),
+		.request_digest = direct_request_digest(request),
 		.round = round,
-		.began_us = began_us,
+		.sent_us = began_us,
 	};
 
 	direct_quarantine_lost(request->direct->quarantine, request);
--- a/direct/direct_results.c
+++ b/direct/direct_results.c
@@ -202,7 +202,7 @@
 		put_off(results, upstream->incarnation, gathered);
 		return;
 	}
-	if (upstream->rate_limit.named)
+	if (upstream->rate_limit.advertised)
 		pool_note_sent(pool, upstream);
 	send_free(results, upstream, gathered);
 }
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -238,16 +238,17 @@
 		const struct direct_service *figures = value;
 		const struct service *service;
 		struct warmup_limits limits = {
-			.cold_us = figures->cold_us,
-			.per_s = figures->cold_per_s,
+			.cold_period_us = figures->cold_us,
+			.requests_per_s = figures->cold_per_s,
 			.phase = members > 1 ? stages->phase : 0,
 		};
 
 		if (!figures->cold_us || figures->cold_per_s <= 0)
 			continue;
 		service = g_hash_table_lookup(stages->services, figures->name);
-		limits.for_all = sends_for_all(stages, service, members);
-		limits.share = cold_share(service, limits.for_all, members);
+		limits.is_owner = sends_for_all(stages, service, members);
+		limits.own_share =
+			cold_share(service, limits.is_owner, members);
 		pool_set_warmup(stages->direct->pool, figures->name, &limits);
 	}
 }
@@ -267,8 +268,8 @@
 	const struct direct_peers *peers =
 		stages->direct->relay ? stages->direct->peers : NULL;
 	struct rate_limit_fleet fleet = {
-		.heard = peers ? direct_peers_count(peers) : 1,
-		.known = peers ? direct_peers_known(peers) : 1,
+		.reachable_entries = peers ? direct_peers_count(peers) : 1,
+		.known_entries = peers ? direct_peers_known(peers) : 1,
 	};
 	struct pool_rate_limit_shares share = {
 		.shard_count = 1,
@@ -288,7 +289,7 @@
 
 		share.shard_count = service->parts;
 		share.owned_shards = own_parts(stages, service);
-		fleet.owner_us = now(stages) - service->owned_us;
+		fleet.owner_for_us = now(stages) - service->owned_us;
 		share.owned_share = find_share(stages, &fleet);
 		pool_set_rate_limit_shares(stages->direct->pool, service->name,
 					   &share);
--- a/policy/client_wait.c
+++ b/policy/client_wait.c
@@ -16,7 +16,7 @@
 	uint32_t same = 0;
 
 	for (uint32_t i = 0; i < CLIENT_WAIT_SAMPLES; i++)
-		if (abs(patience->given[i] - steps) <= 1)
+		if (abs(patience->samples[i] - steps) <= 1)
 			same++;
 	return same >= USUAL_MIN;
 }
@@ -27,7 +27,7 @@
 	int32_t best = 0;
 
 	for (uint32_t i = 0; i < CLIENT_WAIT_SAMPLES; i++) {
-		int32_t given = patience->given[i];
+		int32_t given = patience->samples[i];
 
 		if (given > steps && (!best || given < best) &&
 		    is_usual(patience, given))
@@ -43,7 +43,8 @@
 
 	if (steps <= 0)
 		return 0;
-	patience->given[patience->next++ % CLIENT_WAIT_SAMPLES] = steps;
+	patience->samples[patience->next_sample++ % CLIENT_WAIT_SAMPLES] =
+		steps;
 	if (is_usual(patience, steps))
 		return 0;
 	usual = usual_above(patience, steps);
--- a/policy/client_wait.h
+++ b/policy/client_wait.h
@@ -21,8 +21,8 @@
 
 /** Of the callers of one route; all zero at first. */
 struct client_wait {
-	int32_t given[CLIENT_WAIT_SAMPLES]; /**< private: in steps, 0: none */
-	uint32_t next;			    /**< private */
+	int32_t samples[CLIENT_WAIT_SAMPLES]; /**< private: in steps, 0: none */
+	uint32_t next_sample;		      /**< private */
 };
 
 /**
--- a/policy/lost_requests.h
+++ b/policy/lost_requests.h
@@ -25,10 +25,10 @@
 struct lost_requests;
 
 struct lost_request {
-	uint64_t request; /**< digest of its content */
-	uint64_t life;	  /**< of the upstream */
-	uint32_t round;	  /**< quarantine_round() then */
-	int64_t began_us; /**< when it was sent there */
+	uint64_t request_digest; /**< digest of its content */
+	uint64_t incarnation;	 /**< of the upstream */
+	uint32_t round;		 /**< quarantine_round() then */
+	int64_t sent_us;	 /**< when it was sent there */
 	int64_t lost_us;
 };
 
--- a/policy/pieces.c
+++ b/policy/pieces.c
@@ -234,7 +234,7 @@
 {
 	return pieces->options.room_bytes &&
 	       !upstream->result_memory_reported_us &&
-	       !upstream->rate_limit.named &&
+	       !upstream->rate_limit.advertised &&
 	       (!upstream->result_memory_queried_us ||
 		now(pieces) - upstream->result_memory_queried_us <
 			ROOM_ANSWER_US);
@@ -576,7 +576,7 @@
 static bool is_to_be_asked(const struct pieces *pieces,
 			   const struct pool_upstream *upstream)
 {
-	if (!is_usable(pieces, upstream) || upstream->rate_limit.named)
+	if (!is_usable(pieces, upstream) || upstream->rate_limit.advertised)
 		return false;
 	if (!upstream->result_memory_queried_us)
 		return true;
@@ -648,7 +648,7 @@
 	double speed = 1.0 / MAX(upstream->slowness, 0.1);
 	int64_t call_us = call_time_us(pieces, pieces->options.batch_max);
 
-	if (!upstream->rate_limit.named)
+	if (!upstream->rate_limit.advertised)
 		return speed;
 	return MIN(speed,
 		   pool_rate_limit_per_s(pieces->options.pool, upstream) *
--- a/policy/pool.c
+++ b/policy/pool.c
@@ -82,21 +82,21 @@
 	char *domain;
 	GHashTable *upstreams;	    /* id -> struct pool_upstream */
 	GHashTable *by_incarnation; /* incarnation -> the same */
-	struct incarnations *lives;
+	struct incarnations *incarnations;
 	bool needs_reapply;
 	pool_restarted_fn restarted;
 	void *restarted_userdata;
 	GHashTable *services; /* name -> GPtrArray of struct pool_upstream */
-	const struct closed_domains *closures; /* NULL: unknown */
+	const struct closed_domains *closed_domains; /* NULL: unknown */
 	GHashTable *warmups;	       /* service -> struct warmup_limits */
 	GHashTable *cache_copying;     /* service -> struct cache_copying */
 	GHashTable *rate_limit_shares; /* service -> struct
 					  pool_rate_limit_shares */
 	struct pool_rate_limit_shares
 		default_rate_limit_shares; /* of other services */
-	GHashTable *turns;    /* service -> struct retry_schedule */
-	GHashTable *unlisted; /* incarnation -> struct unlisted */
-	GHashTable *regions;  /* domain -> interned region */
+	GHashTable *retry_schedules; /* service -> struct retry_schedule */
+	GHashTable *unlisted;	     /* incarnation -> struct unlisted */
+	GHashTable *regions;	     /* domain -> interned region */
 };
 
 /* ---- creation and destruction ---- */
@@ -139,7 +139,7 @@
 
 	pool->clock = clock;
 	pool->domain = g_strdup(domain);
-	pool->lives = incarnations_create(clock);
+	pool->incarnations = incarnations_create(clock);
 	pool->upstreams = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						unlist_upstream);
 	pool->by_incarnation = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -155,9 +155,9 @@
 	pool->default_rate_limit_shares = (struct pool_rate_limit_shares){
 		.shard_count = 1,
 		.owned_shards = 1,
-		.owned_share = { .part = RATE_LIMIT_OWNER_FRACTION },
+		.owned_share = { .fraction = RATE_LIMIT_OWNER_FRACTION },
 	};
-	pool->turns =
+	pool->retry_schedules =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	pool->unlisted = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 					       g_free, g_free);
@@ -174,12 +174,12 @@
 	g_hash_table_unref(pool->warmups);
 	g_hash_table_unref(pool->cache_copying);
 	g_hash_table_unref(pool->rate_limit_shares);
-	g_hash_table_unref(pool->turns);
+	g_hash_table_unref(pool->retry_schedules);
 	g_hash_table_unref(pool->unlisted);
 	g_hash_table_unref(pool->regions);
 	g_hash_table_unref(pool->by_incarnation);
 	g_hash_table_unref(pool->upstreams);
-	incarnations_destroy(pool->lives);
+	incarnations_destroy(pool->incarnations);
 	g_free(pool->domain);
 	g_free(pool);
 }
@@ -208,7 +208,7 @@
 	const struct warmup_limits *limits = warmup_limits_of(pool, upstream);
 
 	if (limits)
-		begin_cold_period(pool, upstream, limits->cold_us);
+		begin_cold_period(pool, upstream, limits->cold_period_us);
 }
 
 /* The upstream may have restarted unnoticed. An entry that sends on behalf of
@@ -219,15 +219,16 @@
 {
 	const struct warmup_limits *limits = warmup_limits_of(pool, upstream);
 
-	if (limits && limits->for_all)
+	if (limits && limits->is_owner)
 		assume_cold(pool, upstream);
 }
 
 static bool is_closed(const struct pool *pool,
 		      const struct pool_upstream *upstream)
 {
-	return pool->closures &&
-	       closed_domains_contain(pool->closures, upstream->info.domain);
+	return pool->closed_domains &&
+	       closed_domains_contain(pool->closed_domains,
+				      upstream->info.domain);
 }
 
 uint32_t pool_set_closed_domains(struct pool *pool,
@@ -237,7 +238,7 @@
 	gpointer value;
 	uint32_t changes = 0;
 
-	pool->closures = closures;
+	pool->closed_domains = closures;
 	g_hash_table_iter_init(&iter, pool->upstreams);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct pool_upstream *upstream = value;
@@ -370,7 +371,7 @@
 
 static bool advertises_rate_limit(const struct pool_upstream *upstream)
 {
-	return upstream->rate_limit.named;
+	return upstream->rate_limit.advertised;
 }
 
 GPtrArray *pool_list_rate_limited(const struct pool *pool)
@@ -393,7 +394,7 @@
 {
 	struct rate_limit_share share;
 
-	if (!upstream->rate_limit.named)
+	if (!upstream->rate_limit.advertised)
 		return 0;
 	share = rate_limit_share_of(pool, upstream);
 	return rate_limit_wait_us(&upstream->rate_limit, &share,
@@ -456,7 +457,7 @@
 		.unlisted_us = now_us,
 	};
 
-	if (!upstream->rate_limit.named && !upstream->drain_notice &&
+	if (!upstream->rate_limit.advertised && !upstream->drain_notice &&
 	    !pool_has_pushback(pool, upstream))
 		return;
 	g_hash_table_foreach_remove(pool->unlisted, unlisted_has_expired,
@@ -501,7 +502,7 @@
 {
 	const struct result_memory_options options = {
 		.clock = pool->clock,
-		.linger_us = DEFAULT_RESULT_TTL_US,
+		.result_ttl_us = DEFAULT_RESULT_TTL_US,
 	};
 	struct pool_upstream *upstream = g_new0(struct pool_upstream, 1);
 
@@ -586,7 +587,7 @@
 {
 	struct pool_upstream *upstream = pool_find(pool, info->id);
 	enum incarnation_status verdict = incarnations_observe_listed(
-		pool->lives, info->id, info->born_ms);
+		pool->incarnations, info->id, info->born_ms);
 	bool changed;
 
 	if (verdict == INCARNATION_STALE) {
@@ -669,7 +670,7 @@
 	for (uint32_t i = 0; i < count; i++)
 		if (apply_info(pool, &infos[i]))
 			changes++;
-	incarnations_expire(pool->lives);
+	incarnations_expire(pool->incarnations);
 	index_upstreams(pool);
 	return changes;
 }
@@ -702,7 +703,7 @@
 {
 	struct pool_upstream *listed = pool_find(pool, upstream->info.id);
 	enum incarnation_status verdict = incarnations_observe_answer(
-		pool->lives, upstream->info.id, born_ms, asked_us);
+		pool->incarnations, upstream->info.id, born_ms, asked_us);
 
 	if (verdict == INCARNATION_STALE)
 		return NULL;
@@ -1284,7 +1285,7 @@
 			    MAX(pushback_left_us(pool, upstream),
 				pool_rate_limit_wait_us(pool, upstream)));
 		forecast.per_s +=
-			upstream->rate_limit.named
+			upstream->rate_limit.advertised
 				? pool_rate_limit_per_s(pool, upstream)
 				: INFINITY;
 	}
@@ -1295,12 +1296,12 @@
 						const char *service)
 {
 	struct retry_schedule *turns =
-		g_hash_table_lookup(pool->turns, service);
+		g_hash_table_lookup(pool->retry_schedules, service);
 
 	if (turns)
 		return turns;
 	turns = g_new0(struct retry_schedule, 1);
-	g_hash_table_insert(pool->turns, g_strdup(service), turns);
+	g_hash_table_insert(pool->retry_schedules, g_strdup(service), turns);
 	return turns;
 }
 
--- a/policy/rate_limit.h
+++ b/policy/rate_limit.h
@@ -44,36 +44,38 @@
 
 /** What is known of one upstream; all zero: it has named none. */
 struct rate_limit {
-	bool named;
-	double per_s;	  /**< of all entries; only if it is named */
-	int64_t heard_us; /**< when the answer came that says so; 0: never */
-	int64_t ended_us; /**< when one came that named none any more */
-	int64_t told_us;  /**< when entries were told last */
-	int64_t sent_us;  /**< our last request there while it is named */
+	bool advertised;
+	double per_s;	     /**< of all entries; only if it is named */
+	int64_t answered_us; /**< when the answer came that says so; 0: never */
+	int64_t withdrawn_us; /**< when one came that named none any more */
+	int64_t broadcast_us; /**< when entries were told last */
+	int64_t last_sent_us; /**< our last request there while it is named */
 };
 
 /** What an answer said of it. */
 struct rate_limit_report {
-	bool named;
+	bool advertised;
 	double per_s;
-	int64_t heard_us;
+	int64_t answered_us;
 };
 
 /** Our share of the limits of a service. */
 struct rate_limit_share {
-	double part; /**< of the limit, 0 to 1 */
+	double fraction; /**< of the limit, 0 to 1 */
 	/** Where our slots begin, unlike those of others; 0 to 1. */
 	double phase;
-	int64_t valid_us; /**< a slot may be used for so long; 0: all of it */
+	int64_t slot_valid_us; /**< a slot may be used for so long; 0: all of it
+				*/
 };
 
 /** What an entry knows of its fleet, for its share of a limit. */
 struct rate_limit_fleet {
-	uint32_t heard;	  /**< entries heard now, ourselves among them */
-	uint32_t known;	  /**< entries heard or named lately, likewise */
-	bool has_owner;	  /**< one of them sends for all */
-	bool is_owner;	  /**< and it is us ... */
-	int64_t owner_us; /**< ... for so long */
+	uint32_t reachable_entries; /**< entries heard now, ourselves among them
+				     */
+	uint32_t known_entries; /**< entries heard or named lately, likewise */
+	bool has_owner;		/**< one of them sends for all */
+	bool is_owner;		/**< and it is us ... */
+	int64_t owner_for_us;	/**< ... for so long */
 };
 
 /** Take a word, unless a newer one is known. Returns whether it changes what
--- a/policy/remaining_latency.c
+++ b/policy/remaining_latency.c
@@ -13,17 +13,18 @@
 	/* One that met a fault says nothing of the next one. */
 	int64_t over_us =
 		CLAMP(took_us - expected_us, -expected_us, expected_us);
-	int64_t off_us = over_us - remaining->over_us;
+	int64_t off_us = over_us - remaining->mean_excess_us;
 
-	remaining->over_us += off_us / MEAN_WEIGHT;
-	remaining->spread_us +=
-		(ABS(off_us) - remaining->spread_us) / SPREAD_WEIGHT;
+	remaining->mean_excess_us += off_us / MEAN_WEIGHT;
+	remaining->mean_deviation_us +=
+		(ABS(off_us) - remaining->mean_deviation_us) / SPREAD_WEIGHT;
 }
 
 int64_t remaining_latency_us(const struct remaining_latency *remaining,
 			     int64_t expected_us)
 {
-	int64_t over_us = remaining->over_us + remaining->spread_us;
+	int64_t over_us =
+		remaining->mean_excess_us + remaining->mean_deviation_us;
 
 	return expected_us + CLAMP(over_us, 0, expected_us);
 }
--- a/policy/remaining_latency.h
+++ b/policy/remaining_latency.h
@@ -17,8 +17,10 @@
 
 /** Of one stage of one route; all zero at first. */
 struct remaining_latency {
-	int64_t over_us;   /**< private: fading mean beyond what is expected */
-	int64_t spread_us; /**< private: fading mean distance from that */
+	int64_t mean_excess_us;	   /**< private: fading mean beyond what is
+				      expected */
+	int64_t mean_deviation_us; /**< private: fading mean distance from that
+				    */
 };
 
 /** A request went on at once after the stage, and was answered `took_us` after
--- a/policy/result_memory.h
+++ b/policy/result_memory.h
@@ -25,7 +25,7 @@
 struct result_memory_options {
 	const struct lp_clock *clock;
 	/** Makers drop a result by themselves so long after its call. */
-	int64_t linger_us;
+	int64_t result_ttl_us;
 };
 
 struct result_memory *
--- a/policy/retry_schedule.h
+++ b/policy/retry_schedule.h
@@ -10,7 +10,7 @@
 
 /** Turns that were promised; all zero: none. */
 struct retry_schedule {
-	int64_t next_us;
+	int64_t next_retry_us;
 };
 
 /**
--- a/policy/warmup.h
+++ b/policy/warmup.h
@@ -19,17 +19,18 @@
 #define WARMUP_OTHERS_SHARE 0.4
 
 struct warmup_limits {
-	int64_t cold_us; /**< an upstream is cold for so long; 0: no bound */
-	double per_s;	 /**< requests a second that it takes, of all */
-	double share;	 /**< of that, ours */
-	bool for_all;	 /**< we send on behalf of all entries */
-	double phase;	 /**< 0 to 1: our first one, in pauses between two */
+	int64_t cold_period_us; /**< an upstream is cold for so long; 0: no
+				   bound */
+	double requests_per_s;	/**< requests a second that it takes, of all */
+	double own_share;	/**< of that, ours */
+	bool is_owner;		/**< we send on behalf of all entries */
+	double phase; /**< 0 to 1: our first one, in pauses between two */
 };
 
 /** One upstream; all zero: not cold. */
 struct warmup {
-	int64_t until_us;
-	int64_t next_us;
+	int64_t cold_until_us;
+	int64_t next_send_us;
 };
 
 /** It is cold until then at the least. `limits` may be NULL: not known yet. */
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -142,11 +142,11 @@
 	EXPECT_TRUE(pool_note_rate_limit(it, pool_find(it, "1"), &word));
 	pool_update(it, nullptr, 0);
 	pool_update(it, &entry, 1);
-	EXPECT_TRUE(pool_find(it, "1")->rate_limit.named);
+	EXPECT_TRUE(pool_find(it, "1")->rate_limit.advertised);
 	/* Its next life has named none. */
 	entry.born_ms = 8;
 	pool_update(it, &entry, 1);
-	EXPECT_FALSE(pool_find(it, "1")->rate_limit.named);
+	EXPECT_FALSE(pool_find(it, "1")->rate_limit.advertised);
 	pool_destroy(it);
 }
 
@@ -165,10 +165,10 @@
 	EXPECT_TRUE(rate_limit_update(&limit, &none));
 	/* Heard late, from another entry. */
 	EXPECT_FALSE(rate_limit_update(&limit, &named));
-	EXPECT_FALSE(limit.named);
-	named.heard_us = 300;
+	EXPECT_FALSE(limit.advertised);
+	named.answered_us = 300;
 	EXPECT_TRUE(rate_limit_update(&limit, &named));
-	EXPECT_TRUE(limit.named);
+	EXPECT_TRUE(limit.advertised);
 }
 
 TEST(RateLimit, IsToldAgainWhileItHoldsAndAWhileAfter)
@@ -178,7 +178,7 @@
 
 	EXPECT_FALSE(rate_limit_needs_broadcast(&limit, 9000 * ms));
 	rate_limit_update(&limit, &word);
-	limit.told_us = 1000 * ms;
+	limit.broadcast_us = 1000 * ms;
 	EXPECT_FALSE(rate_limit_needs_broadcast(&limit, 1900 * ms));
 	EXPECT_TRUE(rate_limit_needs_broadcast(&limit, 2000 * ms));
 	word = { false, 0, 3000 * ms };
@@ -269,8 +269,9 @@
 				std::vector<Member> fleet(row.entries);
 
 				for (Member &member : fleet) {
-					member.view.known = row.entries;
-					member.view.heard = row.entries;
+					member.view.known_entries = row.entries;
+					member.view.reachable_entries =
+						row.entries;
 					member.demand = demand;
 				}
 				EXPECT_LE(most_in_span(fleet, row.per_s, random,
@@ -320,15 +321,15 @@
 					 * with those up to `apart`. */
 					bool far = i > apart;
 
-					view.known = row.entries;
+					view.known_entries = row.entries;
 					view.has_owner = true;
-					view.heard =
+					view.reachable_entries =
 						!noticed ? row.entries
 						: far ? row.entries - apart - 1
 						      : apart + 1;
 					view.is_owner = i == 0 ||
 							(cut && i == apart + 1);
-					view.owner_us =
+					view.owner_for_us =
 						at - owner_since[far ? 1 : 0];
 				}
 			});
@@ -350,11 +351,11 @@
 				bool met = at >= 700 * ms;
 				rate_limit_fleet &view = fleet[i].view;
 
-				view.known = met ? 5 : named;
-				view.heard = met ? 5 : 1;
+				view.known_entries = met ? 5 : named;
+				view.reachable_entries = met ? 5 : 1;
 				view.has_owner = true;
 				view.is_owner = !met || i == 0;
-				view.owner_us = at;
+				view.owner_for_us = at;
 			}
 		});
 
--- a/tests/warmup_test.cc
+++ b/tests/warmup_test.cc
@@ -157,15 +157,15 @@
 {
 	const int others = 30;
 	warmup_limits other = engine;
-	int sum = most_in_a_second(engine, engine.cold_us);
+	int sum = most_in_a_second(engine, engine.cold_period_us);
 	int64_t pause_us;
 
-	other.share = WARMUP_OTHERS_SHARE / others;
-	pause_us = (int64_t)(1e6 / (other.per_s * other.share));
+	other.own_share = WARMUP_OTHERS_SHARE / others;
+	pause_us = (int64_t)(1e6 / (other.requests_per_s * other.own_share));
 	/* Each at most once in its pause, at moments of their own. */
-	EXPECT_EQ(most_in_a_second(other, engine.cold_us), 1);
+	EXPECT_EQ(most_in_a_second(other, engine.cold_period_us), 1);
 	sum += (int)(others * 1000000 / pause_us) + 1;
-	EXPECT_LE(sum, 1.5 * engine.per_s + 5);
+	EXPECT_LE(sum, 1.5 * engine.requests_per_s + 5);
 }
 
 TEST(Warmup, IsOverAfterItsTime)
@@ -173,11 +173,11 @@
 	warmup warmup = {};
 
 	EXPECT_TRUE(warmup_may_send(&warmup, 0));
-	warmup_begin(&warmup, &engine, 0, engine.cold_us);
+	warmup_begin(&warmup, &engine, 0, engine.cold_period_us);
 	warmup_note_sent(&warmup, &engine, 0);
 	EXPECT_FALSE(warmup_may_send(&warmup, 1000));
-	EXPECT_TRUE(warmup_may_send(&warmup, engine.cold_us));
-	EXPECT_FALSE(warmup_is_cold(&warmup, engine.cold_us));
+	EXPECT_TRUE(warmup_may_send(&warmup, engine.cold_period_us));
+	EXPECT_FALSE(warmup_is_cold(&warmup, engine.cold_period_us));
 }
 
 /* ---- the pool ---- */
@@ -249,7 +249,7 @@
 	ASSERT_NE(pool.pick(), nullptr);
 	pool_note_sent(pool.it, pool.pick());
 	EXPECT_EQ(pool.pick(), nullptr);
-	pool.clock.now_us += engine.cold_us;
+	pool.clock.now_us += engine.cold_period_us;
 	EXPECT_NE(pool.pick(), nullptr);
 }
 
@@ -261,7 +261,7 @@
 		Pool pool;
 		warmup_limits limits = engine;
 
-		limits.for_all = for_all;
+		limits.is_owner = for_all;
 		pool_set_warmup(pool.it, "s", &limits);
 		pool.add("1", "a");
 		pool_record_outcome(pool.it, pool.pick(), POOL_UNREACHABLE, 0,
@@ -278,7 +278,7 @@
 	Pool pool;
 
 	pool.add("1", "a");
-	pool.entries[0].cold_left_us = engine.cold_us;
+	pool.entries[0].cold_left_us = engine.cold_period_us;
 	pool_update(pool.it, pool.entries.data(), 1);
 	pool_set_warmup(pool.it, "s", &engine);
 	pool_note_sent(pool.it, pool.pick());
