--- a/policy/incarnations.c
+++ b/policy/incarnations.c
@@ -4,9 +4,9 @@
 
 struct incarnation {
 	int64_t born_ms;
-	int64_t observed_us;	/* known */
-	int64_t last_listed_us; /* named by a list last */
-	int64_t older_start_ms; /* an older start that the list names, or 0 */
+	int64_t observed_us;	/* when this incarnation was first observed */
+	int64_t last_listed_us; /* when a list last named the id */
+	int64_t older_start_ms; /* older start time in the lists, or 0 */
 	int64_t older_listed_since_us;
 };
 
@@ -17,96 +17,100 @@
 
 struct incarnations *incarnations_create(const struct lp_clock *clock)
 {
-	struct incarnations *lives = g_new0(struct incarnations, 1);
+	struct incarnations *incarnations = g_new0(struct incarnations, 1);
 
-	lives->clock = clock;
-	lives->current_by_id =
+	incarnations->clock = clock;
+	incarnations->current_by_id =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	return lives;
+	return incarnations;
 }
 
-void incarnations_destroy(struct incarnations *lives)
+void incarnations_destroy(struct incarnations *incarnations)
 {
-	if (!lives)
+	if (!incarnations)
 		return;
-	g_hash_table_unref(lives->current_by_id);
-	g_free(lives);
+	g_hash_table_unref(incarnations->current_by_id);
+	g_free(incarnations);
 }
 
-static struct incarnation *add_life(struct incarnations *lives, const char *id)
+static struct incarnation *add_id(struct incarnations *incarnations,
+				  const char *id)
 {
-	struct incarnation *life = g_new0(struct incarnation, 1);
+	struct incarnation *incarnation = g_new0(struct incarnation, 1);
 
-	g_hash_table_insert(lives->current_by_id, g_strdup(id), life);
-	return life;
+	g_hash_table_insert(incarnations->current_by_id, g_strdup(id),
+			    incarnation);
+	return incarnation;
 }
 
-static void begin_life(struct incarnation *life, int64_t born_ms,
-		       int64_t now_us)
+static void start_incarnation(struct incarnation *incarnation, int64_t born_ms,
+			      int64_t now_us)
 {
-	life->born_ms = born_ms;
-	life->observed_us = now_us;
-	life->older_start_ms = 0;
+	incarnation->born_ms = born_ms;
+	incarnation->observed_us = now_us;
+	incarnation->older_start_ms = 0;
 }
 
-/* A list names an older start. Returns whether lists have for long enough. */
-static bool note_older(struct incarnation *life, int64_t born_ms,
-		       int64_t now_us)
+/* Records an older start time in a list. Returns whether lists have named it
+ * for INCARNATIONS_CLOCK_SET_BACK_US. */
+static bool older_start_persists(struct incarnation *incarnation,
+				 int64_t born_ms, int64_t now_us)
 {
-	if (life->older_start_ms != born_ms) {
-		life->older_start_ms = born_ms;
-		life->older_listed_since_us = now_us;
+	if (incarnation->older_start_ms != born_ms) {
+		incarnation->older_start_ms = born_ms;
+		incarnation->older_listed_since_us = now_us;
 	}
-	return now_us - life->older_listed_since_us >=
+	return now_us - incarnation->older_listed_since_us >=
 	       INCARNATIONS_CLOCK_SET_BACK_US;
 }
 
-enum incarnation_status incarnations_observe_listed(struct incarnations *lives,
-						    const char *id,
-						    int64_t born_ms)
+enum incarnation_status
+incarnations_observe_listed(struct incarnations *incarnations, const char *id,
+			    int64_t born_ms)
 {
-	struct incarnation *life =
-		g_hash_table_lookup(lives->current_by_id, id);
-	int64_t now_us = lp_now_us(lives->clock);
-	bool known = life != NULL;
+	struct incarnation *incarnation =
+		g_hash_table_lookup(incarnations->current_by_id, id);
+	int64_t now_us = lp_now_us(incarnations->clock);
+	bool known = incarnation != NULL;
 
 	if (!known)
-		life = add_life(lives, id);
-	life->last_listed_us = now_us;
-	if (known && born_ms < life->born_ms && born_ms &&
-	    !note_older(life, born_ms, now_us))
+		incarnation = add_id(incarnations, id);
+	incarnation->last_listed_us = now_us;
+	if (known && born_ms < incarnation->born_ms && born_ms &&
+	    !older_start_persists(incarnation, born_ms, now_us))
 		return INCARNATION_STALE;
-	if (known && (!born_ms || born_ms == life->born_ms)) {
-		life->older_start_ms = 0;
+	if (known && (!born_ms || born_ms == incarnation->born_ms)) {
+		incarnation->older_start_ms = 0;
 		return INCARNATION_CURRENT;
 	}
-	begin_life(life, born_ms, now_us);
+	start_incarnation(incarnation, born_ms, now_us);
 	return INCARNATION_NEW;
 }
 
-enum incarnation_status incarnations_observe_answer(struct incarnations *lives,
-						    const char *id,
-						    int64_t born_ms,
-						    int64_t asked_us)
+enum incarnation_status
+incarnations_observe_answer(struct incarnations *incarnations, const char *id,
+			    int64_t born_ms, int64_t asked_us)
 {
-	struct incarnation *life =
-		g_hash_table_lookup(lives->current_by_id, id);
+	struct incarnation *incarnation =
+		g_hash_table_lookup(incarnations->current_by_id, id);
 
-	if (!life || !life->born_ms || !born_ms || born_ms == life->born_ms)
+	if (!incarnation || !incarnation->born_ms || !born_ms ||
+	    born_ms == incarnation->born_ms)
 		return INCARNATION_CURRENT;
-	if (born_ms < life->born_ms && asked_us <= life->observed_us)
+	if (born_ms < incarnation->born_ms &&
+	    asked_us <= incarnation->observed_us)
 		return INCARNATION_STALE;
-	begin_life(life, born_ms, lp_now_us(lives->clock));
+	start_incarnation(incarnation, born_ms, lp_now_us(incarnations->clock));
 	return INCARNATION_NEW;
 }
 
-void incarnations_expire(struct incarnations *lives)
+void incarnations_expire(struct incarnations *incarnations)
 {
-	int64_t now_us = lp_now_us(lives->clock);
+	int64_t now_us = lp_now_us(incarnations->clock);
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, lives->current_by_id);
+	g_hash_table_iter_init(&iter, incarnations->current_by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		if (now_us - ((struct incarnation *)value)->last_listed_us >
 		    INCARNATIONS_RETENTION_US)
--- a/policy/lost_requests.c
+++ b/policy/lost_requests.c
@@ -1,137 +1,149 @@
 #include "policy/lost_requests.h"
 
-/* Losses that wait at a time; the oldest yield. A host's open requests. */
-#define WAITING_MAX 4096
+/* Maximum number of unresolved lost requests, enough for all open requests of a
+ * host; beyond it the oldest are dropped. */
+#define UNRESOLVED_MAX 4096
 
 struct unresolved_loss {
 	struct lost_request request;
-	bool accepts_connections; /* after it, someone took connections there */
+	bool accepts_connections; /* its address, after the loss */
 };
 
 struct lost_requests {
 	const struct lp_clock *clock;
-	GArray *unresolved; /* of struct unresolved_loss, the oldest first */
-	GHashTable *probed; /* life that is asked about -> since when */
-	GHashTable *terminated; /* life -> when */
+	GArray *unresolved;	/* struct unresolved_loss, oldest first */
+	GHashTable *probed;	/* incarnation -> start of its probe */
+	GHashTable *terminated; /* incarnation -> time of termination */
 };
 
 struct lost_requests *lost_requests_create(const struct lp_clock *clock)
 {
-	struct lost_requests *losses = g_new0(struct lost_requests, 1);
+	struct lost_requests *lost_requests = g_new0(struct lost_requests, 1);
 
-	losses->clock = clock;
-	losses->unresolved =
+	lost_requests->clock = clock;
+	lost_requests->unresolved =
 		g_array_new(FALSE, FALSE, sizeof(struct unresolved_loss));
-	losses->probed = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					       g_free, g_free);
-	losses->terminated = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						   g_free, g_free);
-	return losses;
+	lost_requests->probed = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, g_free, g_free);
+	lost_requests->terminated = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, g_free, g_free);
+	return lost_requests;
 }
 
-void lost_requests_destroy(struct lost_requests *losses)
+void lost_requests_destroy(struct lost_requests *lost_requests)
 {
-	if (!losses)
+	if (!lost_requests)
 		return;
-	g_array_unref(losses->unresolved);
-	g_hash_table_unref(losses->probed);
-	g_hash_table_unref(losses->terminated);
-	g_free(losses);
+	g_array_unref(lost_requests->unresolved);
+	g_hash_table_unref(lost_requests->probed);
+	g_hash_table_unref(lost_requests->terminated);
+	g_free(lost_requests);
 }
 
-static struct unresolved_loss *waiting_at(const struct lost_requests *losses,
-					  guint at)
+static struct unresolved_loss *
+unresolved_at(const struct lost_requests *lost_requests, guint at)
 {
-	return &g_array_index(losses->unresolved, struct unresolved_loss, at);
+	return &g_array_index(lost_requests->unresolved, struct unresolved_loss,
+			      at);
 }
 
-/* Returns whether it was not noted yet. */
-static bool note(GHashTable *lives, uint64_t life, int64_t when_us)
+/* Adds an incarnation with a time, unless it is in the table. Returns whether
+ * it was added. */
+static bool add_if_absent(GHashTable *times, uint64_t incarnation,
+			  int64_t when_us)
 {
-	if (g_hash_table_contains(lives, &life))
+	if (g_hash_table_contains(times, &incarnation))
 		return false;
-	g_hash_table_insert(lives, g_memdup2(&life, sizeof(life)),
+	g_hash_table_insert(times, g_memdup2(&incarnation, sizeof(incarnation)),
 			    g_memdup2(&when_us, sizeof(when_us)));
 	return true;
 }
 
-enum lost_request_status lost_requests_add(struct lost_requests *losses,
-					   struct lost_request *loss)
+enum lost_request_status lost_requests_add(struct lost_requests *lost_requests,
+					   struct lost_request *lost)
 {
-	const struct unresolved_loss waiting = { .request = *loss };
-	const int64_t *ended_us =
-		g_hash_table_lookup(losses->terminated, &loss->incarnation);
+	const struct unresolved_loss unresolved = { .request = *lost };
+	const int64_t *terminated_us = g_hash_table_lookup(
+		lost_requests->terminated, &lost->incarnation);
 
-	if (ended_us && loss->sent_us <= *ended_us) {
-		loss->lost_us = MIN(loss->lost_us, *ended_us);
+	if (terminated_us && lost->sent_us <= *terminated_us) {
+		lost->lost_us = MIN(lost->lost_us, *terminated_us);
 		return LOST_REQUEST_UPSTREAM_TERMINATED;
 	}
-	/* Sent after the end, and somebody took it. */
-	g_hash_table_remove(losses->terminated, &loss->incarnation);
-	if (losses->unresolved->len == WAITING_MAX)
-		g_array_remove_index(losses->unresolved, 0);
-	g_array_append_val(losses->unresolved, waiting);
-	return note(losses->probed, loss->incarnation, loss->lost_us)
+	/* The request was sent after the termination, and a process took it. */
+	g_hash_table_remove(lost_requests->terminated, &lost->incarnation);
+	if (lost_requests->unresolved->len == UNRESOLVED_MAX)
+		g_array_remove_index(lost_requests->unresolved, 0);
+	g_array_append_val(lost_requests->unresolved, unresolved);
+	return add_if_absent(lost_requests->probed, lost->incarnation,
+			     lost->lost_us)
 		       ? LOST_REQUEST_PROBE_NEEDED
 		       : LOST_REQUEST_PROBE_PENDING;
 }
 
-void lost_requests_note_undetermined(struct lost_requests *losses,
-				     uint64_t life, bool seen_alive)
+void lost_requests_note_undetermined(struct lost_requests *lost_requests,
+				     uint64_t incarnation,
+				     bool accepts_connections)
 {
-	g_hash_table_remove(losses->probed, &life);
-	for (guint i = 0; i < losses->unresolved->len; i++)
-		if (waiting_at(losses, i)->request.incarnation == life)
-			waiting_at(losses, i)->accepts_connections |=
-				seen_alive;
+	g_hash_table_remove(lost_requests->probed, &incarnation);
+	for (guint i = 0; i < lost_requests->unresolved->len; i++)
+		if (unresolved_at(lost_requests, i)->request.incarnation ==
+		    incarnation)
+			unresolved_at(lost_requests, i)->accepts_connections |=
+				accepts_connections;
 }
 
-/* Take out what counts of what was lost with a life. */
-static void take(struct lost_requests *losses, uint64_t life, bool restarted,
-		 GArray *out)
+/* Moves the requests that count against an incarnation's termination to `out`.
+ */
+static void extract_terminated(struct lost_requests *lost_requests,
+			       uint64_t incarnation, bool restarted,
+			       GArray *out)
 {
 	guint at = 0;
 
-	while (at < losses->unresolved->len) {
-		const struct unresolved_loss *waiting = waiting_at(losses, at);
+	while (at < lost_requests->unresolved->len) {
+		const struct unresolved_loss *unresolved =
+			unresolved_at(lost_requests, at);
 
-		if (waiting->request.incarnation != life ||
-		    (waiting->accepts_connections && !restarted)) {
+		if (unresolved->request.incarnation != incarnation ||
+		    (unresolved->accepts_connections && !restarted)) {
 			at++;
 			continue;
 		}
-		g_array_append_val(out, waiting->request);
-		g_array_remove_index(losses->unresolved, at);
+		g_array_append_val(out, unresolved->request);
+		g_array_remove_index(lost_requests->unresolved, at);
 	}
 }
 
-bool lost_requests_note_termination(struct lost_requests *losses, uint64_t life,
-				    bool restarted, GArray *out)
+bool lost_requests_note_termination(struct lost_requests *lost_requests,
+				    uint64_t incarnation, bool restarted,
+				    GArray *out)
 {
-	g_hash_table_remove(losses->probed, &life);
-	take(losses, life, restarted, out);
-	return note(losses->terminated, life, lp_now_us(losses->clock));
+	g_hash_table_remove(lost_requests->probed, &incarnation);
+	extract_terminated(lost_requests, incarnation, restarted, out);
+	return add_if_absent(lost_requests->terminated, incarnation,
+			     lp_now_us(lost_requests->clock));
 }
 
-static void drop_before(GHashTable *lives, int64_t before_us)
+static void drop_before(GHashTable *times, int64_t before_us)
 {
 	GHashTableIter iter;
 	gpointer when_us;
 
-	g_hash_table_iter_init(&iter, lives);
+	g_hash_table_iter_init(&iter, times);
 	while (g_hash_table_iter_next(&iter, NULL, &when_us))
 		if (*(int64_t *)when_us < before_us)
 			g_hash_table_iter_remove(&iter);
 }
 
-void lost_requests_expire(struct lost_requests *losses)
+void lost_requests_expire(struct lost_requests *lost_requests)
 {
 	int64_t before_us =
-		lp_now_us(losses->clock) - LOST_REQUESTS_RETENTION_US;
+		lp_now_us(lost_requests->clock) - LOST_REQUESTS_RETENTION_US;
 
-	while (losses->unresolved->len &&
-	       waiting_at(losses, 0)->request.lost_us < before_us)
-		g_array_remove_index(losses->unresolved, 0);
-	drop_before(losses->probed, before_us);
-	drop_before(losses->terminated, before_us);
+	while (lost_requests->unresolved->len &&
+	       unresolved_at(lost_requests, 0)->request.lost_us < before_us)
+		g_array_remove_index(lost_requests->unresolved, 0);
+	drop_before(lost_requests->probed, before_us);
+	drop_before(lost_requests->terminated, before_us);
 }
--- a/policy/lost_requests.h
+++ b/policy/lost_requests.h
@@ -1,13 +1,15 @@
 /**
- * Requests that were lost with an upstream, until it is known whether the
- * upstream has ended or only a connection to it.
+ * Requests that were in flight at an upstream when its connection failed, kept
+ * until it is known whether the upstream terminated or only the connection
+ * failed.
  *
- * A reset, a garbled answer or silence may come of the network, of a full or a
- * draining upstream, or of its end; only the last says anything about the
- * request. So a loss is kept for a while and comes to count when the upstream's
- * life is known to be over: its host refuses connections, another process
- * answers at its address, or it says a new start. If nothing of this is seen,
- * it is forgotten.
+ * A reset, a malformed answer or a timeout may be caused by the network, by an
+ * overloaded or draining upstream, or by its termination; only the last is
+ * evidence against the request. So a lost request is kept for a while and
+ * counts once the upstream's incarnation is known to be over: its host refuses
+ * connections, another process answers at its address, or its answers or the
+ * list give a new start time. If none of this is observed, the lost request is
+ * dropped.
  */
 #ifndef LOST_REQUESTS_H
 #define LOST_REQUESTS_H
@@ -17,54 +19,57 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/** A loss that nothing was found out about is forgotten; also how long an end
- * is remembered for losses that show later. An upstream that starts again under
- * its id says so within some heartbeats. */
+/** Retention of lost requests whose cause stays undetermined, and of
+ * terminations for lost requests that are detected later. An upstream that
+ * restarts under its id gives its new start time within some heartbeats. */
 #define LOST_REQUESTS_RETENTION_US (10 * LP_US_PER_S)
 
 struct lost_requests;
 
 struct lost_request {
-	uint64_t request_digest; /**< digest of its content */
-	uint64_t incarnation;	 /**< of the upstream */
-	uint32_t round;		 /**< quarantine_round() then */
-	int64_t sent_us;	 /**< when it was sent there */
+	uint64_t request_digest; /**< of its content */
+	uint64_t incarnation;	 /**< of the upstream; policy/pool.h */
+	uint32_t round;		 /**< quarantine_round() when it was sent */
+	int64_t sent_us;
 	int64_t lost_us;
 };
 
 enum lost_request_status {
-	LOST_REQUEST_PROBE_NEEDED,  /**< the first one there: find out what
-				       became of it */
-	LOST_REQUEST_PROBE_PENDING, /**< that is being found out already */
-	LOST_REQUEST_UPSTREAM_TERMINATED, /**< it is known to have ended: the
-					     loss counts */
+	LOST_REQUEST_PROBE_NEEDED,  /**< the caller must probe the upstream */
+	LOST_REQUEST_PROBE_PENDING, /**< a probe is under way */
+	LOST_REQUEST_UPSTREAM_TERMINATED, /**< the lost request counts */
 };
 
 struct lost_requests *lost_requests_create(const struct lp_clock *clock);
-void lost_requests_destroy(struct lost_requests *losses);
+void lost_requests_destroy(struct lost_requests *lost_requests);
 /**
- * It had ended before: `loss->lost_us` becomes the time of the end if that was
- * earlier. What was sent after an end met a new process that the list does not
- * tell apart yet: that one's end is to be found out again.
+ * Add a lost request. If the upstream is known to have terminated,
+ * `lost->lost_us` is set to the time of the termination if that was earlier. A
+ * request sent after the termination reached a new process that the list does
+ * not distinguish yet: whether that one terminated must be probed again.
  */
-enum lost_request_status lost_requests_add(struct lost_requests *losses,
-					   struct lost_request *loss);
+enum lost_request_status lost_requests_add(struct lost_requests *lost_requests,
+					   struct lost_request *lost);
 /**
- * A life is over: what was lost with it (struct lost_request) is appended to
- * `out`. Returns whether that is news. `restarted`: it says a new start, else
- * nobody is there. Of the second, what someone was seen alive after did not end
- * it.
+ * Record that an incarnation is over and append the requests lost with it
+ * (struct lost_request) to `out`. Returns whether this was not known yet.
+ * `restarted`: a new start time was observed; otherwise nobody accepts
+ * connections at its address. In that case, requests after whose loss the
+ * address accepted connections do not count.
  */
-bool lost_requests_note_termination(struct lost_requests *losses, uint64_t life,
-				    bool restarted, GArray *out);
+bool lost_requests_note_termination(struct lost_requests *lost_requests,
+				    uint64_t incarnation, bool restarted,
+				    GArray *out);
 /**
- * It was asked about, and nothing was found out: the next loss there is to be
- * asked about anew. `seen_alive`: someone takes connections there, who may be
- * another life of it; only a new start tells.
+ * Record that a probe did not determine whether the incarnation is over: the
+ * next lost request is to be probed again. `accepts_connections`: a process
+ * accepts connections at the address. It may be another incarnation, so only a
+ * new start time can show that this one is over.
  */
-void lost_requests_note_undetermined(struct lost_requests *losses,
-				     uint64_t life, bool seen_alive);
+void lost_requests_note_undetermined(struct lost_requests *lost_requests,
+				     uint64_t incarnation,
+				     bool accepts_connections);
 /** Drop what is older than LOST_REQUESTS_RETENTION_US. */
-void lost_requests_expire(struct lost_requests *losses);
+void lost_requests_expire(struct lost_requests *lost_requests);
 
 #endif
--- a/policy/result_memory.c
+++ b/policy/result_memory.c
@@ -2,26 +2,26 @@
 
 #include <glib.h>
 
-/* A result that is kept. */
+/* A result that its producer holds. */
 struct held_result {
 	char *handle;
 	int64_t bytes;
-	int64_t expires_us; /* its maker drops it then by itself */
+	int64_t expires_us; /* end of its TTL */
 };
 
 struct result_memory {
 	struct result_memory_options options;
-	int64_t reserved_bytes; /* of calls under way */
+	int64_t reserved_bytes; /* for calls under way */
 	int64_t held_bytes;
-	GQueue held;		 /* of struct held_result, oldest first */
-	GHashTable *links;	 /* handle -> its GList in `kept` */
-	int64_t untracked_bytes; /* not counted here */
+	GQueue held;		 /* struct held_result, oldest first */
+	GHashTable *links;	 /* handle -> its GList in `held` */
+	int64_t untracked_bytes; /* used by others, as far as known */
 	int64_t untracked_until_us;
 };
 
-static int64_t now(const struct result_memory *room)
+static int64_t now_us(const struct result_memory *memory)
 {
-	return lp_now_us(room->options.clock);
+	return lp_now_us(memory->options.clock);
 }
 
 static void free_result(gpointer data)
@@ -35,148 +35,150 @@
 struct result_memory *
 result_memory_create(const struct result_memory_options *options)
 {
-	struct result_memory *room = g_new0(struct result_memory, 1);
+	struct result_memory *memory = g_new0(struct result_memory, 1);
 
-	room->options = *options;
-	g_queue_init(&room->held);
-	room->links = g_hash_table_new(g_str_hash, g_str_equal);
-	return room;
+	memory->options = *options;
+	g_queue_init(&memory->held);
+	memory->links = g_hash_table_new(g_str_hash, g_str_equal);
+	return memory;
 }
 
-void result_memory_destroy(struct result_memory *room)
+void result_memory_destroy(struct result_memory *memory)
 {
-	if (!room)
+	if (!memory)
 		return;
-	g_hash_table_unref(room->links);
-	g_queue_clear_full(&room->held, free_result);
-	g_free(room);
+	g_hash_table_unref(memory->links);
+	g_queue_clear_full(&memory->held, free_result);
+	g_free(memory);
 }
 
-void result_memory_set_ttl(struct result_memory *room, int64_t linger_us)
+void result_memory_set_ttl(struct result_memory *memory, int64_t result_ttl_us)
 {
-	room->options.result_ttl_us = linger_us;
+	memory->options.result_ttl_us = result_ttl_us;
 }
 
-/* ---- results of our calls ---- */
+/* ---- tracked results ---- */
 
-static void remove_result(struct result_memory *room, GList *link)
+static void remove_result(struct result_memory *memory, GList *link)
 {
 	struct held_result *result = link->data;
 
-	room->held_bytes -= result->bytes;
-	g_hash_table_remove(room->links, result->handle);
-	g_queue_delete_link(&room->held, link);
+	memory->held_bytes -= result->bytes;
+	g_hash_table_remove(memory->links, result->handle);
+	g_queue_delete_link(&memory->held, link);
 	free_result(result);
 }
 
-static void drop_expired(struct result_memory *room)
+static void drop_expired(struct result_memory *memory)
 {
-	GList *oldest = g_queue_peek_head_link(&room->held);
+	GList *oldest = g_queue_peek_head_link(&memory->held);
 
-	while (oldest &&
-	       ((struct held_result *)oldest->data)->expires_us <= now(room)) {
-		remove_result(room, oldest);
-		oldest = g_queue_peek_head_link(&room->held);
+	while (oldest && ((struct held_result *)oldest->data)->expires_us <=
+				 now_us(memory)) {
+		remove_result(memory, oldest);
+		oldest = g_queue_peek_head_link(&memory->held);
 	}
-	if (room->untracked_until_us <= now(room))
-		room->untracked_bytes = 0;
+	if (memory->untracked_until_us <= now_us(memory))
+		memory->untracked_bytes = 0;
 }
 
-void result_memory_reserve(struct result_memory *room, int64_t bytes)
+void result_memory_reserve(struct result_memory *memory, int64_t bytes)
 {
-	room->reserved_bytes += bytes;
+	memory->reserved_bytes += bytes;
 }
 
-void result_memory_cancel(struct result_memory *room, int64_t bytes)
+void result_memory_cancel(struct result_memory *memory, int64_t bytes)
 {
-	room->reserved_bytes -= bytes;
+	memory->reserved_bytes -= bytes;
 }
 
-void result_memory_commit(struct result_memory *room, const char *handle,
+void result_memory_commit(struct result_memory *memory, const char *handle,
 			  int64_t bytes)
 {
 	struct held_result *result;
 
-	room->reserved_bytes -= bytes;
-	if (g_hash_table_contains(room->links, handle))
+	memory->reserved_bytes -= bytes;
+	if (g_hash_table_contains(memory->links, handle))
 		return;
 	result = g_new0(struct held_result, 1);
 	result->handle = g_strdup(handle);
 	result->bytes = bytes;
-	result->expires_us = now(room) + room->options.result_ttl_us;
-	g_queue_push_tail(&room->held, result);
-	g_hash_table_insert(room->links, result->handle,
-			    g_queue_peek_tail_link(&room->held));
-	room->held_bytes += bytes;
+	result->expires_us = now_us(memory) + memory->options.result_ttl_us;
+	g_queue_push_tail(&memory->held, result);
+	g_hash_table_insert(memory->links, result->handle,
+			    g_queue_peek_tail_link(&memory->held));
+	memory->held_bytes += bytes;
 }
 
-void result_memory_release(struct result_memory *room, const char *handle,
+void result_memory_release(struct result_memory *memory, const char *handle,
 			   int64_t bytes)
 {
-	GList *link = g_hash_table_lookup(room->links, handle);
+	GList *link = g_hash_table_lookup(memory->links, handle);
 
 	if (link)
-		remove_result(room, link);
+		remove_result(memory, link);
 	else
-		room->untracked_bytes = MAX(room->untracked_bytes - bytes, 0);
+		memory->untracked_bytes =
+			MAX(memory->untracked_bytes - bytes, 0);
 }
 
-/* ---- what is not counted here ---- */
+/* ---- untracked memory ---- */
 
-static void set_other(struct result_memory *room, int64_t bytes)
+static void set_untracked(struct result_memory *memory, int64_t bytes)
 {
-	room->untracked_bytes = MAX(bytes, 0);
-	room->untracked_until_us = now(room) + room->options.result_ttl_us;
+	memory->untracked_bytes = MAX(bytes, 0);
+	memory->untracked_until_us =
+		now_us(memory) + memory->options.result_ttl_us;
 }
 
-/* There is not more than that. */
-static void bound_other(struct result_memory *room, int64_t most_bytes)
+static void cap_untracked(struct result_memory *memory, int64_t max_bytes)
 {
-	room->untracked_bytes = MIN(room->untracked_bytes, MAX(most_bytes, 0));
+	memory->untracked_bytes =
+		MIN(memory->untracked_bytes, MAX(max_bytes, 0));
 }
 
-void result_memory_note_call(struct result_memory *room, int64_t all_bytes,
-			     int64_t own_bytes, int64_t made_bytes,
+void result_memory_note_call(struct result_memory *memory, int64_t total_bytes,
+			     int64_t tracked_bytes, int64_t completed_bytes,
 			     bool was_short)
 {
-	int64_t other_bytes = all_bytes - own_bytes - made_bytes;
+	int64_t untracked_bytes = total_bytes - tracked_bytes - completed_bytes;
 
-	if (!all_bytes)
+	if (!total_bytes)
 		return;
-	drop_expired(room);
+	drop_expired(memory);
 	if (was_short)
-		set_other(room, other_bytes);
+		set_untracked(memory, untracked_bytes);
 	else
-		bound_other(room, other_bytes);
+		cap_untracked(memory, untracked_bytes);
 }
 
-void result_memory_note_report(struct result_memory *room, int64_t all_bytes,
-			       int64_t own_bytes, int64_t least_bytes,
-			       int64_t most_bytes)
+void result_memory_note_report(struct result_memory *memory,
+			       int64_t total_bytes, int64_t tracked_bytes,
+			       int64_t free_min_bytes, int64_t free_max_bytes)
 {
-	int64_t most_other = all_bytes - own_bytes - least_bytes;
-	int64_t least_other = all_bytes - own_bytes - most_bytes;
+	int64_t untracked_max = total_bytes - tracked_bytes - free_min_bytes;
+	int64_t untracked_min = total_bytes - tracked_bytes - free_max_bytes;
 
-	drop_expired(room);
-	if (room->untracked_bytes < least_other)
-		set_other(room, least_other);
+	drop_expired(memory);
+	if (memory->untracked_bytes < untracked_min)
+		set_untracked(memory, untracked_min);
 	else
-		bound_other(room, most_other);
+		cap_untracked(memory, untracked_max);
 }
 
-int64_t result_memory_tracked_bytes(struct result_memory *room)
+int64_t result_memory_tracked_bytes(struct result_memory *memory)
 {
-	drop_expired(room);
-	return room->reserved_bytes + room->held_bytes;
+	drop_expired(memory);
+	return memory->reserved_bytes + memory->held_bytes;
 }
 
-int64_t result_memory_untracked_bytes(struct result_memory *room)
+int64_t result_memory_untracked_bytes(struct result_memory *memory)
 {
-	drop_expired(room);
-	return room->untracked_bytes;
+	drop_expired(memory);
+	return memory->untracked_bytes;
 }
 
-int64_t result_memory_used_bytes(struct result_memory *room)
+int64_t result_memory_used_bytes(struct result_memory *memory)
 {
-	return result_memory_tracked_bytes(room) + room->untracked_bytes;
+	return result_memory_tracked_bytes(memory) + memory->untracked_bytes;
 }
