--- a/policy/allowed_regions.c
+++ b/policy/allowed_regions.c
@@ -5,10 +5,10 @@
 #include <string.h>
 
 #define SEPARATOR ","
-/* How ALLOWED_REGIONS_ANY is written; no region has this name. */
-#define ANYWHERE_TEXT "*"
+/* Wire format of ALLOWED_REGIONS_ANY; no region has this name. */
+#define ANY_REGION_TEXT "*"
 
-/* Takes an array of borrowed names, in any order. */
+/* `names` are borrowed and get sorted. */
 static const char *intern_set(GPtrArray *names)
 {
 	g_autofree char *text = NULL;
@@ -41,25 +41,25 @@
 	return intern_set(names);
 }
 
-bool allowed_regions_contain(const char *homes, const char *region)
+bool allowed_regions_contain(const char *allowed_regions, const char *region)
 {
 	g_auto(GStrv) regions = NULL;
 
-	if (!homes)
+	if (!allowed_regions)
 		return true;
 	if (!region || !*region)
 		return false;
-	regions = g_strsplit(homes, SEPARATOR, -1);
+	regions = g_strsplit(allowed_regions, SEPARATOR, -1);
 	return g_strv_contains((const char *const *)regions, region);
 }
 
-const char *allowed_regions_encode(const char *homes)
+const char *allowed_regions_encode(const char *allowed_regions)
 {
-	return homes ? homes : ANYWHERE_TEXT;
+	return allowed_regions ? allowed_regions : ANY_REGION_TEXT;
 }
 
 const char *allowed_regions_decode(const char *text)
 {
-	return strcmp(text, ANYWHERE_TEXT) != 0 ? g_intern_string(text)
-						: ALLOWED_REGIONS_ANY;
+	return strcmp(text, ANY_REGION_TEXT) != 0 ? g_intern_string(text)
+						  : ALLOWED_REGIONS_ANY;
 }
--- a/policy/allowed_regions.h
+++ b/policy/allowed_regions.h
@@ -1,9 +1,9 @@
 /**
- * In which regions a request may be served: those of its route, and those of
- * its organisation, where they are restricted; both bind where both are.
+ * Regions in which a request may be served: those allowed for its route and
+ * those allowed for its organisation. If both are restricted, both apply.
  *
- * A set of regions is an interned text, equal for equal sets, so that it can
- * be kept without an owner and told to other entries.
+ * A set of regions is an interned string, the same pointer for equal sets. It
+ * needs no owner and can be sent to other entries.
  */
 #ifndef ALLOWED_REGIONS_H
 #define ALLOWED_REGIONS_H
@@ -14,14 +14,13 @@
 /** No restriction. */
 #define ALLOWED_REGIONS_ANY NULL
 
-/** The set of these regions. */
 const char *allowed_regions_create(const char *const *regions, guint count);
-/** What is in both; either may be ALLOWED_REGIONS_ANY. */
+/** Either argument may be ALLOWED_REGIONS_ANY. */
 const char *allowed_regions_intersect(const char *one, const char *two);
-/** `region` NULL: not known, which is in no set. */
-bool allowed_regions_contain(const char *homes, const char *region);
-/** As text for other entries, and back; interned. */
-const char *allowed_regions_encode(const char *homes);
+/** `region` NULL: unknown, which only ALLOWED_REGIONS_ANY contains. */
+bool allowed_regions_contain(const char *allowed_regions, const char *region);
+/** Wire format for other entries, and back. Both results are interned. */
+const char *allowed_regions_encode(const char *allowed_regions);
 const char *allowed_regions_decode(const char *text);
 
 #endif
--- a/policy/client_wait.h
+++ b/policy/client_wait.h
@@ -1,34 +1,36 @@
 /**
- * How long a caller has waited already when its request comes.
+ * Estimate of how long a client has already waited in earlier tries when its
+ * request arrives.
  *
- * A caller that was refused, or whose entry died, comes back with a new request
- * that says only how much of its time is left. What it has waited counts for
- * being late all the same: such a request is late sooner than one that has just
- * begun, and must not go before those that can still be on time.
+ * A client whose request was refused, or whose entry terminated, sends a new
+ * request that gives only the remaining part of its timeout. The time that it
+ * has waited before still counts towards its latency: such a request is late
+ * sooner than a first try and must not precede requests that can still be on
+ * time.
  *
- * Callers of a route usually wait equally long, or as long as one of a few
- * kinds: a time that is given again and again is that of a first try. One that
- * is not given often is what is left of the next longer one that is. Where all
- * wait differently nothing is concluded.
+ * Clients of a route usually have one timeout, or one of a few. A timeout that
+ * occurs often is taken as that of a first try. A rare one is taken as the
+ * remainder of the next longer frequent one. If all timeouts differ, nothing is
+ * estimated.
  */
 #ifndef CLIENT_WAIT_H
 #define CLIENT_WAIT_H
 
 #include <stdint.h>
 
-/** Requests of one route that are remembered: some seconds' worth. */
+/** Most recent requests of a route that are kept: those of some seconds. */
 #define CLIENT_WAIT_SAMPLES 64
 
-/** Of the callers of one route; all zero at first. */
+/** Timeouts of the clients of one route; initially all zero. */
 struct client_wait {
-	int32_t samples[CLIENT_WAIT_SAMPLES]; /**< private: in steps, 0: none */
+	int32_t samples[CLIENT_WAIT_SAMPLES]; /**< private: in steps */
 	uint32_t next_sample;		      /**< private */
 };
 
 /**
- * Note a request whose caller waits `left_us` from now on. Returns how long it
- * has waited before, about; 0: this is its first try, or nothing is known.
+ * Record a request with the remaining timeout `left_us`. Returns the estimated
+ * time that its client has waited before; 0: a first try, or unknown.
  */
-int64_t client_wait_elapsed_us(struct client_wait *patience, int64_t left_us);
+int64_t client_wait_elapsed_us(struct client_wait *wait, int64_t left_us);
 
 #endif
--- a/policy/pool.c
+++ b/policy/pool.c
@@ -232,13 +232,13 @@
 }
 
 uint32_t pool_set_closed_domains(struct pool *pool,
-				 const struct closed_domains *closures)
+				 const struct closed_domains *closed_domains)
 {
 	GHashTableIter iter;
 	gpointer value;
 	uint32_t changes = 0;
 
-	pool->closed_domains = closures;
+	pool->closed_domains = closed_domains;
 	g_hash_table_iter_init(&iter, pool->upstreams);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct pool_upstream *upstream = value;
@@ -1295,14 +1295,14 @@
 static struct retry_schedule *retry_schedule_of(struct pool *pool,
 						const char *service)
 {
-	struct retry_schedule *turns =
+	struct retry_schedule *schedule =
 		g_hash_table_lookup(pool->retry_schedules, service);
 
-	if (turns)
-		return turns;
-	turns = g_new0(struct retry_schedule, 1);
-	g_hash_table_insert(pool->retry_schedules, g_strdup(service), turns);
-	return turns;
+	if (schedule)
+		return schedule;
+	schedule = g_new0(struct retry_schedule, 1);
+	g_hash_table_insert(pool->retry_schedules, g_strdup(service), schedule);
+	return schedule;
 }
 
 int64_t pool_retry_after_us(struct pool *pool,
--- a/policy/pool.h
+++ b/policy/pool.h
@@ -165,9 +165,9 @@
  * set back. */
 bool pool_needs_reapply(const struct pool *pool);
 /** Set the domains closed to new work; borrowed. To be called again after each
- * change of `closures`. Returns for how many upstreams this changed. */
+ * change of `closed_domains`. Returns for how many upstreams this changed. */
 uint32_t pool_set_closed_domains(struct pool *pool,
-				 const struct closed_domains *closures);
+				 const struct closed_domains *closed_domains);
 /** Set the warm-up limits of a service's upstreams; copied. */
 void pool_set_warmup(struct pool *pool, const char *service,
 		     const struct warmup_limits *limits);
--- a/policy/rate_limit.c
+++ b/policy/rate_limit.c
@@ -3,44 +3,44 @@
 #include <glib.h>
 #include <math.h>
 
-/* What is known is told again this often at the most. */
+/* Minimum interval between broadcasts of a known limit. */
 #define BROADCAST_INTERVAL_US (1 * LP_US_PER_S)
-/* The end of a limit is told again for so long. */
+/* Time for which the withdrawal of a limit is broadcast again. */
 #define WITHDRAWAL_BROADCAST_US (5 * LP_US_PER_S)
 
 bool rate_limit_update(struct rate_limit *limit,
-		       const struct rate_limit_report *word)
+		       const struct rate_limit_report *report)
 {
-	bool changed = limit->advertised != word->advertised ||
-		       (word->advertised && limit->per_s != word->per_s);
+	bool changed = limit->advertised != report->advertised ||
+		       (report->advertised && limit->per_s != report->per_s);
 
-	if (word->answered_us < limit->answered_us)
+	if (report->answered_us < limit->answered_us)
 		return false;
-	if (limit->advertised && !word->advertised)
-		limit->withdrawn_us = word->answered_us;
-	limit->answered_us = word->answered_us;
-	limit->advertised = word->advertised;
-	limit->per_s = word->advertised ? word->per_s : 0;
+	if (limit->advertised && !report->advertised)
+		limit->withdrawn_us = report->answered_us;
+	limit->answered_us = report->answered_us;
+	limit->advertised = report->advertised;
+	limit->per_s = report->advertised ? report->per_s : 0;
 	return changed;
 }
 
 bool rate_limit_needs_broadcast(const struct rate_limit *limit, int64_t now_us)
 {
-	bool has_ended_lately =
+	bool was_withdrawn_recently =
 		limit->withdrawn_us &&
 		now_us - limit->withdrawn_us < WITHDRAWAL_BROADCAST_US;
 
-	return (limit->advertised || has_ended_lately) &&
+	return (limit->advertised || was_withdrawn_recently) &&
 	       now_us - limit->broadcast_us >= BROADCAST_INTERVAL_US;
 }
 
-static double owner_part(const struct rate_limit_fleet *fleet)
+static double owner_fraction(const struct rate_limit_fleet *fleet)
 {
-	double part = fleet->owner_for_us < RATE_LIMIT_NEW_OWNER_US
-			      ? RATE_LIMIT_NEW_OWNER_FRACTION
-			      : RATE_LIMIT_OWNER_FRACTION;
+	double fraction = fleet->owner_for_us < RATE_LIMIT_NEW_OWNER_US
+				  ? RATE_LIMIT_NEW_OWNER_FRACTION
+				  : RATE_LIMIT_OWNER_FRACTION;
 
-	return part * fleet->reachable_entries / fleet->known_entries;
+	return fraction * fleet->reachable_entries / fleet->known_entries;
 }
 
 struct rate_limit_share
@@ -51,8 +51,8 @@
 			.fraction = RATE_LIMIT_OWNER_FRACTION
 		};
 	if (fleet->has_owner && fleet->is_owner)
-		return (struct rate_limit_share){ .fraction =
-							  owner_part(fleet) };
+		return (struct rate_limit_share){ .fraction = owner_fraction(
+							  fleet) };
 	return (struct rate_limit_share){
 		.fraction = (fleet->has_owner ? RATE_LIMIT_OTHERS_FRACTION
 					      : RATE_LIMIT_NO_OWNER_FRACTION) /
@@ -67,7 +67,7 @@
 	return MAX(limit->per_s, RATE_LIMIT_MIN_PER_S) * share->fraction;
 }
 
-/* When the slot that holds this moment has begun. */
+/* Start of the slot that contains `now_us`. */
 static int64_t slot_start_us(const struct rate_limit_share *share,
 			     double slot_us, int64_t now_us)
 {
--- a/policy/rate_limit.h
+++ b/policy/rate_limit.h
@@ -1,27 +1,29 @@
 /**
- * The requests a second that an upstream takes from all entries together, as
- * it says in its answers while it is in need.
+ * Rate limit that an upstream advertises in its answers while it is overloaded:
+ * requests a second from all entries together.
  *
- * The newest answer counts, whichever entry had it: one that names a limit,
- * or one that names none any more.
+ * The newest answer to any entry decides: it advertises a limit, or none, which
+ * withdraws an earlier one.
  *
- * Entries keep to a limit together without a message a request: each has a
- * part of it, and one slot after the other in which it may send once. The
- * parts add up to less than the limit whoever can hear whom:
+ * Entries enforce a limit jointly without a message per request. Each entry has
+ * a fraction of the limit, and time is divided into slots in each of which it
+ * may send once. The fractions add up to less than the limit whichever entries
+ * can reach each other:
  *
- * - Whoever places or dispatches for a service has RATE_LIMIT_OWNER_FRACTION,
- * and only as much of it as it hears of the fleet. So two groups of entries
- * that are cut off from each other have one limit between them. One that has
- * just taken over has RATE_LIMIT_NEW_OWNER_FRACTION: the one before may not
- * know yet.
- * - The others, who send there only while that one does not answer, divide
- *   RATE_LIMIT_OTHERS_FRACTION among all.
- * - Where nobody places, entries divide RATE_LIMIT_NO_OWNER_FRACTION evenly.
- * Hosts have no clock in common, so slots of many entries may fall together: it
- * is less.
+ * - The owner of a service is the entry that places or dispatches for it.
+ *   It has RATE_LIMIT_OWNER_FRACTION, reduced to the share of the fleet that
+ *   it can reach. So two groups of entries that are partitioned from each
+ *   other have one limit between them. A new owner has
+ *   RATE_LIMIT_NEW_OWNER_FRACTION, as its predecessor may not know yet.
+ * - The other entries, which send only while the owner does not answer, divide
+ *   RATE_LIMIT_OTHERS_FRACTION among all entries.
+ * - Without an owner, entries divide RATE_LIMIT_NO_OWNER_FRACTION evenly. It is
+ *   smaller because hosts have no common clock, so slots of many entries may
+ *   coincide.
  *
- * A slot that one of many does not use is lost after RATE_LIMIT_SLOT_VALID_US,
- * or they could all save one up and use them at once.
+ * An unused slot of one of many entries expires after
+ * RATE_LIMIT_SLOT_VALID_US; otherwise all entries could save a slot and use
+ * them at the same time.
  */
 #ifndef RATE_LIMIT_H
 #define RATE_LIMIT_H
@@ -35,67 +37,69 @@
 #define RATE_LIMIT_NEW_OWNER_FRACTION 0.45
 #define RATE_LIMIT_OTHERS_FRACTION 0.1
 #define RATE_LIMIT_NO_OWNER_FRACTION 0.6
-/** An owner is new for so long: by then the one before has noticed that it
- * does not hear the others. */
+/** Time for which an owner is new. By then its predecessor has noticed that it
+ * does not reach the other entries. */
 #define RATE_LIMIT_NEW_OWNER_US (4 * LP_US_PER_S)
 #define RATE_LIMIT_SLOT_VALID_US (1 * LP_US_PER_S)
-/** Less than this is not kept to, or nobody would hear that it has ended. */
+/** Lowest limit that is enforced. With a lower one no request would be sent
+ * whose answer could withdraw the limit. */
 #define RATE_LIMIT_MIN_PER_S 0.2
 
-/** What is known of one upstream; all zero: it has named none. */
+/** The known limit of one upstream; all zero: none. */
 struct rate_limit {
 	bool advertised;
-	double per_s;	     /**< of all entries; only if it is named */
-	int64_t answered_us; /**< when the answer came that says so; 0: never */
-	int64_t withdrawn_us; /**< when one came that named none any more */
-	int64_t broadcast_us; /**< when entries were told last */
-	int64_t last_sent_us; /**< our last request there while it is named */
+	double per_s;	      /**< of all entries; 0 if not advertised */
+	int64_t answered_us;  /**< time of the newest answer; 0: none */
+	int64_t withdrawn_us; /**< time of the withdrawing answer */
+	int64_t broadcast_us; /**< last broadcast to the other entries */
+	int64_t last_sent_us; /**< this entry's last request under the limit */
 };
 
-/** What an answer said of it. */
+/** What an answer of the upstream advertises. */
 struct rate_limit_report {
 	bool advertised;
 	double per_s;
 	int64_t answered_us;
 };
 
-/** Our share of the limits of a service. */
+/** This entry's share of the limits of a service's upstreams. */
 struct rate_limit_share {
 	double fraction; /**< of the limit, 0 to 1 */
-	/** Where our slots begin, unlike those of others; 0 to 1. */
+	/** Offset of the slots, as a fraction of one, different for each
+	 * entry; 0 to 1. */
 	double phase;
-	int64_t slot_valid_us; /**< a slot may be used for so long; 0: all of it
-				*/
+	int64_t slot_valid_us; /**< part of a slot that may be used; 0: all */
 };
 
-/** What an entry knows of its fleet, for its share of a limit. */
+/** What an entry knows of the fleet of all entries; determines its share. */
 struct rate_limit_fleet {
-	uint32_t reachable_entries; /**< entries heard now, ourselves among them
-				     */
-	uint32_t known_entries; /**< entries heard or named lately, likewise */
-	bool has_owner;		/**< one of them sends for all */
-	bool is_owner;		/**< and it is us ... */
-	int64_t owner_for_us;	/**< ... for so long */
+	uint32_t reachable_entries; /**< including this one */
+	uint32_t known_entries;	    /**< recently reachable or listed, including
+				       this one */
+	bool has_owner;		    /**< one of them is the owner */
+	bool is_owner;		    /**< this entry is the owner */
+	int64_t owner_for_us;	    /**< since when, as a duration */
 };
 
-/** Take a word, unless a newer one is known. Returns whether it changes what
- * is known. */
+/** Apply a report unless a newer one is known. Returns whether it changed the
+ * limit. */
 bool rate_limit_update(struct rate_limit *limit,
-		       const struct rate_limit_report *word);
-/** An answer has confirmed what is known: whether other entries are to be told
- * again. They have not been for a while, and may have missed it. */
+		       const struct rate_limit_report *report);
+/** Whether to broadcast the known limit again after an answer that confirms it,
+ * because entries may have missed the last broadcast. */
 bool rate_limit_needs_broadcast(const struct rate_limit *limit, int64_t now_us);
-/** Our share of the limits of a service; its phase is left at 0. */
+/** Determine this entry's share. `phase` is left at 0. */
 struct rate_limit_share
 rate_limit_find_share(const struct rate_limit_fleet *fleet);
-/** Time until we may send a request there; 0: now. */
+/** Time until this entry may send a request; 0: now. */
 int64_t rate_limit_wait_us(const struct rate_limit *limit,
 			   const struct rate_limit_share *share,
 			   int64_t now_us);
-/** Requests a second that we may send there; only if it is named. */
+/** This entry's share in requests a second. Only valid while a limit is
+ * advertised. */
 double rate_limit_share_per_s(const struct rate_limit *limit,
 			      const struct rate_limit_share *share);
-/** A request is sent there. */
+/** Record that a request is sent. */
 void rate_limit_note_sent(struct rate_limit *limit, int64_t now_us);
 
 #endif
--- a/policy/remaining_latency.c
+++ b/policy/remaining_latency.c
@@ -2,29 +2,31 @@
 
 #include <glib.h>
 
-/* Weights of the newest time, as where round trips are measured: some ten
- * requests make the mean, and a route has more of them in a second. */
-#define MEAN_WEIGHT 8
-#define SPREAD_WEIGHT 4
+/* Divisors of the newest sample, as in TCP's round-trip time estimator: some
+ * ten requests determine the mean, and a route has more than that in a second.
+ */
+#define MEAN_DIVISOR 8
+#define DEVIATION_DIVISOR 4
 
-void remaining_latency_record(struct remaining_latency *remaining,
+void remaining_latency_record(struct remaining_latency *latency,
 			      int64_t expected_us, int64_t took_us)
 {
-	/* One that met a fault says nothing of the next one. */
-	int64_t over_us =
+	/* Bounds the effect of a request that met a fault. */
+	int64_t excess_us =
 		CLAMP(took_us - expected_us, -expected_us, expected_us);
-	int64_t off_us = over_us - remaining->mean_excess_us;
+	int64_t deviation_us = excess_us - latency->mean_excess_us;
 
-	remaining->mean_excess_us += off_us / MEAN_WEIGHT;
-	remaining->mean_deviation_us +=
-		(ABS(off_us) - remaining->mean_deviation_us) / SPREAD_WEIGHT;
+	latency->mean_excess_us += deviation_us / MEAN_DIVISOR;
+	latency->mean_deviation_us +=
+		(ABS(deviation_us) - latency->mean_deviation_us) /
+		DEVIATION_DIVISOR;
 }
 
-int64_t remaining_latency_us(const struct remaining_latency *remaining,
+int64_t remaining_latency_us(const struct remaining_latency *latency,
 			     int64_t expected_us)
 {
-	int64_t over_us =
-		remaining->mean_excess_us + remaining->mean_deviation_us;
+	int64_t excess_us =
+		latency->mean_excess_us + latency->mean_deviation_us;
 
-	return expected_us + CLAMP(over_us, 0, expected_us);
+	return expected_us + CLAMP(excess_us, 0, expected_us);
 }
--- a/policy/remaining_latency.h
+++ b/policy/remaining_latency.h
@@ -1,35 +1,34 @@
 /**
- * What a request still needs once a stage is made, by what requests of its
- * route needed lately.
+ * Estimate of the time from the completion of a stage to a request's first
+ * event, from recent requests of the same route.
  *
- * Answers the queue that serves everyone a little late: pieces are begun in the
- * order of their due times, so under load each is begun just when it is due. A
- * due time that counts calls as if nothing else was in them, and an engine
- * without load, is 100 to 300 ms too late; then nearly all that a queue lets
- * through misses its target by less than that, though nothing is short of what
- * being on time would take. What is learnt is the time beyond the expected one:
- * its mean and its spread, so that most are on time and not half of them.
+ * It prevents queues from serving nearly all requests slightly late. Pieces are
+ * started in the order of their due times, so under load each is started just
+ * when it is due. A due time that assumes calls without other pieces and an
+ * idle engine is 100 to 300 ms too late. Then nearly every request that a queue
+ * serves misses its latency target by less than that, although serving them on
+ * time would not need more capacity. So the excess over the expected time
+ * is estimated by its mean and its mean deviation, so that most requests are on
+ * time and not only half of them.
  */
 #ifndef REMAINING_LATENCY_H
 #define REMAINING_LATENCY_H
 
 #include <stdint.h>
 
-/** Of one stage of one route; all zero at first. */
+/** Estimate for one stage of one route; initially all zero. */
 struct remaining_latency {
-	int64_t mean_excess_us;	   /**< private: fading mean beyond what is
-				      expected */
-	int64_t mean_deviation_us; /**< private: fading mean distance from that
-				    */
+	int64_t mean_excess_us;	   /**< private: moving average */
+	int64_t mean_deviation_us; /**< private: moving average */
 };
 
-/** A request went on at once after the stage, and was answered `took_us` after
- * it; `expected_us` had been. */
-void remaining_latency_record(struct remaining_latency *remaining,
+/** Record a request that continued immediately after the stage and was answered
+ * `took_us` after its completion, where `expected_us` was expected. */
+void remaining_latency_record(struct remaining_latency *latency,
 			      int64_t expected_us, int64_t took_us);
-/** What is to be allowed for where `expected_us` is expected: at least that, at
- * most twice as much. */
-int64_t remaining_latency_us(const struct remaining_latency *remaining,
+/** Time to allow where `expected_us` is expected: at least that, at most twice
+ * as much. */
+int64_t remaining_latency_us(const struct remaining_latency *latency,
 			     int64_t expected_us);
 
 #endif
--- a/policy/warmup.c
+++ b/policy/warmup.c
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-static int64_t pause_us(const struct warmup_limits *limits)
+static int64_t send_interval_us(const struct warmup_limits *limits)
 {
 	return (int64_t)((double)LP_US_PER_S /
 			 (limits->requests_per_s * limits->own_share));
@@ -21,8 +21,8 @@
 {
 	if (!warmup_is_cold(warmup, now_us) && has_bound(limits))
 		warmup->next_send_us =
-			now_us +
-			(int64_t)(limits->phase * (double)pause_us(limits));
+			now_us + (int64_t)(limits->phase *
+					   (double)send_interval_us(limits));
 	warmup->cold_until_us = MAX(warmup->cold_until_us, until_us);
 }
 
@@ -41,5 +41,5 @@
 		      int64_t now_us)
 {
 	if (warmup_is_cold(warmup, now_us) && has_bound(limits))
-		warmup->next_send_us = now_us + pause_us(limits);
+		warmup->next_send_us = now_us + send_interval_us(limits);
 }
