--- a/tests/copy_test.cc
+++ b/tests/copy_test.cc
@@ -21,15 +21,15 @@
 	{
 		for (const char *id : { "one", "two", "three" })
 			add(id, "a");
-		pool_set_cache_copying(it, "s", 163840, bytes_per_us);
+		pool_set_cache_copying(c_pool, "s", 163840, bytes_per_us);
 		home = pick(prompt);
-		pool_note_cached_blocks(it, home, prompt.data(), 2, 100000);
+		pool_note_cached_blocks(c_pool, home, prompt.data(), 2, 100000);
 	}
 	pool_upstream *other()
 	{
 		for (const char *id : { "one", "two", "three" })
-			if (pool_find(it, id) != home)
-				return pool_find(it, id);
+			if (pool_find(c_pool, id) != home)
+				return pool_find(c_pool, id);
 		return nullptr;
 	}
 	pool_cache_copy copy_to(const pool_upstream *engine)
@@ -39,7 +39,7 @@
 		ask.service = "s";
 		ask.blocks = next.data();
 		ask.blocks_count = next.size();
-		return pool_find_cache_copy(it, engine, &ask);
+		return pool_find_cache_copy(c_pool, engine, &ask);
 	}
 	pool_cache_copy copy()
 	{
@@ -75,7 +75,7 @@
 
 	pool.pass_ms(1000);
 	EXPECT_EQ(pool.copy_to(pool.home).source, nullptr);
-	pool_record_outcome(pool.it, pool.home, POOL_UNREACHABLE, 0, 0);
+	pool_record_outcome(pool.c_pool, pool.home, POOL_UNREACHABLE, 0, 0);
 	EXPECT_EQ(pool.copy().source, nullptr);
 }
 
@@ -86,17 +86,17 @@
 
 	slow.pass_ms(1000);
 	EXPECT_EQ(slow.copy().source, nullptr);
-	EXPECT_GT(pool_cache_copy_us(slow.it, "s", 13000), 13000 * 16);
+	EXPECT_GT(pool_cache_copy_us(slow.c_pool, "s", 13000), 13000 * 16);
 }
 
 TEST(Copy, IsNotMadeWhereEnginesDoNotCopy)
 {
 	CopyingPool pool;
 
-	pool_set_cache_copying(pool.it, "s", 163840, 0);
+	pool_set_cache_copying(pool.c_pool, "s", 163840, 0);
 	pool.pass_ms(1000);
 	EXPECT_EQ(pool.copy().source, nullptr);
-	EXPECT_EQ(pool_cache_copy_us(pool.it, "s", 13000), 0);
+	EXPECT_EQ(pool_cache_copy_us(pool.c_pool, "s", 13000), 0);
 }
 
 /* A home that is behind is left sooner, since nothing is read again. */
@@ -107,7 +107,7 @@
 	pool.pass_ms(1000);
 	pool.home->pending_prefill_tokens = 30000; /* 500 ms */
 	EXPECT_NE(pool.pick(next), pool.home);
-	pool_set_cache_copying(pool.it, "s", 163840, 0);
+	pool_set_cache_copying(pool.c_pool, "s", 163840, 0);
 	EXPECT_EQ(pool.pick(next), pool.home);
 }
 
@@ -120,10 +120,11 @@
 	pool.add("there", "b");
 	pool.pass_ms(1000);
 	closed_domains_set(closed, 1, "a", true);
-	pool_set_closed_domains(pool.it, closed);
+	pool_set_closed_domains(pool.c_pool, closed);
 	EXPECT_STREQ(pool.pick(next)->info.id, "there");
-	EXPECT_EQ(pool.copy_to(pool_find(pool.it, "there")).source, pool.home);
-	pool_set_closed_domains(pool.it, nullptr);
+	EXPECT_EQ(pool.copy_to(pool_find(pool.c_pool, "there")).source,
+		  pool.home);
+	pool_set_closed_domains(pool.c_pool, nullptr);
 	closed_domains_destroy(closed);
 }
 
@@ -135,7 +136,7 @@
 	const pool_prefix_block told[] = { { 9, 700 } };
 
 	pool.pass_ms(1000);
-	pool_set_cached_blocks(pool.it, pool.home, told, 1);
+	pool_set_cached_blocks(pool.c_pool, pool.home, told, 1);
 	EXPECT_EQ(pool_uncached_tokens(pool.home, prompt.data(), 2), 14000);
 	EXPECT_EQ(pool_uncached_tokens(pool.home, &told[0], 1), 0);
 }
@@ -145,7 +146,7 @@
 {
 	CopyingPool pool;
 
-	pool_set_cached_blocks(pool.it, pool.home, nullptr, 0);
+	pool_set_cached_blocks(pool.c_pool, pool.home, nullptr, 0);
 	EXPECT_EQ(pool_uncached_tokens(pool.home, prompt.data(), 2), 0);
 }
 
--- a/tests/direct_policy_test.cc
+++ b/tests/direct_policy_test.cc
@@ -364,13 +364,13 @@
 
 	pool.add("one", "a");
 	pool.add("two", "a");
-	pool.entries[0].draining = true;
-	pool_update(pool.it, pool.entries.data(), 2);
+	pool.infos[0].draining = true;
+	pool_update(pool.c_pool, pool.infos.data(), 2);
 	EXPECT_STREQ(pool.pick()->info.id, "two");
 	EXPECT_EQ(pool.pick({}, { "two" }), nullptr);
-	pool.entries[0].draining = false;
-	pool_update(pool.it, pool.entries.data(), 2);
-	pool_record_outcome(pool.it, pool_find(pool.it, "two"),
+	pool.infos[0].draining = false;
+	pool_update(pool.c_pool, pool.infos.data(), 2);
+	pool_record_outcome(pool.c_pool, pool_find(pool.c_pool, "two"),
 			    POOL_UNREACHABLE, 0, 0);
 	EXPECT_STREQ(pool.pick()->info.id, "one");
 	/* One that is set aside is better than none. */
@@ -383,11 +383,11 @@
 
 	pool.add("one", "a");
 	pool.add("two", "a");
-	pool_record_outcome(pool.it, pool_find(pool.it, "one"), POOL_SERVED,
-			    500000, 50000);
+	pool_record_outcome(pool.c_pool, pool_find(pool.c_pool, "one"),
+			    POOL_SERVED, 500000, 50000);
 	EXPECT_STREQ(pool.pick()->info.id, "two");
 	pool.clock.now_us += 30 * LP_US_PER_S;
-	pool_find(pool.it, "two")->in_flight = 1;
+	pool_find(pool.c_pool, "two")->in_flight = 1;
 	EXPECT_STREQ(pool.pick()->info.id, "one");
 }
 
@@ -401,7 +401,7 @@
 	for (const char *id : { "e1", "e2", "e3", "e4" })
 		pool.add(id, "a");
 	home = pool.pick(prompt);
-	pool_note_cached_blocks(pool.it, home, prompt.data(), 2, 100000);
+	pool_note_cached_blocks(pool.c_pool, home, prompt.data(), 2, 100000);
 	EXPECT_EQ(pool_uncached_tokens(home, prompt.data(), 2), 0);
 	EXPECT_EQ(pool.pick({ { 7, 9000 }, { 9, 400 } }), home);
 	home->pending_prefill_tokens = 200000;
@@ -421,15 +421,15 @@
 	ask.blocks = prompt.data();
 	ask.blocks_count = prompt.size();
 	ask.target_us = 500000;
-	pool_upstream *home = pool_pick(pool.it, &ask);
+	pool_upstream *home = pool_pick(pool.c_pool, &ask);
 
-	pool_note_cached_blocks(pool.it, home, prompt.data(), 2, 100000);
+	pool_note_cached_blocks(pool.c_pool, home, prompt.data(), 2, 100000);
 	home->pending_prefill_tokens = 20000; /* 330 ms */
-	EXPECT_EQ(pool_pick(pool.it, &ask), home);
+	EXPECT_EQ(pool_pick(pool.c_pool, &ask), home);
 	home->pending_prefill_tokens = 40000; /* 670 ms */
-	EXPECT_NE(pool_pick(pool.it, &ask), home);
+	EXPECT_NE(pool_pick(pool.c_pool, &ask), home);
 	ask.target_us = 0; /* it is late in any case */
-	EXPECT_EQ(pool_pick(pool.it, &ask), home);
+	EXPECT_EQ(pool_pick(pool.c_pool, &ask), home);
 }
 
 /* A large service has several placers, each with a share of the engines. */
@@ -449,9 +449,9 @@
 		ask.tried_count = 0;
 		std::vector<const char *> tried;
 
-		while ((best = pool_pick(pool.it, &ask))) {
+		while ((best = pool_pick(pool.c_pool, &ask))) {
 			EXPECT_EQ(best->hash % 2, ask.shard);
-			EXPECT_EQ(pool_find_incarnation(pool.it,
+			EXPECT_EQ(pool_find_incarnation(pool.c_pool,
 							best->incarnation),
 				  best);
 			tried.push_back(best->info.id);
@@ -474,7 +474,7 @@
 		const pool_prefix_block part = { i, 100 };
 
 		pool.clock.now_us++;
-		pool_note_cached_blocks(pool.it, engine, &part, 1, 500);
+		pool_note_cached_blocks(pool.c_pool, engine, &part, 1, 500);
 	}
 	const pool_prefix_block oldest = { 5, 100 };
 	const pool_prefix_block newest = { 10, 100 };
@@ -632,7 +632,7 @@
 		add("one", "a");
 		add("two", "a");
 		options.clock = &clock.clock;
-		options.pool = it;
+		options.pool = c_pool;
 		options.service = "s";
 		options.batch_max = 8;
 		options.call_us = 150000;
@@ -675,7 +675,7 @@
 	}
 	void end(pieces_call *call)
 	{
-		end_made(queue, call, &results);
+		complete_call(queue, call, &results);
 	}
 	/* A piece whose input lies in another domain; the upstream there is at
 	 * work for 400 ms. Its bytes weigh as 50 ms. */
@@ -684,7 +684,7 @@
 		piece far = {};
 
 		add("near", "b");
-		pool_note_busy(it, pool_find(it, "near"),
+		pool_note_busy(c_pool, pool_find(c_pool, "near"),
 			       clock.now_us + 400000);
 		far.request = &requests[1];
 		far.due_us = clock.now_us + due_us;
@@ -705,7 +705,7 @@
 	/* A result is kept there. */
 	void keep(const char *id, const char *handle, int64_t bytes)
 	{
-		result_memory *at = pool_find(it, id)->result_memory;
+		result_memory *at = pool_find(c_pool, id)->result_memory;
 
 		result_memory_reserve(at, bytes);
 		result_memory_commit(at, handle, bytes);
@@ -718,7 +718,7 @@
 	pieces_call *call;
 	pieces_call *second;
 
-	pool_note_busy(rig.it, pool_find(rig.it, "two"),
+	pool_note_busy(rig.c_pool, pool_find(rig.c_pool, "two"),
 		       rig.clock.now_us + 900000);
 	rig.ask(1, 1, 900000);
 	ASSERT_EQ(rig.next(&call), (std::vector<int>{ 1 }));
@@ -788,10 +788,10 @@
 	rig.ask(1, 1, 500000, 0, 200);
 	rig.tell_rooms(50);
 	ASSERT_TRUE(rig.next(&call).empty());
-	result_memory_release(pool_find(rig.it, "two")->result_memory, "2/a",
-			      900);
+	result_memory_release(pool_find(rig.c_pool, "two")->result_memory,
+			      "2/a", 900);
 	EXPECT_EQ(result_memory_used_bytes(
-			  pool_find(rig.it, "two")->result_memory),
+			  pool_find(rig.c_pool, "two")->result_memory),
 		  50);
 	ASSERT_EQ(rig.next(&call).size(), 1u);
 	EXPECT_STREQ(call->upstream->info.id, "two");
@@ -875,7 +875,7 @@
 	pieces_call *one;
 	pieces_call *two;
 
-	pool_find(rig.it, "two")->slowness = 10;
+	pool_find(rig.c_pool, "two")->slowness = 10;
 	rig.ask(1, 1, 900000);
 	ASSERT_EQ(rig.next(&one).size(), 1u);
 	EXPECT_STREQ(one->upstream->info.id, "one");
@@ -892,10 +892,10 @@
 TEST(PiecesQueue, KeepsToItsPartsOfAService)
 {
 	Pieces rig;
-	uint64_t part = pool_find(rig.it, "one")->hash % 64;
+	uint64_t part = pool_find(rig.c_pool, "one")->hash % 64;
 	pieces_call *call;
 
-	ASSERT_NE(part, pool_find(rig.it, "two")->hash % 64);
+	ASSERT_NE(part, pool_find(rig.c_pool, "two")->hash % 64);
 	pieces_set_parts(rig.queue, 64, UINT64_C(1) << part);
 	rig.ask(1, 1, 900000);
 	ASSERT_EQ(rig.next(&call).size(), 1u);
--- a/tests/incarnations_test.cc
+++ b/tests/incarnations_test.cc
@@ -121,9 +121,9 @@
 struct Born : Pool {
 	void list(int64_t born_ms, bool leaving = false)
 	{
-		entries[0].born_ms = born_ms;
-		entries[0].draining = leaving;
-		pool_update(it, entries.data(), entries.size());
+		infos[0].born_ms = born_ms;
+		infos[0].draining = leaving;
+		pool_update(c_pool, infos.data(), infos.size());
 	}
 	Born()
 	{
@@ -133,14 +133,14 @@
 	}
 	pool_upstream *i()
 	{
-		return pool_find(it, "i");
+		return pool_find(c_pool, "i");
 	}
 };
 
 /* Asked before anything was known of another one. */
 pool_upstream *answered(Born &pool, pool_upstream *asked, int64_t born_ms)
 {
-	return pool_attribute_answer(pool.it, asked, born_ms, 0);
+	return pool_attribute_answer(pool.c_pool, asked, born_ms, 0);
 }
 
 /* Whatever was believed of the one before. */
@@ -153,9 +153,10 @@
 
 	before->in_flight = 3;
 	before->pending_prefill_tokens = 5000;
-	pool_note_cached_blocks(pool.it, before, &part, 1, 0);
+	pool_note_cached_blocks(pool.c_pool, before, &part, 1, 0);
 	for (int i = 0; i < 5; i++)
-		pool_record_outcome(pool.it, before, POOL_UNREACHABLE, 0, 0);
+		pool_record_outcome(pool.c_pool, before, POOL_UNREACHABLE, 0,
+				    0);
 	result_memory_reserve(before->result_memory, 900);
 	result_memory_commit(before->result_memory, "h", 900);
 	EXPECT_EQ(pool_uncached_tokens(before, &part, 1), 0);
@@ -166,13 +167,15 @@
 	EXPECT_EQ(after->in_flight, 0u);
 	EXPECT_EQ(after->pending_prefill_tokens, 0);
 	EXPECT_EQ(pool_uncached_tokens(after, &part, 1), 900);
-	EXPECT_TRUE(pool_is_available(pool.it, after));
+	EXPECT_TRUE(pool_is_available(pool.c_pool, after));
 	EXPECT_EQ(result_memory_used_bytes(after->result_memory), 0);
 	/* Its place among the others stays; words of peers part them. */
 	EXPECT_EQ(after->hash, before->hash);
 	EXPECT_NE(after->incarnation, before->incarnation);
-	EXPECT_EQ(pool_find_incarnation(pool.it, after->incarnation), after);
-	EXPECT_EQ(pool_find_incarnation(pool.it, before->incarnation), nullptr);
+	EXPECT_EQ(pool_find_incarnation(pool.c_pool, after->incarnation),
+		  after);
+	EXPECT_EQ(pool_find_incarnation(pool.c_pool, before->incarnation),
+		  nullptr);
 	pool_upstream_unref(before);
 }
 
@@ -184,11 +187,11 @@
 	EXPECT_TRUE(pool.i()->info.draining);
 	pool.list(1001, false);
 	EXPECT_FALSE(pool.i()->info.draining);
-	EXPECT_FALSE(pool_needs_reapply(pool.it));
+	EXPECT_FALSE(pool_needs_reapply(pool.c_pool));
 	pool.list(1000, true); /* late */
 	EXPECT_FALSE(pool.i()->info.draining);
 	EXPECT_EQ(pool.i()->info.born_ms, 1001);
-	EXPECT_TRUE(pool_needs_reapply(pool.it));
+	EXPECT_TRUE(pool_needs_reapply(pool.c_pool));
 }
 
 /* The one it took the place of has left the list meanwhile. */
@@ -197,11 +200,11 @@
 	Born pool;
 
 	pool.list(1001);
-	pool_update(pool.it, &pool.entries[1], 1);
+	pool_update(pool.c_pool, &pool.infos[1], 1);
 	EXPECT_EQ(pool.i(), nullptr);
 	pool.list(1000);
 	EXPECT_EQ(pool.i(), nullptr);
-	EXPECT_NE(pool_find(pool.it, "other"), nullptr);
+	EXPECT_NE(pool_find(pool.c_pool, "other"), nullptr);
 	pool.list(1001);
 	EXPECT_NE(pool.i(), nullptr);
 }
@@ -236,8 +239,8 @@
 	Born pool;
 	pool_upstream *asked = pool_upstream_ref(pool.i());
 
-	g_free(pool.entries[0].address);
-	pool.entries[0].address = g_strdup("1:2");
+	g_free(pool.infos[0].address);
+	pool.infos[0].address = g_strdup("1:2");
 	pool.list(1000);
 	EXPECT_NE(pool.i(), asked);
 	EXPECT_EQ(answered(pool, asked, 1000), nullptr);
@@ -252,7 +255,7 @@
 	Born pool;
 	pool_upstream *asked = pool_upstream_ref(pool.i());
 
-	pool_update(pool.it, &pool.entries[1], 1);
+	pool_update(pool.c_pool, &pool.infos[1], 1);
 	EXPECT_EQ(answered(pool, asked, 1000), asked);
 	EXPECT_EQ(answered(pool, asked, 999), nullptr);
 	pool_upstream_unref(asked);
--- a/tests/pool_rig.h
+++ b/tests/pool_rig.h
@@ -9,13 +9,13 @@
 
 struct Pool {
 	TestClock clock;
-	pool *it = pool_create(&clock.clock, "a");
-	std::vector<pool_upstream_info> entries;
+	pool *c_pool = pool_create(&clock.clock, "a");
+	std::vector<pool_upstream_info> infos;
 
 	~Pool()
 	{
-		pool_destroy(it);
-		for (auto &entry : entries) {
+		pool_destroy(c_pool);
+		for (auto &entry : infos) {
 			g_free(entry.id);
 			g_free(entry.service);
 			g_free(entry.address);
@@ -33,8 +33,8 @@
 					     0,
 					     0 };
 
-		entries.push_back(entry);
-		pool_update(it, entries.data(), entries.size());
+		infos.push_back(entry);
+		pool_update(c_pool, infos.data(), infos.size());
 	}
 	pool_upstream *pick(std::vector<pool_prefix_block> parts = {},
 			    std::vector<const char *> tried = {})
@@ -46,12 +46,12 @@
 		ask.blocks_count = parts.size();
 		ask.tried = tried.data();
 		ask.tried_count = tried.size();
-		return pool_pick(it, &ask);
+		return pool_pick(c_pool, &ask);
 	}
 };
 
 /* A call ends with all of its pieces made; `results` numbers their handles. */
-inline void end_made(pieces *queue, pieces_call *call, int *results)
+inline void complete_call(pieces *queue, pieces_call *call, int *results)
 {
 	for (guint i = 0; i < call->pieces->len; i++)
 		pieces_made(queue, call, &g_array_index(call->pieces, piece, i),
--- a/tests/preferred_domain_test.cc
+++ b/tests/preferred_domain_test.cc
@@ -30,7 +30,7 @@
 		for (const char *domain : domains)
 			add(domain, domain);
 		options.clock = &clock.clock;
-		options.pool = it;
+		options.pool = c_pool;
 		options.service = "s";
 		options.batch_max = 40;
 		options.call_us = 200 * ms;
@@ -81,7 +81,7 @@
 				i++;
 				continue;
 			}
-			end_made(queue, calls[i], &results);
+			complete_call(queue, calls[i], &results);
 			calls.erase(calls.begin() + (ptrdiff_t)i);
 		}
 	}
--- a/tests/remaining_latency_test.cc
+++ b/tests/remaining_latency_test.cc
@@ -80,7 +80,7 @@
 		for (const char *id : { "one", "two", "three", "four" })
 			add(id, "a");
 		options.clock = &clock.clock;
-		options.pool = it;
+		options.pool = c_pool;
 		options.service = "s";
 		options.batch_max = 18;
 		options.call_us = 150 * ms;
@@ -138,7 +138,7 @@
 				if (++request->made == 8)
 					end_request(request);
 			}
-			end_made(queue, call, &results);
+			complete_call(queue, call, &results);
 			calls.erase(calls.begin() + (long)i);
 		}
 	}
--- a/tests/result_memory_test.cc
+++ b/tests/result_memory_test.cc
@@ -147,7 +147,7 @@
 		for (uint32_t i = 0; i < upstreams; i++)
 			add(("u" + std::to_string(i)).c_str(), "a");
 		options.clock = &clock.clock;
-		options.pool = it;
+		options.pool = c_pool;
 		options.service = "s";
 		options.batch_max = 8;
 		options.call_us = 200000;
@@ -163,7 +163,7 @@
 	/* Whoever was killed had these made; they lapse one by one. */
 	void leave_results(int count)
 	{
-		for (const pool_upstream_info &entry : entries)
+		for (const pool_upstream_info &entry : infos)
 			for (int i = 1; i <= count; i++)
 				makers.kept[entry.id].push_back(
 					{ piece_bytes,
--- a/tests/warmup_test.cc
+++ b/tests/warmup_test.cc
@@ -188,13 +188,13 @@
 
 	~ClosedPool()
 	{
-		pool_set_closed_domains(it, nullptr);
+		pool_set_closed_domains(c_pool, nullptr);
 		closed_domains_destroy(closed);
 	}
 	void set(const char *domain, bool is_closed)
 	{
 		closed_domains_set(closed, ++revision, domain, is_closed);
-		pool_set_closed_domains(it, closed);
+		pool_set_closed_domains(c_pool, closed);
 	}
 };
 
@@ -211,14 +211,15 @@
 	ask.service = "s";
 	ask.blocks = parts.data();
 	ask.blocks_count = parts.size();
-	const pool_upstream *home = pool_affinity_upstream(pool.it, &ask);
+	const pool_upstream *home = pool_affinity_upstream(pool.c_pool, &ask);
 	std::string domain = home->info.domain;
 
 	pool.set(domain.c_str(), true);
-	EXPECT_NE(pool_affinity_upstream(pool.it, &ask)->info.domain, domain);
+	EXPECT_NE(pool_affinity_upstream(pool.c_pool, &ask)->info.domain,
+		  domain);
 	EXPECT_NE(pool.pick(parts)->info.domain, domain);
 	pool.set(domain.c_str(), false);
-	EXPECT_EQ(pool_affinity_upstream(pool.it, &ask), home);
+	EXPECT_EQ(pool_affinity_upstream(pool.c_pool, &ask), home);
 }
 
 TEST(PoolClosures, WithoutAnOpenDomainThereIsNothing)
@@ -228,9 +229,11 @@
 	pool.add("1", "a");
 	pool.add("2", "b");
 	pool.set("a", true);
-	EXPECT_FALSE(pool_service_is_closed(pool.it, "s", ALLOWED_REGIONS_ANY));
+	EXPECT_FALSE(
+		pool_service_is_closed(pool.c_pool, "s", ALLOWED_REGIONS_ANY));
 	pool.set("b", true);
-	EXPECT_TRUE(pool_service_is_closed(pool.it, "s", ALLOWED_REGIONS_ANY));
+	EXPECT_TRUE(
+		pool_service_is_closed(pool.c_pool, "s", ALLOWED_REGIONS_ANY));
 	EXPECT_EQ(pool.pick(), nullptr);
 	/* One that comes there meanwhile is closed, too. */
 	pool.add("3", "a");
@@ -242,12 +245,12 @@
 {
 	ClosedPool pool;
 
-	pool_set_warmup(pool.it, "s", &engine);
+	pool_set_warmup(pool.c_pool, "s", &engine);
 	pool.add("1", "a");
 	pool.set("a", true);
 	pool.set("a", false);
 	ASSERT_NE(pool.pick(), nullptr);
-	pool_note_sent(pool.it, pool.pick());
+	pool_note_sent(pool.c_pool, pool.pick());
 	EXPECT_EQ(pool.pick(), nullptr);
 	pool.clock.now_us += engine.cold_period_us;
 	EXPECT_NE(pool.pick(), nullptr);
@@ -262,12 +265,12 @@
 		warmup_limits limits = engine;
 
 		limits.is_owner = for_all;
-		pool_set_warmup(pool.it, "s", &limits);
+		pool_set_warmup(pool.c_pool, "s", &limits);
 		pool.add("1", "a");
-		pool_record_outcome(pool.it, pool.pick(), POOL_UNREACHABLE, 0,
-				    0);
+		pool_record_outcome(pool.c_pool, pool.pick(), POOL_UNREACHABLE,
+				    0, 0);
 		pool.clock.now_us += LP_US_PER_S;
-		pool_note_sent(pool.it, pool.pick());
+		pool_note_sent(pool.c_pool, pool.pick());
 		EXPECT_EQ(pool.pick() == nullptr, for_all);
 	}
 }
@@ -278,10 +281,10 @@
 	Pool pool;
 
 	pool.add("1", "a");
-	pool.entries[0].cold_left_us = engine.cold_period_us;
-	pool_update(pool.it, pool.entries.data(), 1);
-	pool_set_warmup(pool.it, "s", &engine);
-	pool_note_sent(pool.it, pool.pick());
+	pool.infos[0].cold_left_us = engine.cold_period_us;
+	pool_update(pool.c_pool, pool.infos.data(), 1);
+	pool_set_warmup(pool.c_pool, "s", &engine);
+	pool_note_sent(pool.c_pool, pool.pick());
 	EXPECT_EQ(pool.pick(), nullptr);
 }
 
