--- a/policy/pool.c
+++ b/policy/pool.c
@@ -70,7 +70,7 @@
 };
 
 /* State received from an incarnation that is not in the list. */
-struct unlisted {
+struct unlisted_state {
 	struct rate_limit rate_limit;
 	int64_t pushback_until_us;
 	bool drain_notice;
@@ -88,14 +88,14 @@
 	void *restarted_userdata;
 	GHashTable *services; /* name -> GPtrArray of struct pool_upstream */
 	const struct closed_domains *closed_domains; /* NULL: unknown */
-	GHashTable *warmups;	       /* service -> struct warmup_limits */
+	GHashTable *warmup_limits;     /* service -> struct warmup_limits */
 	GHashTable *cache_copying;     /* service -> struct cache_copying */
 	GHashTable *rate_limit_shares; /* service -> struct
 					  pool_rate_limit_shares */
 	struct pool_rate_limit_shares
 		default_rate_limit_shares; /* of other services */
 	GHashTable *retry_schedules; /* service -> struct retry_schedule */
-	GHashTable *unlisted;	     /* incarnation -> struct unlisted */
+	GHashTable *unlisted;	     /* incarnation -> struct unlisted_state */
 	GHashTable *regions;	     /* domain -> interned region */
 };
 
@@ -146,7 +146,7 @@
 	pool->services =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 				      (GDestroyNotify)g_ptr_array_unref);
-	pool->warmups =
+	pool->warmup_limits =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	pool->cache_copying =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -171,7 +171,7 @@
 	if (!pool)
 		return;
 	g_hash_table_unref(pool->services);
-	g_hash_table_unref(pool->warmups);
+	g_hash_table_unref(pool->warmup_limits);
 	g_hash_table_unref(pool->cache_copying);
 	g_hash_table_unref(pool->rate_limit_shares);
 	g_hash_table_unref(pool->retry_schedules);
@@ -189,7 +189,7 @@
 static const struct warmup_limits *
 warmup_limits_of(const struct pool *pool, const struct pool_upstream *upstream)
 {
-	return g_hash_table_lookup(pool->warmups, upstream->info.service);
+	return g_hash_table_lookup(pool->warmup_limits, upstream->info.service);
 }
 
 static void begin_cold_period(const struct pool *pool,
@@ -257,7 +257,7 @@
 void pool_set_warmup(struct pool *pool, const char *service,
 		     const struct warmup_limits *limits)
 {
-	g_hash_table_replace(pool->warmups, g_strdup(service),
+	g_hash_table_replace(pool->warmup_limits, g_strdup(service),
 			     g_memdup2(limits, sizeof(*limits)));
 }
 
@@ -440,7 +440,7 @@
 {
 	const int64_t *now_us = userdata;
 
-	return *now_us - ((const struct unlisted *)value)->unlisted_us >=
+	return *now_us - ((const struct unlisted_state *)value)->unlisted_us >=
 	       UNLISTED_KEEP_US;
 }
 
@@ -450,7 +450,7 @@
 				const struct pool_upstream *upstream)
 {
 	int64_t now_us = lp_now_us(pool->clock);
-	struct unlisted unlisted = {
+	struct unlisted_state state = {
 		.rate_limit = upstream->rate_limit,
 		.pushback_until_us = upstream->pushback_until_us,
 		.drain_notice = upstream->drain_notice,
@@ -467,20 +467,20 @@
 	g_hash_table_replace(pool->unlisted,
 			     g_memdup2(&upstream->incarnation,
 				       sizeof(upstream->incarnation)),
-			     g_memdup2(&unlisted, sizeof(unlisted)));
+			     g_memdup2(&state, sizeof(state)));
 }
 
 static void restore_unlisted_state(struct pool *pool,
 				   struct pool_upstream *upstream)
 {
-	const struct unlisted *unlisted =
+	const struct unlisted_state *state =
 		g_hash_table_lookup(pool->unlisted, &upstream->incarnation);
 
-	if (!unlisted)
+	if (!state)
 		return;
-	upstream->rate_limit = unlisted->rate_limit;
-	upstream->pushback_until_us = unlisted->pushback_until_us;
-	upstream->drain_notice = unlisted->drain_notice;
+	upstream->rate_limit = state->rate_limit;
+	upstream->pushback_until_us = state->pushback_until_us;
+	upstream->drain_notice = state->drain_notice;
 	g_hash_table_remove(pool->unlisted, &upstream->incarnation);
 }
 
--- a/policy/pool.h
+++ b/policy/pool.h
@@ -197,7 +197,7 @@
  * of them may take a request, after those already scheduled. Otherwise 0.
  */
 int64_t pool_retry_after_us(struct pool *pool,
-			    const struct pool_pick_args *ask);
+			    const struct pool_pick_args *args);
 /** Record that a request or call is sent now. */
 void pool_note_sent(struct pool *pool, struct pool_upstream *upstream);
 /** Record a drain notice. It excludes this incarnation from selection whatever
@@ -225,7 +225,7 @@
  * rendezvous hashing; or NULL. */
 const struct pool_upstream *
 pool_affinity_upstream(const struct pool *pool,
-		       const struct pool_pick_args *ask);
+		       const struct pool_pick_args *args);
 
 /**
  * Set the size and the transfer rate of prefix caches that engines of a service
@@ -238,28 +238,28 @@
 struct pool_cache_copy
 pool_find_cache_copy(const struct pool *pool,
 		     const struct pool_upstream *upstream,
-		     const struct pool_pick_args *ask);
+		     const struct pool_pick_args *args);
 /** Estimated time to copy the prefix cache of so many tokens. */
 int64_t pool_cache_copy_us(const struct pool *pool, const char *service,
 			   int64_t tokens);
 /** Select the upstream with the lowest estimated cost, or NULL. Borrowed: see
  * pool_upstream_ref(). */
 struct pool_upstream *pool_pick(struct pool *pool,
-				const struct pool_pick_args *ask);
+				const struct pool_pick_args *args);
 /** Prompt tokens of these blocks that this upstream has not cached. */
 int64_t pool_uncached_tokens(const struct pool_upstream *upstream,
-			     const struct pool_prefix_block *parts,
+			     const struct pool_prefix_block *blocks,
 			     uint32_t count);
 /** Record that the upstream has these blocks in its prefix cache, or will have
  * them after their prefill. If the total exceeds `capacity_tokens` (0:
  * unlimited), the least recently used blocks are dropped. */
 void pool_note_cached_blocks(struct pool *pool, struct pool_upstream *upstream,
-			     const struct pool_prefix_block *parts,
+			     const struct pool_prefix_block *blocks,
 			     uint32_t count, int64_t capacity_tokens);
 /** Set the blocks that an engine reports to have cached. Other blocks are
  * dropped, except those whose prefill is assumed to be under way. */
 void pool_set_cached_blocks(struct pool *pool, struct pool_upstream *upstream,
-			    const struct pool_prefix_block *parts,
+			    const struct pool_prefix_block *blocks,
 			    uint32_t count);
 /**
  * Update the estimates by an outcome. `took_us` and `expected_us` are the
--- a/policy/warmup.h
+++ b/policy/warmup.h
@@ -1,7 +1,6 @@
 /**
- * Pacing of requests to a cold upstream, one that has just started or
- * returns to service. It takes a few requests a second, and fails if
- * it gets many more.
+ * Pacing of requests to a cold upstream: one that has just started or returns
+ * to service. It takes a few requests a second and fails if it gets many more.
  *
  * The bound holds for all entries together, without a message per request. The
  * owner of a service, the entry that places or dispatches for it, has most of
--- a/tests/pool_rig.h
+++ b/tests/pool_rig.h
@@ -1,4 +1,4 @@
-/** A pool of upstreams under a clock that a test sets. */
+/** Fixture: a pool of upstreams with a clock that the test controls. */
 #ifndef POOL_RIG_H
 #define POOL_RIG_H
 
@@ -15,42 +15,43 @@
 	~Pool()
 	{
 		pool_destroy(c_pool);
-		for (auto &entry : infos) {
-			g_free(entry.id);
-			g_free(entry.service);
-			g_free(entry.address);
-			g_free(entry.domain);
+		for (auto &info : infos) {
+			g_free(info.id);
+			g_free(info.service);
+			g_free(info.address);
+			g_free(info.domain);
 		}
 	}
 	void add(const char *id, const char *domain, const char *service = "s")
 	{
-		pool_upstream_info entry = { g_strdup(id),
-					     g_strdup(service),
-					     g_strdup("1:1"),
-					     g_strdup(domain),
-					     4,
-					     false,
-					     0,
-					     0 };
-
-		infos.push_back(entry);
+		pool_upstream_info info = { g_strdup(id),
+					    g_strdup(service),
+					    g_strdup("1:1"),
+					    g_strdup(domain),
+					    4,
+					    false,
+					    0,
+					    0 };
+
+		infos.push_back(info);
 		pool_update(c_pool, infos.data(), infos.size());
 	}
-	pool_upstream *pick(std::vector<pool_prefix_block> parts = {},
+	pool_upstream *pick(std::vector<pool_prefix_block> blocks = {},
 			    std::vector<const char *> tried = {})
 	{
-		pool_pick_args ask = {};
-
-		ask.service = "s";
-		ask.blocks = parts.data();
-		ask.blocks_count = parts.size();
-		ask.tried = tried.data();
-		ask.tried_count = tried.size();
-		return pool_pick(c_pool, &ask);
+		pool_pick_args args = {};
+
+		args.service = "s";
+		args.blocks = blocks.data();
+		args.blocks_count = blocks.size();
+		args.tried = tried.data();
+		args.tried_count = tried.size();
+		return pool_pick(c_pool, &args);
 	}
 };
 
-/* A call ends with all of its pieces made; `results` numbers their handles. */
+/* Ends a call with all of its pieces completed. `results` numbers the handles.
+ */
 inline void complete_call(pieces *queue, pieces_call *call, int *results)
 {
 	for (guint i = 0; i < call->pieces->len; i++)
--- a/tests/preferred_domain_test.cc
+++ b/tests/preferred_domain_test.cc
@@ -1,5 +1,6 @@
-/* Pieces with large inputs that lie in one domain, upstreams in several: how
- * much crosses, and whether anything is late for it. */
+/* Pieces whose large inputs are in one of several domains with upstreams: the
+ * preference for that domain limits the traffic between domains without making
+ * pieces late. */
 #include "pool_rig.h"
 
 #include <gtest/gtest.h>
@@ -12,18 +13,18 @@
 const int64_t ms = 1000;
 const char *const domains[] = { "a", "b", "c" };
 
-/* One upstream in each of three domains. */
-struct Near : Pool {
+/* A pool with one upstream in each of three domains. */
+struct DomainLoad : Pool {
 	pieces *queue;
 	std::vector<pieces_call *> calls;
 	int requests[512];
-	int64_t far_bytes = 0;
+	int64_t cross_domain_bytes = 0;
 	int64_t all_bytes = 0;
 	uint32_t late = 0;
 	uint32_t served = 0;
 	int results = 0;
 
-	Near()
+	DomainLoad()
 	{
 		pieces_options options = {};
 
@@ -37,21 +38,21 @@
 		options.piece_us = 4300;
 		queue = pieces_create(&options);
 	}
-	~Near()
+	~DomainLoad()
 	{
 		pieces_destroy(queue);
 	}
-	/* Ten pieces, each of which takes in six results of 60 KB. */
-	void ask(int request)
+	/* Adds ten pieces with six results of 60 KB each as inputs. */
+	void add_request(int request)
 	{
 		piece one = {};
-		uint64_t at = lp_hash_pair((uint64_t)request, 1) % 3;
+		uint64_t domain = lp_hash_pair((uint64_t)request, 1) % 3;
 
 		one.request = &requests[request];
 		one.due_us = clock.now_us + 900 * ms;
 		one.until_us = clock.now_us + 6000 * ms;
 		one.has_inputs = true;
-		one.preferred_domain = domains[at];
+		one.preferred_domain = domains[domain];
 		one.preferred_bytes = 360000;
 		for (uint32_t i = 0; i < 10; i++) {
 			one.index = i;
@@ -67,7 +68,7 @@
 			all_bytes += one->preferred_bytes;
 			if (strcmp(one->preferred_domain,
 				   call->upstream->info.domain))
-				far_bytes += one->preferred_bytes;
+				cross_domain_bytes += one->preferred_bytes;
 			late += clock.now_us > one->due_us;
 			served++;
 		}
@@ -94,7 +95,7 @@
 		for (; clock.now_us < end_us; clock.now_us += 5 * ms) {
 			while (next_us <= clock.now_us) {
 				ASSERT_LT(request, (int)G_N_ELEMENTS(requests));
-				ask(request++);
+				add_request(request++);
 				next_us += every_us;
 			}
 			end_calls();
@@ -106,16 +107,16 @@
 	}
 };
 
-/* A third of the capacity lies in each domain, so that nothing needs to
- * cross; what does crosses because its own upstream is at work. */
-TEST(Near, FewBytesCrossDomainsAndNothingIsLateForIt)
+/* Each domain has a third of the capacity, so no piece needs to cross domains.
+ * Pieces cross only when the upstream in their own domain is busy. */
+TEST(PreferredDomain, FewBytesCrossDomainsAndNoPieceIsLate)
 {
-	Near rig;
+	DomainLoad rig;
 
 	rig.run(20000 * ms, 45 * ms);
 	EXPECT_GT(rig.served, 3000u);
 	EXPECT_EQ(rig.late, 0u);
-	EXPECT_LT((double)rig.far_bytes / (double)rig.all_bytes, 0.1);
+	EXPECT_LT((double)rig.cross_domain_bytes / (double)rig.all_bytes, 0.1);
 }
 
 } // namespace
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -255,7 +255,7 @@
 struct Losses {
 	TestClock clock;
 	lost_requests *it = lost_requests_create(&clock.clock);
-	GArray *out = g_array_new(FALSE, FALSE, sizeof(loss));
+	GArray *out = g_array_new(FALSE, FALSE, sizeof(lost_request));
 
 	~Losses()
 	{
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -1,18 +1,19 @@
 /*
- * Limits that upstreams name in their answers: requests a second that they take
- * of all entries together. The emulator writes down who does not keep to them.
+ * Rate limits that upstreams advertise in their answers: requests a second from
+ * all entries together. The emulator records violations.
  */
 #include "fleet_rig.h"
 
 namespace
 {
 
-/* A limit holds three seconds after it was named, over any four. */
+/* A limit is checked from three seconds after it was advertised, over any four
+ * seconds. */
 const int64_t until_judged_ms = 3000 + 4000 + 500;
 
-/* The reported day: engines that had named one request a second got thirteen in
- * four seconds, though all entries had been told. */
-TEST(NamedLimit, AFleetKeepsToThatOfAnEngine)
+/* Engines that advertised one request a second got thirteen in four seconds,
+ * although all entries knew the limit. */
+TEST(AdvertisedRateLimit, FleetStaysWithinLimitOfEngine)
 {
 	Fleet fleet;
 
@@ -21,8 +22,8 @@
 	EXPECT_EQ(fleet.count(200), (int)fleet.asks.size());
 }
 
-/* Nobody places for a plain service: each entry chooses for itself. */
-TEST(NamedLimit, AFleetKeepsToThatOfAPlainUpstream)
+/* A plain service has no owner: each entry selects upstreams by itself. */
+TEST(AdvertisedRateLimit, FleetStaysWithinLimitOfPlainUpstream)
 {
 	Fleet fleet;
 
@@ -31,12 +32,12 @@
 	EXPECT_EQ(fleet.count(200), (int)fleet.asks.size());
 }
 
-/* Calls of pieces, questions and results that are given up count, too. */
-TEST(NamedLimit, AFleetKeepsToThatOfAStage)
+/* Calls, memory queries and freed results count towards the limit, too. */
+TEST(AdvertisedRateLimit, FleetStaysWithinLimitOfStage)
 {
 	Fleet fleet;
 
-	/* Long enough that calls go to both. */
+	/* So long that calls go to both upstreams. */
 	for (pe_upstream *upstream : fleet.upstreams["first"])
 		pe_set_work_ms(upstream, 150);
 	pe_set_limit(fleet.upstreams["first"][0], 1);
@@ -44,8 +45,9 @@
 	EXPECT_EQ(fleet.count(200), (int)fleet.asks.size());
 }
 
-/* What a limit leaves is used: those that call it may have to wait else. */
-TEST(NamedLimit, IsUsed)
+/* Requests that the limit permits are sent; otherwise callers would wait in
+ * vain. */
+TEST(AdvertisedRateLimit, IsUsedToItsExtent)
 {
 	Fleet fleet;
 	pe_upstream *limited = fleet.upstreams["engine"][0];
@@ -60,9 +62,9 @@
 	EXPECT_LE(pe_arrivals(limited) - before, 21u);
 }
 
-/* Nobody may take it: refused at once, not run, with a time at which one may.
- */
-TEST(NamedLimit, WhatNobodyMayTakeIsRefusedAtOnce)
+/* All upstreams are at their limits: the request is refused at once, not
+ * executed, and gets a Retry-After time at which an upstream may take it. */
+TEST(AdvertisedRateLimit, RequestIsRefusedAtOnceIfAllAreAtLimit)
 {
 	for (const char *target : { "/once/x", "/order/x" }) {
 		Fleet fleet;
@@ -88,8 +90,8 @@
 	}
 }
 
-/* It ends with the first answer that names none. */
-TEST(NamedLimit, EndsForAllEntriesWhenItIsNotNamedAnyMore)
+/* The first answer without a limit withdraws it. */
+TEST(AdvertisedRateLimit, WithdrawalReachesAllEntries)
 {
 	for (const char *service : { "engine", "plain" }) {
 		Fleet fleet;
@@ -108,8 +110,9 @@
 	}
 }
 
-/* It hears of the limit when it meets the others, before any answer. */
-TEST(NamedLimit, AnEntryThatStartsKeepsToIt)
+/* A new entry learns the limit at first contact with the others, before any
+ * answer. */
+TEST(AdvertisedRateLimit, NewEntryStaysWithinLimit)
 {
 	Fleet fleet;
 	pe_upstream *limited = fleet.upstreams["plain"][0];
@@ -128,68 +131,71 @@
 	EXPECT_LE(pe_arrivals(limited) - before, 1u);
 }
 
-/* It lapses in the list while the service is away, and is back. */
-TEST(NamedLimit, OutlivesTheEntryInTheList)
+/* The upstream's entry expires while the key-value service is unavailable, and
+ * returns. */
+TEST(AdvertisedRateLimit, IsKeptWhileUpstreamIsUnlisted)
 {
 	TestClock clock;
-	pool *it = pool_create(&clock.clock, "a");
+	pool *c_pool = pool_create(&clock.clock, "a");
 	char id[] = "1", service[] = "s", address[] = "1:1", domain[] = "a";
-	pool_upstream_info entry = { id, service, address, domain,
-				     4,	 false,	  7,	   0 };
-	rate_limit_report word = { true, 1, 5 };
-
-	pool_update(it, &entry, 1);
-	EXPECT_TRUE(pool_note_rate_limit(it, pool_find(it, "1"), &word));
-	pool_update(it, nullptr, 0);
-	pool_update(it, &entry, 1);
-	EXPECT_TRUE(pool_find(it, "1")->rate_limit.advertised);
-	/* Its next life has named none. */
-	entry.born_ms = 8;
-	pool_update(it, &entry, 1);
-	EXPECT_FALSE(pool_find(it, "1")->rate_limit.advertised);
-	pool_destroy(it);
+	pool_upstream_info info = {
+		id, service, address, domain, 4, false, 7, 0
+	};
+	rate_limit_report report = { true, 1, 5 };
+
+	pool_update(c_pool, &info, 1);
+	EXPECT_TRUE(
+		pool_note_rate_limit(c_pool, pool_find(c_pool, "1"), &report));
+	pool_update(c_pool, nullptr, 0);
+	pool_update(c_pool, &info, 1);
+	EXPECT_TRUE(pool_find(c_pool, "1")->rate_limit.advertised);
+	/* The next incarnation has not advertised a limit. */
+	info.born_ms = 8;
+	pool_update(c_pool, &info, 1);
+	EXPECT_FALSE(pool_find(c_pool, "1")->rate_limit.advertised);
+	pool_destroy(c_pool);
 }
 
-/* ---- the decisions by themselves ---- */
+/* ---- policy modules without an entry ---- */
 
 const int64_t ms = LP_US_PER_MS;
 
-TEST(RateLimit, TheNewestAnswerCounts)
+TEST(RateLimit, NewestAnswerDecides)
 {
 	rate_limit limit = {};
-	rate_limit_report named = { true, 2, 100 };
+	rate_limit_report advertised = { true, 2, 100 };
 	rate_limit_report none = { false, 0, 200 };
 
-	EXPECT_TRUE(rate_limit_update(&limit, &named));
-	EXPECT_FALSE(rate_limit_update(&limit, &named));
+	EXPECT_TRUE(rate_limit_update(&limit, &advertised));
+	EXPECT_FALSE(rate_limit_update(&limit, &advertised));
 	EXPECT_TRUE(rate_limit_update(&limit, &none));
-	/* Heard late, from another entry. */
-	EXPECT_FALSE(rate_limit_update(&limit, &named));
+	/* Received late, from another entry. */
+	EXPECT_FALSE(rate_limit_update(&limit, &advertised));
 	EXPECT_FALSE(limit.advertised);
-	named.answered_us = 300;
-	EXPECT_TRUE(rate_limit_update(&limit, &named));
+	advertised.answered_us = 300;
+	EXPECT_TRUE(rate_limit_update(&limit, &advertised));
 	EXPECT_TRUE(limit.advertised);
 }
 
-TEST(RateLimit, IsToldAgainWhileItHoldsAndAWhileAfter)
+TEST(RateLimit, IsBroadcastWhileAdvertisedAndForSomeTimeAfter)
 {
 	rate_limit limit = {};
-	rate_limit_report word = { true, 2, 1000 * ms };
+	rate_limit_report report = { true, 2, 1000 * ms };
 
 	EXPECT_FALSE(rate_limit_needs_broadcast(&limit, 9000 * ms));
-	rate_limit_update(&limit, &word);
+	rate_limit_update(&limit, &report);
 	limit.broadcast_us = 1000 * ms;
 	EXPECT_FALSE(rate_limit_needs_broadcast(&limit, 1900 * ms));
 	EXPECT_TRUE(rate_limit_needs_broadcast(&limit, 2000 * ms));
-	word = { false, 0, 3000 * ms };
-	rate_limit_update(&limit, &word);
+	report = { false, 0, 3000 * ms };
+	rate_limit_update(&limit, &report);
 	EXPECT_TRUE(rate_limit_needs_broadcast(&limit, 7000 * ms));
 	EXPECT_FALSE(rate_limit_needs_broadcast(&limit, 8000 * ms));
 }
 
-/* Even one that takes nothing is asked now and then, or its end is not heard.
- */
-TEST(RateLimit, NoneIsGivenUp)
+/* Some requests are sent even under a limit of zero, as their answers are the
+ * only way to learn of its withdrawal. */
+TEST(RateLimit, ZeroLimitStillPermitsSomeRequests)
 {
 	rate_limit limit = { true, 0, 1, 0, 0, 0 };
 	rate_limit_share share = { RATE_LIMIT_OWNER_FRACTION, 0, 0 };
@@ -201,39 +207,40 @@
 	EXPECT_LT(now_us, 10 * LP_US_PER_S);
 }
 
-/* One of a fleet: its own view of it, sending whenever it may. */
-struct Member {
+/* An entry of a fleet, with its view of the fleet; sends whenever permitted. */
+struct FleetEntry {
 	rate_limit limit = {};
 	rate_limit_fleet view = {};
 	double phase = 0;
-	double demand = 1; /* part of the steps in which it has a request */
+	double demand = 1; /* probability of a request in a step */
 };
 
 const int64_t step_us = 4 * ms;
 
-/* The most that arrive in any four seconds at one upstream. */
-uint32_t most_in_span(std::vector<Member> &members, double per_s, GRand *random,
-		      const std::function<void(int64_t)> &change)
+/* Most requests that arrive at one upstream within any four seconds. */
+uint32_t most_in_four_seconds(std::vector<FleetEntry> &entries, double per_s,
+			      GRand *random,
+			      const std::function<void(int64_t)> &change)
 {
 	std::vector<int64_t> sent;
 	size_t first = 0;
 	uint32_t most = 0;
 
-	for (Member &member : members) {
-		member.limit = { true, per_s, 1, 0, 0, 0 };
-		member.phase = g_rand_double(random);
+	for (FleetEntry &entry : entries) {
+		entry.limit = { true, per_s, 1, 0, 0, 0 };
+		entry.phase = g_rand_double(random);
 	}
 	for (int64_t at = 0; at < 36 * LP_US_PER_S; at += step_us) {
 		change(at);
-		for (Member &member : members) {
+		for (FleetEntry &entry : entries) {
 			rate_limit_share share =
-				rate_limit_find_share(&member.view);
+				rate_limit_find_share(&entry.view);
 
-			share.phase = member.phase;
-			if (g_rand_double(random) >= member.demand ||
-			    rate_limit_wait_us(&member.limit, &share, at + 1))
+			share.phase = entry.phase;
+			if (g_rand_double(random) >= entry.demand ||
+			    rate_limit_wait_us(&entry.limit, &share, at + 1))
 				continue;
-			rate_limit_note_sent(&member.limit, at + 1);
+			rate_limit_note_sent(&entry.limit, at + 1);
 			sent.push_back(at);
 		}
 		while (first < sent.size() &&
@@ -250,132 +257,151 @@
 } fleets[] = { { 1, 1 },  { 2, 3 },   { 5, 1 },	   { 5, 5 },
 	       { 30, 1 }, { 30, 20 }, { 300, 10 }, { 300, 60 } };
 
-/* The platform's bound. */
+/* Bound of the platform over four seconds. */
 double bound(double per_s)
 {
 	return 1.5 * per_s * 4 + 5;
 }
 
-/* Where nobody places, each has its part; they are busy, or have saved up. */
-TEST(RateLimit, EntriesThatAllSendKeepToItTogether)
+/* Without an owner each entry has its fraction. Entries have a request in every
+ * step, or rarely and so may have saved a slot. */
+TEST(RateLimit, EntriesWithoutOwnerStayWithinLimit)
 {
-	/* 34: of 30 entries, slots of 2 s for nine tenths of a limit of 1 let
-	 * 13 in. */
+	/* Seed 34: with 30 entries, slots valid for 2 s and nine tenths of a
+	 * limit of 1, 13 requests were sent. */
 	for (const auto &row : fleets)
 		for (uint32_t seed : { 1, 2, 3, 34 })
 			for (double demand : { 1.0, 0.004 }) {
 				g_autoptr(GRand) random =
 					g_rand_new_with_seed(seed);
-				std::vector<Member> fleet(row.entries);
+				std::vector<FleetEntry> fleet(row.entries);
 
-				for (Member &member : fleet) {
-					member.view.known_entries = row.entries;
-					member.view.reachable_entries =
+				for (FleetEntry &entry : fleet) {
+					entry.view.known_entries = row.entries;
+					entry.view.reachable_entries =
 						row.entries;
-					member.demand = demand;
+					entry.demand = demand;
 				}
-				EXPECT_LE(most_in_span(fleet, row.per_s, random,
-						       [](int64_t) {}),
+				EXPECT_LE(most_in_four_seconds(fleet, row.per_s,
+							       random,
+							       [](int64_t) {}),
 					  bound(row.per_s))
 					<< row.entries << " entries, seed "
 					<< seed;
 			}
 }
 
-/* Cut in two, again and again, at any place: the owner is on one side; the
- * other one notices after a while and has an owner of its own, then they meet
- * again, and both think for a moment that they send for all. */
-TEST(RateLimit, EntriesThatAreCutOffFromEachOtherKeepToItTogether)
+/* The fleet is partitioned in two repeatedly, at random places. The owner is on
+ * one side. The other side notices after a while and gets its own owner. When
+ * the partition ends, both act as owners for a moment. */
+TEST(RateLimit, PartitionedEntriesStayWithinLimit)
 {
 	const int64_t notice_us = 3500 * ms;
 
 	for (const auto &row : fleets)
 		for (uint32_t seed = 1; seed <= 10; seed++) {
 			g_autoptr(GRand) random = g_rand_new_with_seed(seed);
-			std::vector<Member> fleet(row.entries);
-			uint32_t apart = 0;
+			std::vector<FleetEntry> fleet(row.entries);
+			uint32_t last_near = 0;
 			int64_t cut_us = 0;
 			int64_t owner_since[2] = { -60 * LP_US_PER_S, 0 };
 			bool cut = false;
 			uint32_t most;
 
-			most = most_in_span(fleet, row.per_s, random, [&](int64_t at) {
-				if (at % (9 * LP_US_PER_S) == 0) {
-					cut = !cut;
-					cut_us = at;
-					if (cut)
-						apart = (uint32_t)
-							g_rand_int_range(
+			most = most_in_four_seconds(
+				fleet, row.per_s, random, [&](int64_t at) {
+					if (at % (9 * LP_US_PER_S) == 0) {
+						cut = !cut;
+						cut_us = at;
+						if (cut)
+							last_near = (uint32_t)g_rand_int_range(
 								random, 0,
 								(gint32)row
 									.entries);
-				}
-				bool noticed = cut && at - cut_us >= notice_us;
-
-				/* The other side may find its owner at once. */
-				if (cut && at == cut_us)
-					owner_since[1] = at;
-				for (uint32_t i = 0; i < row.entries; i++) {
-					rate_limit_fleet &view = fleet[i].view;
-					/* The first one owns, and is cut off
-					 * with those up to `apart`. */
-					bool far = i > apart;
-
-					view.known_entries = row.entries;
-					view.has_owner = true;
-					view.reachable_entries =
-						!noticed ? row.entries
-						: far ? row.entries - apart - 1
-						      : apart + 1;
-					view.is_owner = i == 0 ||
-							(cut && i == apart + 1);
-					view.owner_for_us =
-						at - owner_since[far ? 1 : 0];
-				}
-			});
+					}
+					bool noticed =
+						cut && at - cut_us >= notice_us;
+
+					/* The other side may get its owner at
+					 * once. */
+					if (cut && at == cut_us)
+						owner_since[1] = at;
+					for (uint32_t i = 0; i < row.entries;
+					     i++) {
+						rate_limit_fleet &view =
+							fleet[i].view;
+						/* The first entry is the owner,
+						 * on the side of the entries up
+						 * to `last_near`. */
+						bool far = i > last_near;
+
+						view.known_entries =
+							row.entries;
+						view.has_owner = true;
+						view.reachable_entries =
+							!noticed ? row.entries
+							: far	 ? row.entries -
+									last_near -
+									1
+							      : last_near + 1;
+						view.is_owner =
+							i == 0 ||
+							(cut &&
+							 i == last_near + 1);
+						view.owner_for_us =
+							at -
+							owner_since[far ? 1
+									: 0];
+					}
+				});
 			EXPECT_LE(most, bound(row.per_s))
 				<< row.entries << " entries, seed " << seed;
 		}
 }
 
-/* One that has just started knows only those that its settings name. */
-TEST(RateLimit, EntriesThatStartTogetherKeepToItBeforeTheyMeet)
+/* An entry that has just started knows only the entries in its settings. */
+TEST(RateLimit, StartingEntriesStayWithinLimitBeforeDiscovery)
 {
-	const uint32_t named = 3;
+	const uint32_t configured = 3;
 
 	for (uint32_t seed = 1; seed <= 10; seed++) {
 		g_autoptr(GRand) random = g_rand_new_with_seed(seed);
-		std::vector<Member> fleet(5);
-		uint32_t most = most_in_span(fleet, 1, random, [&](int64_t at) {
-			for (uint32_t i = 0; i < fleet.size(); i++) {
-				bool met = at >= 700 * ms;
-				rate_limit_fleet &view = fleet[i].view;
-
-				view.known_entries = met ? 5 : named;
-				view.reachable_entries = met ? 5 : 1;
-				view.has_owner = true;
-				view.is_owner = !met || i == 0;
-				view.owner_for_us = at;
-			}
-		});
+		std::vector<FleetEntry> fleet(5);
+		uint32_t most =
+			most_in_four_seconds(fleet, 1, random, [&](int64_t at) {
+				for (uint32_t i = 0; i < fleet.size(); i++) {
+					bool discovered = at >= 700 * ms;
+					rate_limit_fleet &view = fleet[i].view;
+
+					view.known_entries =
+						discovered ? 5 : configured;
+					view.reachable_entries =
+						discovered ? 5 : 1;
+					view.has_owner = true;
+					view.is_owner = !discovered || i == 0;
+					view.owner_for_us = at;
+				}
+			});
 
 		EXPECT_LE(most, bound(1)) << "seed " << seed;
 	}
 }
 
-TEST(Turns, CallersComeBackOneAfterTheOther)
+TEST(RetrySchedule, StaggersRetries)
 {
-	retry_schedule it = {};
+	retry_schedule schedule = {};
 
-	EXPECT_EQ(retry_schedule_next_us(&it, 100 * ms, 4, 0), 100 * ms);
-	EXPECT_EQ(retry_schedule_next_us(&it, 100 * ms, 4, 0), 350 * ms);
-	EXPECT_EQ(retry_schedule_next_us(&it, 40 * ms, 4, 60 * ms), 540 * ms);
-	/* Beyond two seconds nobody is told. */
+	EXPECT_EQ(retry_schedule_next_us(&schedule, 100 * ms, 4, 0), 100 * ms);
+	EXPECT_EQ(retry_schedule_next_us(&schedule, 100 * ms, 4, 0), 350 * ms);
+	EXPECT_EQ(retry_schedule_next_us(&schedule, 40 * ms, 4, 60 * ms),
+		  540 * ms);
+	/* No retry time is more than two seconds after the first. */
 	for (int i = 0; i < 20; i++)
-		EXPECT_LE(retry_schedule_next_us(&it, 100 * ms, 4, 60 * ms),
-			  2100 * ms);
-	/* Turns that have passed are over. */
-	EXPECT_EQ(retry_schedule_next_us(&it, 100 * ms, 4, 9000 * ms),
+		EXPECT_LE(
+			retry_schedule_next_us(&schedule, 100 * ms, 4, 60 * ms),
+			2100 * ms);
+	/* Retry times in the past do not delay later ones. */
+	EXPECT_EQ(retry_schedule_next_us(&schedule, 100 * ms, 4, 9000 * ms),
 		  100 * ms);
 }
 
--- a/tests/remaining_latency_test.cc
+++ b/tests/remaining_latency_test.cc
@@ -1,5 +1,6 @@
-/* A stage that is short for some seconds, and what its queue lets through: on
- * time, or all a little late. */
+/* Estimate of the latency after a stage, and its effect under load: without it,
+ * a queue in front of an overloaded stage serves nearly all requests slightly
+ * late. */
 #include "pool_rig.h"
 
 #include <gtest/gtest.h>
@@ -11,69 +12,69 @@
 
 const int64_t ms = 1000;
 
-TEST(Remaining, AllowsForTheMeanAndTheSpreadOfWhatWasSeen)
+TEST(RemainingLatency, AllowsForMeanAndDeviation)
 {
-	remaining_latency it = {};
+	remaining_latency latency = {};
 
-	EXPECT_EQ(remaining_latency_us(&it, 300 * ms), 300 * ms);
+	EXPECT_EQ(remaining_latency_us(&latency, 300 * ms), 300 * ms);
 	for (int i = 0; i < 100; i++)
-		remaining_latency_record(&it, 300 * ms,
+		remaining_latency_record(&latency, 300 * ms,
 					 (i % 2 ? 400 : 440) * ms);
-	EXPECT_GT(remaining_latency_us(&it, 300 * ms), 420 * ms);
-	EXPECT_LT(remaining_latency_us(&it, 300 * ms), 460 * ms);
+	EXPECT_GT(remaining_latency_us(&latency, 300 * ms), 420 * ms);
+	EXPECT_LT(remaining_latency_us(&latency, 300 * ms), 460 * ms);
 }
 
-/* Faults are not learnt as usual, and what is faster does not make it later
- * than expected. */
-TEST(Remaining, StaysBetweenWhatIsExpectedAndTwiceThat)
+/* Faults must not raise the estimate without bound, and fast answers must not
+ * lower it below the expected time. */
+TEST(RemainingLatency, IsBetweenExpectedAndTwiceExpected)
 {
-	remaining_latency it = {};
+	remaining_latency latency = {};
 
 	for (int i = 0; i < 100; i++)
-		remaining_latency_record(&it, 300 * ms, 60000 * ms);
-	EXPECT_EQ(remaining_latency_us(&it, 300 * ms), 600 * ms);
-	EXPECT_EQ(remaining_latency_us(&it, 100 * ms), 200 * ms);
+		remaining_latency_record(&latency, 300 * ms, 60000 * ms);
+	EXPECT_EQ(remaining_latency_us(&latency, 300 * ms), 600 * ms);
+	EXPECT_EQ(remaining_latency_us(&latency, 100 * ms), 200 * ms);
 	for (int i = 0; i < 200; i++)
-		remaining_latency_record(&it, 300 * ms, 10 * ms);
-	EXPECT_EQ(remaining_latency_us(&it, 300 * ms), 300 * ms);
+		remaining_latency_record(&latency, 300 * ms, 10 * ms);
+	EXPECT_EQ(remaining_latency_us(&latency, 300 * ms), 300 * ms);
 }
 
-/* One that fell out of the usual is forgotten in some ten more. */
-TEST(Remaining, ForgetsOneSlowRequest)
+/* The effect of an outlier fades after some ten more requests. */
+TEST(RemainingLatency, RecoversFromOneSlowRequest)
 {
-	remaining_latency it = {};
+	remaining_latency latency = {};
 
 	for (int i = 0; i < 50; i++)
-		remaining_latency_record(&it, 300 * ms, 350 * ms);
-	remaining_latency_record(&it, 300 * ms, 600 * ms);
-	EXPECT_GT(remaining_latency_us(&it, 300 * ms), 400 * ms);
+		remaining_latency_record(&latency, 300 * ms, 350 * ms);
+	remaining_latency_record(&latency, 300 * ms, 600 * ms);
+	EXPECT_GT(remaining_latency_us(&latency, 300 * ms), 400 * ms);
 	for (int i = 0; i < 20; i++)
-		remaining_latency_record(&it, 300 * ms, 350 * ms);
-	EXPECT_LT(remaining_latency_us(&it, 300 * ms), 370 * ms);
+		remaining_latency_record(&latency, 300 * ms, 350 * ms);
+	EXPECT_LT(remaining_latency_us(&latency, 300 * ms), 370 * ms);
 }
 
 /*
- * Requests of eight pieces each come faster than four upstreams can make them,
- * for some seconds. After the stage, which is expected to leave 300 ms to the
- * first event, it takes 360 to 500.
+ * For some seconds, requests of eight pieces each arrive faster than four
+ * upstreams can process them. The first event is expected 300 ms after the
+ * stage, but it takes 360 to 500 ms.
  */
 struct Load : Pool {
 	struct Request {
-		int64_t came_us;
-		uint32_t made = 0;
+		int64_t arrival_us;
+		uint32_t completed = 0;
 	};
 	const int64_t target_us = 1600 * ms;
 	const int64_t expected_us = 300 * ms;
 	pieces *queue;
 	std::vector<pieces_call *> calls;
 	std::vector<Request> requests;
-	remaining_latency learnt = {};
-	bool learns;
+	remaining_latency latency = {};
+	bool uses_estimate;
 	int on_time = 0;
-	int just_late = 0; /* by less than half a second */
+	int just_late = 0; /* late by less than half a second */
 	int results = 0;
 
-	explicit Load(bool learns) : learns(learns)
+	explicit Load(bool uses_estimate) : uses_estimate(uses_estimate)
 	{
 		pieces_options options = {};
 
@@ -94,12 +95,13 @@
 			pieces_end(queue, call, POOL_SERVED, 0, 0);
 		pieces_destroy(queue);
 	}
-	void ask()
+	void add_request()
 	{
 		piece one = {};
 		int64_t after_us =
-			learns ? remaining_latency_us(&learnt, expected_us)
-			       : expected_us;
+			uses_estimate
+				? remaining_latency_us(&latency, expected_us)
+				: expected_us;
 
 		requests.push_back({ clock.now_us });
 		one.request = &requests.back();
@@ -116,9 +118,9 @@
 			 (int64_t)(lp_hash_pair(requests.size(), results) %
 				   141)) *
 			ms;
-		int64_t took_us = clock.now_us + after_us - request->came_us;
+		int64_t took_us = clock.now_us + after_us - request->arrival_us;
 
-		remaining_latency_record(&learnt, expected_us, after_us);
+		remaining_latency_record(&latency, expected_us, after_us);
 		on_time += took_us <= target_us;
 		just_late +=
 			took_us > target_us && took_us < target_us + 500 * ms;
@@ -135,15 +137,15 @@
 							call->pieces, piece, j)
 							.request;
 
-				if (++request->made == 8)
+				if (++request->completed == 8)
 					end_request(request);
 			}
 			complete_call(queue, call, &results);
 			calls.erase(calls.begin() + (long)i);
 		}
 	}
-	/* 4 x 18 pieces in 278 ms are 32 requests a second; twice as many come.
-	 */
+	/* 4 x 18 pieces in 278 ms are a capacity of 32 requests a second;
+	 * twice as many arrive. */
 	void run()
 	{
 		const int64_t start_us = clock.now_us;
@@ -151,7 +153,7 @@
 		while (clock.now_us < start_us + 6000 * ms) {
 			clock.now_us += ms;
 			if ((clock.now_us - start_us) / ms % 15 == 0)
-				ask();
+				add_request();
 			end_calls();
 			while (pieces_call *call = pieces_next(queue))
 				calls.push_back(call);
@@ -159,14 +161,15 @@
 	}
 };
 
-TEST(Remaining, WhatAShortStageLetsThroughIsOnTime)
+TEST(RemainingLatency, OverloadedStageServesOnTime)
 {
 	Load without(false);
 	Load with(true);
 
 	without.run();
 	with.run();
-	/* The pattern: served at the last moment, and late by a little. */
+	/* The failure: requests are served at the last moment, slightly late.
+	 */
 	EXPECT_GT(without.just_late, without.on_time);
 	EXPECT_GT(with.on_time, 3 * with.just_late);
 	EXPECT_GT(with.on_time, 3 * without.on_time / 2);
--- a/tests/result_memory_test.cc
+++ b/tests/result_memory_test.cc
@@ -1,4 +1,5 @@
-/* Room for results, and the loads under which its count went wrong. */
+/* Result memory: its accounting, and loads under which the accounting was
+ * wrong. */
 #include "pool_rig.h"
 
 #include <gtest/gtest.h>
@@ -10,137 +11,140 @@
 namespace
 {
 
-const int64_t linger_us = 4000000;
+const int64_t result_ttl_us = 4000000;
 
-struct Room {
+struct ResultMemory {
 	TestClock clock;
-	result_memory *it;
+	result_memory *memory;
 
-	Room()
+	ResultMemory()
 	{
-		result_memory_options options = { &clock.clock, linger_us };
+		result_memory_options options = { &clock.clock, result_ttl_us };
 
-		it = result_memory_create(&options);
+		memory = result_memory_create(&options);
 	}
-	~Room()
+	~ResultMemory()
 	{
-		result_memory_destroy(it);
+		result_memory_destroy(memory);
 	}
-	void keep(const char *handle, int64_t bytes)
+	void hold(const char *handle, int64_t bytes)
 	{
-		result_memory_reserve(it, bytes);
-		result_memory_commit(it, handle, bytes);
+		result_memory_reserve(memory, bytes);
+		result_memory_commit(memory, handle, bytes);
 	}
 };
 
-TEST(Room, CountsACallFromItsStartAndAResultUntilItIsGivenUp)
+TEST(ResultMemory, CountsCallFromStartAndResultUntilReleased)
 {
-	Room rig;
-
-	result_memory_reserve(rig.it, 300);
-	EXPECT_EQ(result_memory_used_bytes(rig.it), 300);
-	result_memory_commit(rig.it, "a", 100);
-	result_memory_commit(rig.it, "b", 100);
-	result_memory_cancel(rig.it, 100);
-	EXPECT_EQ(result_memory_used_bytes(rig.it), 200);
-	result_memory_release(rig.it, "a", 100);
-	result_memory_release(rig.it, "a", 100);
-	EXPECT_EQ(result_memory_used_bytes(rig.it), 100);
-	rig.clock.now_us += linger_us;
-	EXPECT_EQ(result_memory_used_bytes(rig.it), 0);
+	ResultMemory rig;
+
+	result_memory_reserve(rig.memory, 300);
+	EXPECT_EQ(result_memory_used_bytes(rig.memory), 300);
+	result_memory_commit(rig.memory, "a", 100);
+	result_memory_commit(rig.memory, "b", 100);
+	result_memory_cancel(rig.memory, 100);
+	EXPECT_EQ(result_memory_used_bytes(rig.memory), 200);
+	result_memory_release(rig.memory, "a", 100);
+	result_memory_release(rig.memory, "a", 100);
+	EXPECT_EQ(result_memory_used_bytes(rig.memory), 100);
+	rig.clock.now_us += result_ttl_us;
+	EXPECT_EQ(result_memory_used_bytes(rig.memory), 0);
 }
 
-/* A new dispatcher hears of results that the earlier one had made, one after
- * the other, while its own calls go on. */
-TEST(Room, ResultsOfAnEarlierDispatcherMakeNoRoomAmongOurs)
+/* A new dispatcher learns that results of its predecessor are freed, one by
+ * one, while its own calls run. That must not free memory of its own results.
+ */
+TEST(ResultMemory, ReleaseOfUntrackedResultKeepsTrackedBytes)
 {
-	Room rig;
+	ResultMemory rig;
 
-	rig.keep("ours", 800);
+	rig.hold("ours", 800);
 	for (int i = 0; i < 8; i++)
-		result_memory_release(
-			rig.it, ("theirs" + std::to_string(i)).c_str(), 100);
-	EXPECT_EQ(result_memory_tracked_bytes(rig.it), 800);
+		result_memory_release(rig.memory,
+				      ("theirs" + std::to_string(i)).c_str(),
+				      100);
+	EXPECT_EQ(result_memory_tracked_bytes(rig.memory), 800);
 }
 
-TEST(Room, WhatOthersHoldShowsInACallThatWasShort)
+TEST(ResultMemory, ShortCallShowsUntrackedMemory)
 {
-	Room rig;
-
-	rig.keep("ours", 200);
-	/* 1000 in all, 200 ours, 300 had room: 500 are others'. */
-	result_memory_note_call(rig.it, 1000, 200, 300, true);
-	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 500);
-	result_memory_release(rig.it, "theirs", 100);
-	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 400);
-	/* More had room than there would be beside them. */
-	result_memory_note_call(rig.it, 1000, 200, 700, false);
-	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 100);
-	/* A call that was not short tells of no more than it took. */
-	result_memory_note_call(rig.it, 1000, 200, 10, false);
-	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 100);
-	rig.clock.now_us += linger_us;
-	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 0);
+	ResultMemory rig;
+
+	rig.hold("ours", 200);
+	/* Of 1000, 200 are tracked and 300 were free: 500 are untracked. */
+	result_memory_note_call(rig.memory, 1000, 200, 300, true);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.memory), 500);
+	result_memory_release(rig.memory, "theirs", 100);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.memory), 400);
+	/* The results need more than was free beside 400 untracked bytes. */
+	result_memory_note_call(rig.memory, 1000, 200, 700, false);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.memory), 100);
+	/* A call that was not short shows only a lower bound of the free
+	 * memory. */
+	result_memory_note_call(rig.memory, 1000, 200, 10, false);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.memory), 100);
+	rig.clock.now_us += result_ttl_us;
+	EXPECT_EQ(result_memory_untracked_bytes(rig.memory), 0);
 }
 
-TEST(Room, WhatOthersHoldIsToldWithinBounds)
+TEST(ResultMemory, ReportBoundsUntrackedMemory)
 {
-	Room rig;
-
-	rig.keep("ours", 200);
-	result_memory_note_report(rig.it, 1000, 200, 300, 400);
-	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 400);
-	result_memory_note_report(rig.it, 1000, 200, 300, 500);
-	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 400);
-	result_memory_note_report(rig.it, 1000, 200, 500, 600);
-	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 300);
-	result_memory_note_report(rig.it, 1000, 200, 900, 1000);
-	EXPECT_EQ(result_memory_untracked_bytes(rig.it), 0);
+	ResultMemory rig;
+
+	rig.hold("ours", 200);
+	result_memory_note_report(rig.memory, 1000, 200, 300, 400);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.memory), 400);
+	result_memory_note_report(rig.memory, 1000, 200, 300, 500);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.memory), 400);
+	result_memory_note_report(rig.memory, 1000, 200, 500, 600);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.memory), 300);
+	result_memory_note_report(rig.memory, 1000, 200, 900, 1000);
+	EXPECT_EQ(result_memory_untracked_bytes(rig.memory), 0);
 }
 
-/* ---- a restart of all entries, as a load ---- */
+/* ---- load after a restart of all entries ---- */
 
-const int64_t all_bytes = 1000;
+const int64_t total_bytes = 1000;
 const int64_t piece_bytes = 50;
-/* Upstreams tell of their room in such steps, rounded down. */
+/* Upstreams report free memory in such steps, rounded down. */
 const int64_t step_bytes = 100;
 const uint32_t upstreams = 4;
 
-/* Upstreams as they are: a piece has room or has not. */
-struct Makers {
+/* Actual memory of the upstreams. */
+struct Producers {
 	struct Result {
 		int64_t bytes;
 		int64_t until_us;
 	};
-	std::map<std::string, std::vector<Result>> kept;
+	std::map<std::string, std::vector<Result>> held;
 
 	int64_t free_bytes(const std::string &id, int64_t now_us)
 	{
-		int64_t bytes = all_bytes;
+		int64_t bytes = total_bytes;
 
-		for (const Result &result : kept[id])
+		for (const Result &result : held[id])
 			if (result.until_us > now_us)
 				bytes -= result.bytes;
 		return bytes;
 	}
-	bool make(const std::string &id, int64_t now_us)
+	bool produce(const std::string &id, int64_t now_us)
 	{
 		if (free_bytes(id, now_us) < piece_bytes)
 			return false;
-		kept[id].push_back({ piece_bytes, now_us + linger_us });
+		held[id].push_back({ piece_bytes, now_us + result_ttl_us });
 		return true;
 	}
 };
 
-struct Restart : Pool {
+struct RestartLoad : Pool {
 	pieces *queue;
-	Makers makers;
+	Producers producers;
 	int requests[32];
 	int results = 0;
-	uint32_t made = 0;
-	uint32_t short_of_room = 0;
+	uint32_t completed = 0;
+	uint32_t not_fitting = 0;
 
-	Restart()
+	RestartLoad()
 	{
 		pieces_options options = {};
 
@@ -152,26 +156,26 @@
 		options.batch_max = 8;
 		options.call_us = 200000;
 		options.piece_us = 20000;
-		options.room_bytes = all_bytes;
-		options.linger_us = linger_us;
+		options.room_bytes = total_bytes;
+		options.linger_us = result_ttl_us;
 		queue = pieces_create(&options);
 	}
-	~Restart()
+	~RestartLoad()
 	{
 		pieces_destroy(queue);
 	}
-	/* Whoever was killed had these made; they lapse one by one. */
+	/* Results of the killed entries, which expire one by one. */
 	void leave_results(int count)
 	{
-		for (const pool_upstream_info &entry : infos)
+		for (const pool_upstream_info &info : infos)
 			for (int i = 1; i <= count; i++)
-				makers.kept[entry.id].push_back(
+				producers.held[info.id].push_back(
 					{ piece_bytes,
 					  clock.now_us +
-						  i * linger_us / count });
+						  i * result_ttl_us / count });
 	}
-	/* Two pieces of each of so many requests. */
-	void ask(uint32_t count)
+	/* Adds two pieces for each of `count` requests. */
+	void add_requests(uint32_t count)
 	{
 		piece one = {};
 
@@ -184,10 +188,10 @@
 			pieces_add(queue, &one);
 		}
 	}
-	void answer_questions()
+	void answer_memory_queries()
 	{
 		while (pool_upstream *upstream = pieces_ask_room(queue)) {
-			int64_t free_bytes = makers.free_bytes(
+			int64_t free_bytes = producers.free_bytes(
 				upstream->info.id, clock.now_us);
 
 			free_bytes -= free_bytes % step_bytes;
@@ -197,40 +201,40 @@
 					 free_bytes, free_bytes + step_bytes);
 		}
 	}
-	/* Room is taken up from a call's start. */
+	/* Memory is occupied from the start of a call. */
 	struct Call {
-		pieces_call *it;
-		std::vector<bool> has_room;
+		pieces_call *call;
+		std::vector<bool> fits;
 	};
 	Call start(pieces_call *call)
 	{
 		Call out = { call, {} };
 
 		for (guint i = 0; i < call->pieces->len; i++)
-			out.has_room.push_back(makers.make(
+			out.fits.push_back(producers.produce(
 				call->upstream->info.id, clock.now_us));
 		return out;
 	}
 	void end(const Call &call)
 	{
-		for (guint i = 0; i < call.it->pieces->len; i++) {
+		for (guint i = 0; i < call.call->pieces->len; i++) {
 			const piece *one =
-				&g_array_index(call.it->pieces, piece, i);
+				&g_array_index(call.call->pieces, piece, i);
 			std::string handle = std::to_string(++results);
 
-			if (call.has_room[i]) {
-				pieces_made(queue, call.it, one,
+			if (call.fits[i]) {
+				pieces_made(queue, call.call, one,
 					    handle.c_str());
-				made++;
+				completed++;
 				continue;
 			}
-			pieces_not_made(queue, call.it, one, true);
+			pieces_not_made(queue, call.call, one, true);
 			pieces_add(queue, one);
-			short_of_room++;
+			not_fitting++;
 		}
-		pieces_end(queue, call.it, POOL_SERVED, 0, 0);
+		pieces_end(queue, call.call, POOL_SERVED, 0, 0);
 	}
-	/* Calls are made and end in time for so long. */
+	/* Runs calls, which end at their expected time, for `time_us`. */
 	void run(int64_t time_us)
 	{
 		const int64_t step_us = 10000;
@@ -238,11 +242,11 @@
 
 		for (int64_t end_us = clock.now_us + time_us;
 		     clock.now_us < end_us; clock.now_us += step_us) {
-			answer_questions();
+			answer_memory_queries();
 			while (pieces_call *call = pieces_next(queue))
 				calls.push_back(start(call));
 			for (size_t i = 0; i < calls.size();) {
-				const pieces_call *call = calls[i].it;
+				const pieces_call *call = calls[i].call;
 
 				if (clock.now_us <
 				    call->started_us + call->expected_us) {
@@ -260,31 +264,31 @@
 	}
 };
 
-/* All entries were killed: four fifths of each upstream's room is taken up by
- * results that nobody knows, and lapses over four seconds. Each upstream is
- * met short once at the most, by one step of what it tells. */
-TEST(Restart, CallsCarryOnlyWhatHasRoomBesideResultsOfTheDead)
+/* All entries were killed. Results that no entry tracks occupy four fifths of
+ * each upstream's memory and expire over four seconds. At most one call per
+ * upstream may be short, by one step of the upstream's reports. */
+TEST(DispatcherRestart, CallsFitBesideUntrackedResults)
 {
-	Restart rig;
+	RestartLoad rig;
 
 	rig.leave_results(16);
-	rig.ask(30);
+	rig.add_requests(30);
 	rig.run(3000000);
-	EXPECT_GE(rig.made, 48u);
+	EXPECT_GE(rig.completed, 48u);
 	rig.run(1500000);
-	EXPECT_EQ(rig.made, 60u);
-	EXPECT_LE(rig.short_of_room, upstreams * step_bytes / piece_bytes);
+	EXPECT_EQ(rig.completed, 60u);
+	EXPECT_LE(rig.not_fitting, upstreams * step_bytes / piece_bytes);
 }
 
-/* Upstreams that do not tell: what a call met is remembered, and no call is
- * made for nothing until others' results must have lapsed. */
-TEST(Restart, ACallThatWasShortIsNotRepeatedAtOnce)
+/* Upstreams that do not report their memory: after a call that did not fit, no
+ * further call is sent in vain until the untracked results have expired. */
+TEST(DispatcherRestart, ShortCallIsNotRepeatedBeforeExpiry)
 {
-	Restart rig;
+	RestartLoad rig;
 	pieces_call *call;
 
 	rig.leave_results(20);
-	rig.ask(4);
+	rig.add_requests(4);
 	while (pieces_ask_room(rig.queue))
 		;
 	rig.clock.now_us += 30000;
@@ -293,13 +297,13 @@
 		ASSERT_NE(call, nullptr);
 		rig.end(rig.start(call));
 	}
-	EXPECT_EQ(rig.made, 0u);
+	EXPECT_EQ(rig.completed, 0u);
 	EXPECT_EQ(pieces_next(rig.queue), nullptr);
-	rig.clock.now_us += linger_us;
+	rig.clock.now_us += result_ttl_us;
 	call = pieces_next(rig.queue);
 	ASSERT_NE(call, nullptr);
 	rig.end(rig.start(call));
-	EXPECT_EQ(rig.made, 8u);
+	EXPECT_EQ(rig.completed, 8u);
 }
 
 } // namespace
--- a/tests/warmup_test.cc
+++ b/tests/warmup_test.cc
@@ -1,4 +1,4 @@
-/* Closed domains and cold upstreams: the decisions by themselves. */
+/* Closed domains and cold upstreams: the policy modules without an entry. */
 #include "pool_rig.h"
 
 #include <gtest/gtest.h>
@@ -8,23 +8,23 @@
 
 const warmup_limits engine = { 3000000, 9.1, WARMUP_OWNER_SHARE, true, 0 };
 
-/* ---- closures ---- */
+/* ---- closed domains ---- */
 
-struct Closures {
-	closed_domains *it = closed_domains_create();
+struct ClosedDomains {
+	closed_domains *set = closed_domains_create();
 
-	~Closures()
+	~ClosedDomains()
 	{
-		closed_domains_destroy(it);
+		closed_domains_destroy(set);
 	}
-	bool all(int64_t revision, std::vector<const char *> domains)
+	bool replace(int64_t revision, std::vector<const char *> domains)
 	{
-		return closed_domains_replace(it, revision, domains.data(),
+		return closed_domains_replace(set, revision, domains.data(),
 					      domains.size());
 	}
 	std::string list()
 	{
-		GPtrArray *names = closed_domains_list(it);
+		GPtrArray *names = closed_domains_list(set);
 		std::string text;
 
 		for (guint i = 0; i < names->len; i++)
@@ -34,88 +34,90 @@
 	}
 };
 
-TEST(Closures, NothingIsKnownBeforeTheFirstWord)
+TEST(ClosedDomains, UnknownBeforeFirstUpdate)
 {
-	Closures it;
+	ClosedDomains domains;
 
-	EXPECT_FALSE(closed_domains_is_known(it.it));
-	EXPECT_TRUE(it.all(4, {}));
-	EXPECT_TRUE(closed_domains_is_known(it.it));
-	EXPECT_EQ(it.list(), "");
+	EXPECT_FALSE(closed_domains_is_known(domains.set));
+	EXPECT_TRUE(domains.replace(4, {}));
+	EXPECT_TRUE(closed_domains_is_known(domains.set));
+	EXPECT_EQ(domains.list(), "");
 }
 
-/* A transaction of an operator has one revision for all that it changes. */
-TEST(Closures, ChangesOfOneRevisionAllCount)
+/* All changes of one transaction of an operator have the same revision. */
+TEST(ClosedDomains, ChangesWithOneRevisionAreAllApplied)
 {
-	Closures it;
+	ClosedDomains domains;
 
-	EXPECT_TRUE(it.all(4, { "a" }));
-	EXPECT_TRUE(closed_domains_set(it.it, 7, "a", false));
-	EXPECT_TRUE(closed_domains_set(it.it, 7, "b", true));
-	EXPECT_EQ(it.list(), "b");
-	EXPECT_EQ(closed_domains_revision(it.it), 7);
+	EXPECT_TRUE(domains.replace(4, { "a" }));
+	EXPECT_TRUE(closed_domains_set(domains.set, 7, "a", false));
+	EXPECT_TRUE(closed_domains_set(domains.set, 7, "b", true));
+	EXPECT_EQ(domains.list(), "b");
+	EXPECT_EQ(closed_domains_revision(domains.set), 7);
 }
 
-TEST(Closures, WhatIsOlderChangesNothing)
+TEST(ClosedDomains, OlderRevisionIsIgnored)
 {
-	Closures it;
-
-	EXPECT_TRUE(it.all(4, { "a" }));
-	EXPECT_TRUE(closed_domains_set(it.it, 7, "b", true));
-	EXPECT_FALSE(closed_domains_set(it.it, 6, "a", false));
-	EXPECT_FALSE(it.all(7, {}));
-	EXPECT_EQ(it.list(), "ab");
-	EXPECT_TRUE(closed_domains_set(it.it, 8, "a", false));
-	EXPECT_EQ(it.list(), "b");
-	EXPECT_TRUE(it.all(9, { "c" }));
-	EXPECT_EQ(it.list(), "c");
-	EXPECT_EQ(closed_domains_revision(it.it), 9);
+	ClosedDomains domains;
+
+	EXPECT_TRUE(domains.replace(4, { "a" }));
+	EXPECT_TRUE(closed_domains_set(domains.set, 7, "b", true));
+	EXPECT_FALSE(closed_domains_set(domains.set, 6, "a", false));
+	EXPECT_FALSE(domains.replace(7, {}));
+	EXPECT_EQ(domains.list(), "ab");
+	EXPECT_TRUE(closed_domains_set(domains.set, 8, "a", false));
+	EXPECT_EQ(domains.list(), "b");
+	EXPECT_TRUE(domains.replace(9, { "c" }));
+	EXPECT_EQ(domains.list(), "c");
+	EXPECT_EQ(closed_domains_revision(domains.set), 9);
 }
 
-/* Entries that hear the service and each other in any order believe what the
- * newest word says, never an older one. */
-TEST(Closures, EntriesThatHearInAnyOrderAgree)
+/* Entries that receive updates from the key-value service and from each other
+ * in any order have the state of the newest revision, never an older one. */
+TEST(ClosedDomains, EntriesAgreeForAnyOrderOfUpdates)
 {
 	const char *const names[] = { "a", "b", "c" };
 
 	for (uint32_t seed = 1; seed <= 500; seed++) {
 		g_autoptr(GRand) random = g_rand_new_with_seed(seed);
-		Closures truth;
-		Closures entries[4];
+		ClosedDomains truth;
+		ClosedDomains entries[4];
 		int64_t revision = 1;
 
-		truth.all(revision, {});
+		truth.replace(revision, {});
 		for (auto &entry : entries)
-			entry.all(revision, {});
+			entry.replace(revision, {});
 		for (int i = 0; i < 60; i++) {
 			bool closed = g_rand_boolean(random);
 			const char *name =
 				names[g_rand_int_range(random, 0, 3)];
-			Closures &from =
+			ClosedDomains &from =
+				entries[g_rand_int_range(random, 0, 4)];
+			ClosedDomains &to =
 				entries[g_rand_int_range(random, 0, 4)];
-			Closures &to = entries[g_rand_int_range(random, 0, 4)];
 
-			closed_domains_set(truth.it, ++revision, name, closed);
-			/* One entry hears the service, maybe after a gap, and
-			 * reads all anew; another hears some peer. */
+			closed_domains_set(truth.set, ++revision, name, closed);
+			/* One entry reads the whole set from the service, maybe
+			 * after a gap; another gets it from a peer. */
 			if (g_rand_boolean(random)) {
-				GPtrArray *list = closed_domains_list(truth.it);
+				GPtrArray *list =
+					closed_domains_list(truth.set);
 
 				closed_domains_replace(
-					from.it, revision,
+					from.set, revision,
 					(const char **)list->pdata, list->len);
 				g_ptr_array_unref(list);
 			}
-			GPtrArray *list = closed_domains_list(from.it);
-			int64_t before = closed_domains_revision(to.it);
+			GPtrArray *list = closed_domains_list(from.set);
+			int64_t before = closed_domains_revision(to.set);
 
 			closed_domains_replace(
-				to.it, closed_domains_revision(from.it),
+				to.set, closed_domains_revision(from.set),
 				(const char **)list->pdata, list->len);
 			g_ptr_array_unref(list);
-			ASSERT_GE(closed_domains_revision(to.it), before);
+			ASSERT_GE(closed_domains_revision(to.set), before);
 			for (auto &entry : entries) {
-				if (closed_domains_revision(entry.it) <
+				if (closed_domains_revision(entry.set) <
 				    revision)
 					continue;
 				ASSERT_EQ(entry.list(), truth.list())
@@ -127,7 +129,7 @@
 
 /* ---- warm-up ---- */
 
-/* Requests sent in each second by one that sends whenever it may. */
+/* Most requests within a second of an entry that sends whenever permitted. */
 int most_in_a_second(const warmup_limits &limits, int64_t cold_us)
 {
 	std::vector<int64_t> sent;
@@ -151,24 +153,24 @@
 	return most;
 }
 
-/* The platform breaks at 1.5 times the bound and five: one that sends for all,
- * and thirty others at the same time, stay below it together. */
-TEST(Warmup, AllEntriesTogetherStayWithinTheBound)
+/* An upstream fails above 1.5 times the bound plus five. The owner and thirty
+ * other entries that send at the same time must stay below that together. */
+TEST(Warmup, AllEntriesTogetherStayWithinBound)
 {
 	const int others = 30;
 	warmup_limits other = engine;
 	int sum = most_in_a_second(engine, engine.cold_period_us);
-	int64_t pause_us;
+	int64_t interval_us;
 
 	other.own_share = WARMUP_OTHERS_SHARE / others;
-	pause_us = (int64_t)(1e6 / (other.requests_per_s * other.own_share));
-	/* Each at most once in its pause, at moments of their own. */
+	interval_us = (int64_t)(1e6 / (other.requests_per_s * other.own_share));
+	/* Each sends at most once per interval, with a phase of its own. */
 	EXPECT_EQ(most_in_a_second(other, engine.cold_period_us), 1);
-	sum += (int)(others * 1000000 / pause_us) + 1;
+	sum += (int)(others * 1000000 / interval_us) + 1;
 	EXPECT_LE(sum, 1.5 * engine.requests_per_s + 5);
 }
 
-TEST(Warmup, IsOverAfterItsTime)
+TEST(Warmup, EndsAfterColdPeriod)
 {
 	warmup warmup = {};
 
@@ -198,31 +200,33 @@
 	}
 };
 
-/* The home of a prefix is elsewhere while its domain is closed, and there
- * again after it. */
-TEST(PoolClosures, AHomeMovesAndComesBack)
+/* The affinity upstream of a prefix is in another domain while its own domain
+ * is closed, and the same as before afterwards. */
+TEST(PoolClosedDomains, AffinityUpstreamMovesAndReturns)
 {
 	ClosedPool pool;
-	std::vector<pool_prefix_block> parts = { { 1, 5000 }, { 2, 100 } };
-	pool_pick_args ask = {};
+	std::vector<pool_prefix_block> blocks = { { 1, 5000 }, { 2, 100 } };
+	pool_pick_args args = {};
 
 	for (int i = 0; i < 6; i++)
 		pool.add(std::to_string(i).c_str(), i % 2 ? "a" : "b");
-	ask.service = "s";
-	ask.blocks = parts.data();
-	ask.blocks_count = parts.size();
-	const pool_upstream *home = pool_affinity_upstream(pool.c_pool, &ask);
-	std::string domain = home->info.domain;
+	args.service = "s";
+	args.blocks = blocks.data();
+	args.blocks_count = blocks.size();
+	const pool_upstream *affinity_upstream =
+		pool_affinity_upstream(pool.c_pool, &args);
+	std::string domain = affinity_upstream->info.domain;
 
 	pool.set(domain.c_str(), true);
-	EXPECT_NE(pool_affinity_upstream(pool.c_pool, &ask)->info.domain,
+	EXPECT_NE(pool_affinity_upstream(pool.c_pool, &args)->info.domain,
 		  domain);
-	EXPECT_NE(pool.pick(parts)->info.domain, domain);
+	EXPECT_NE(pool.pick(blocks)->info.domain, domain);
 	pool.set(domain.c_str(), false);
-	EXPECT_EQ(pool_affinity_upstream(pool.c_pool, &ask), home);
+	EXPECT_EQ(pool_affinity_upstream(pool.c_pool, &args),
+		  affinity_upstream);
 }
 
-TEST(PoolClosures, WithoutAnOpenDomainThereIsNothing)
+TEST(PoolClosedDomains, NoUpstreamIfAllDomainsAreClosed)
 {
 	ClosedPool pool;
 
@@ -235,13 +239,13 @@
 	EXPECT_TRUE(
 		pool_service_is_closed(pool.c_pool, "s", ALLOWED_REGIONS_ANY));
 	EXPECT_EQ(pool.pick(), nullptr);
-	/* One that comes there meanwhile is closed, too. */
+	/* An upstream added to a closed domain is closed, too. */
 	pool.add("3", "a");
 	EXPECT_EQ(pool.pick(), nullptr);
 }
 
-/* Taken back: it may have become cold meanwhile. */
-TEST(PoolClosures, ADomainThatIsTakenBackIsWarmedUp)
+/* Upstreams of a reopened domain may have become cold meanwhile. */
+TEST(PoolClosedDomains, ReopenedDomainIsWarmedUp)
 {
 	ClosedPool pool;
 
@@ -256,27 +260,28 @@
 	EXPECT_NE(pool.pick(), nullptr);
 }
 
-/* One that could not be reached may have started anew: whoever sends for all
- * waits for the list to say more; a plain service goes on. */
-TEST(PoolClosures, OneThatWasNotReachedIsSuspectedOnlyByWhoSendsForAll)
+/* An upstream that could not be reached may have restarted. The owner paces it
+ * until the list says more; an entry that is not the owner continues. */
+TEST(PoolClosedDomains, OnlyOwnerPacesUnreachableUpstream)
 {
-	for (bool for_all : { true, false }) {
+	for (bool is_owner : { true, false }) {
 		Pool pool;
 		warmup_limits limits = engine;
 
-		limits.is_owner = for_all;
+		limits.is_owner = is_owner;
 		pool_set_warmup(pool.c_pool, "s", &limits);
 		pool.add("1", "a");
 		pool_record_outcome(pool.c_pool, pool.pick(), POOL_UNREACHABLE,
 				    0, 0);
 		pool.clock.now_us += LP_US_PER_S;
 		pool_note_sent(pool.c_pool, pool.pick());
-		EXPECT_EQ(pool.pick() == nullptr, for_all);
+		EXPECT_EQ(pool.pick() == nullptr, is_owner);
 	}
 }
 
-/* The list may say so before the configuration says what follows from it. */
-TEST(PoolClosures, AColdUpstreamIsPacedAsSoonAsItsBoundIsKnown)
+/* The list may mark an upstream as cold before the configuration gives a bound.
+ */
+TEST(PoolClosedDomains, ColdUpstreamIsPacedOnceBoundIsKnown)
 {
 	Pool pool;
 
