--- a/policy/pool.c
+++ b/policy/pool.c
@@ -53,7 +53,7 @@
 #define CACHE_COPY_SETUP_US (5 * LP_US_PER_MS)
 
 /* Retention of the state of upstreams that left the list ... */
-#define UNLISTED_KEEP_US (600 * LP_US_PER_S)
+#define UNLISTED_RETENTION_US (600 * LP_US_PER_S)
 /* ... and the maximum number of them. */
 #define UNLISTED_MAX 1000
 
@@ -201,8 +201,8 @@
 		     now_us, now_us + for_us);
 }
 
-/* The upstream has started, or its domain was reopened, after which its state
- * is unknown: assumes the full cold period. */
+/* The upstream has started, or its domain was reopened: assumes the full cold
+ * period of a start. */
 static void assume_cold(const struct pool *pool, struct pool_upstream *upstream)
 {
 	const struct warmup_limits *limits = warmup_limits_of(pool, upstream);
@@ -441,7 +441,7 @@
 	const int64_t *now_us = userdata;
 
 	return *now_us - ((const struct unlisted_state *)value)->unlisted_us >=
-	       UNLISTED_KEEP_US;
+	       UNLISTED_RETENTION_US;
 }
 
 /* Saves state of an upstream that leaves the list and may return: its entry
@@ -586,11 +586,11 @@
 static bool apply_info(struct pool *pool, const struct pool_upstream_info *info)
 {
 	struct pool_upstream *upstream = pool_find(pool, info->id);
-	enum incarnation_status verdict = incarnations_observe_listed(
+	enum incarnation_status status = incarnations_observe_listed(
 		pool->incarnations, info->id, info->born_ms);
 	bool changed;
 
-	if (verdict == INCARNATION_STALE) {
+	if (status == INCARNATION_STALE) {
 		pool->needs_reapply = true;
 		return false;
 	}
@@ -598,7 +598,7 @@
 		add_incarnation(pool, info);
 		return true;
 	}
-	if (verdict == INCARNATION_NEW ||
+	if (status == INCARNATION_NEW ||
 	    !has_same_address_and_service(upstream, info)) {
 		replace_incarnation(pool, upstream, info);
 		return true;
@@ -680,11 +680,11 @@
 	return pool->needs_reapply;
 }
 
-/* Replaces the listed incarnation by one that the list does not have yet: the
- * same info except for the start time. */
+/* Replaces the listed incarnation by a newer one that the list does not have
+ * yet: the same info except for the start time. */
 static struct pool_upstream *
-replace_unlisted_incarnation(struct pool *pool, struct pool_upstream *listed,
-			     int64_t born_ms)
+adopt_newer_incarnation(struct pool *pool, struct pool_upstream *listed,
+			int64_t born_ms)
 {
 	struct pool_upstream_info info = listed->info;
 	struct pool_upstream *after;
@@ -702,17 +702,17 @@
 					    int64_t born_ms, int64_t asked_us)
 {
 	struct pool_upstream *listed = pool_find(pool, upstream->info.id);
-	enum incarnation_status verdict = incarnations_observe_answer(
+	enum incarnation_status status = incarnations_observe_answer(
 		pool->incarnations, upstream->info.id, born_ms, asked_us);
 
-	if (verdict == INCARNATION_STALE)
+	if (status == INCARNATION_STALE)
 		return NULL;
 	if (!listed) /* unlisted while draining; keeps results for a while */
 		return upstream;
 	if (!has_same_address_and_service(listed, &upstream->info))
 		return NULL;
-	if (verdict == INCARNATION_NEW)
-		return replace_unlisted_incarnation(pool, listed, born_ms);
+	if (status == INCARNATION_NEW)
+		return adopt_newer_incarnation(pool, listed, born_ms);
 	/* Without a start time the answer may come from `upstream`, which has
 	 * terminated. */
 	return listed == upstream || born_ms ? listed : NULL;
--- a/policy/pool.h
+++ b/policy/pool.h
@@ -4,15 +4,15 @@
  * The pool keeps this entry's own estimates for each upstream: calls in flight,
  * prompt tokens whose prefill is pending, cached prefix blocks, latency and
  * error rate. pool_pick() selects the upstream with the lowest estimated cost.
- * The list of upstreams comes from outside (pool_update()). Upstreams are
+ * The list of upstreams comes from the caller (pool_update()). Upstreams are
  * reference-counted: one that was removed from the list stays valid until its
  * last reference is released.
  *
  * Terms: an entry is a process of this system that takes callers' requests; an
  * engine is an upstream that runs prompts and caches their prefixes; a stage is
- * an upstream that keeps the results of its calls; a piece is one unit of stage
- * work, batched with others in a call. Times are in microseconds of the pool's
- * clock unless the name says otherwise.
+ * a service whose upstreams keep the results of their calls; a piece is one
+ * unit of stage work, batched with others in a call. Times are in microseconds
+ * of the pool's clock unless the name says otherwise.
  */
 #ifndef POOL_H
 #define POOL_H
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -32,7 +32,7 @@
 	EXPECT_EQ(fleet.count(200), (int)fleet.asks.size());
 }
 
-/* Calls, memory queries and freed results count towards the limit, too. */
+/* Memory queries and requests to free results count towards the limit, too. */
 TEST(AdvertisedRateLimit, FleetStaysWithinLimitOfStage)
 {
 	Fleet fleet;
