--- a/direct/direct.c
+++ b/direct/direct.c
@@ -332,7 +332,8 @@
 	return direct_quarantine_look(direct->quarantine, content, out);
 }
 
-void direct_offer_end(struct direct *direct, const struct quarantine_end *end)
+void direct_offer_end(struct direct *direct,
+		      const struct quarantine_termination *end)
 {
 	direct_quarantine_offer(direct->quarantine, end);
 }
--- a/direct/direct.h
+++ b/direct/direct.h
@@ -82,7 +82,8 @@
 bool direct_look_at_ends(const struct direct *direct, uint64_t content,
 			 struct quarantine_view *out);
 /** An upstream ended under a request, as was written down. */
-void direct_offer_end(struct direct *direct, const struct quarantine_end *end);
+void direct_offer_end(struct direct *direct,
+		      const struct quarantine_termination *end);
 /** How many requests are kept out. */
 uint32_t direct_kept_out(const struct direct *direct);
 /** Whether requests can be served: configuration, upstreams and closed domains
--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -131,14 +131,14 @@
 
 		set_figures(&figures,
 			    direct_config_service(config, service->name));
-		pieces_set(service->pieces, &figures);
+		pieces_update_options(service->pieces, &figures);
 	}
 }
 
 void direct_calls_set_parts(struct direct_calls *calls, const char *service,
 			    uint32_t parts, uint64_t own)
 {
-	pieces_set_parts(service_of(calls, service)->pieces, parts, own);
+	pieces_set_shards(service_of(calls, service)->pieces, parts, own);
 }
 
 /* ---- jobs ---- */
@@ -175,7 +175,7 @@
 void direct_calls_drop(struct direct_job *job)
 {
 	job->dropped = true;
-	job->open -= pieces_drop(job->service->pieces, job);
+	job->open -= pieces_drop_request(job->service->pieces, job);
 	if (!job->open && !job->telling)
 		free_job(job);
 }
@@ -276,10 +276,11 @@
 	}
 	if (result.result == DIRECT_ITEM_MADE) {
 		result.handle = g_steal_pointer(&made[at].handle);
-		pieces_made(pieces, call->call, piece, result.handle);
+		pieces_piece_completed(pieces, call->call, piece,
+				       result.handle);
 	} else {
-		pieces_not_made(pieces, call->call, piece,
-				result.result == DIRECT_ITEM_NO_ROOM);
+		pieces_piece_failed(pieces, call->call, piece,
+				    result.result == DIRECT_ITEM_NO_ROOM);
 	}
 	return result;
 }
@@ -381,8 +382,8 @@
 		direct_peers_tell_unreachable(calls->direct->peers,
 					      call->call->upstream->life,
 					      TELL_ASIDE_US);
-	pieces_end(call->service->pieces, call->call, outcome,
-		   call->reply.running, call->reply.waiting);
+	pieces_end_call(call->service->pieces, call->call, outcome,
+			call->reply.running, call->reply.waiting);
 	g_free(call);
 	schedule_run(calls);
 }
@@ -521,9 +522,9 @@
 	bool told = read_room(question, answer, &room);
 
 	if (told)
-		pieces_room_told(question->service->pieces, question->upstream,
-				 question->own_bytes, room.least_bytes,
-				 room.most_bytes);
+		pieces_memory_reported(question->service->pieces,
+				       question->upstream, question->own_bytes,
+				       room.least_bytes, room.most_bytes);
 	log_room(question, told, room.least_bytes);
 	end_question(question);
 	schedule_run(calls);
@@ -565,7 +566,7 @@
 
 static void set_wake(struct service *service)
 {
-	int64_t wake_us = pieces_wake_us(service->pieces);
+	int64_t wake_us = pieces_next_check_us(service->pieces);
 	int64_t now_us = lp_now_us(service->calls->direct->options.clock);
 
 	if (!wake_us || service->wake)
@@ -584,9 +585,9 @@
 		struct pool_upstream *upstream;
 		struct pieces_call *call;
 
-		while ((upstream = pieces_ask_room(service->pieces)))
+		while ((upstream = pieces_next_memory_query(service->pieces)))
 			ask_room(service, upstream);
-		while ((call = pieces_next(service->pieces)))
+		while ((call = pieces_start_call(service->pieces)))
 			start_call(service, call);
 		set_wake(service);
 	}
@@ -619,7 +620,8 @@
 				   const char *service, int64_t *out,
 				   int32_t count)
 {
-	pieces_estimate_each_us(service_of(calls, service)->pieces, out, count);
+	pieces_estimate_by_priority_us(service_of(calls, service)->pieces, out,
+				       count);
 }
 
 struct direct_calls *direct_calls_create(struct direct *direct)
--- a/direct/direct_peers.c
+++ b/direct/direct_peers.c
@@ -407,14 +407,14 @@
 
 int64_t direct_peers_meeting_left_us(const struct direct_peers *peers)
 {
-	const struct dispatchers_meeting meeting = {
+	const struct dispatchers_discovery meeting = {
 		.started_us = peers->started_us,
 		.found_us = peers->found_us,
 		.knows_silent = knows_silent(peers),
 	};
 
-	return dispatchers_meeting_left_us(&meeting,
-					   lp_now_us(peers->options.clock));
+	return dispatchers_discovery_left_us(&meeting,
+					     lp_now_us(peers->options.clock));
 }
 
 const char *direct_peers_ip(const struct direct_peers *peers, uint64_t peer)
--- a/direct/direct_prepare.c
+++ b/direct/direct_prepare.c
@@ -21,10 +21,10 @@
 	const struct direct_service *service = direct_config_service(
 		request->config, request->route->stages[stage].service);
 
-	if (!service || !graph_pieces(request->graph, stage))
+	if (!service || !graph_piece_count(request->graph, stage))
 		return 0;
 	return service->call_us +
-	       service->piece_us * graph_pieces(request->graph, stage);
+	       service->piece_us * graph_piece_count(request->graph, stage);
 }
 
 /* Time that a request still needs once this stage is made, about. */
@@ -118,8 +118,9 @@
 
 static bool has_missing(const struct graph *graph, uint32_t stage)
 {
-	for (uint32_t i = 0; i < graph_pieces(graph, stage); i++)
-		if (graph_state(graph, stage, i) == GRAPH_PIECE_MISSING)
+	for (uint32_t i = 0; i < graph_piece_count(graph, stage); i++)
+		if (graph_get_piece_state(graph, stage, i) ==
+		    GRAPH_PIECE_MISSING)
 			return true;
 	return false;
 }
@@ -140,14 +141,14 @@
 
 	for (uint32_t i = 0; i < stages[stage].after_count; i++) {
 		uint32_t before = stages[stage].after[i];
-		uint64_t maker = graph_maker(request->graph, before);
+		uint64_t maker = graph_stage_producer(request->graph, before);
 
 		if (!maker)
 			continue;
 		preferred = pool_find_life(pool, maker);
 		piece->preferred_bytes +=
 			stages[before].bytes *
-			(int64_t)graph_pieces(request->graph, before);
+			(int64_t)graph_piece_count(request->graph, before);
 	}
 	if (!stages[stage].after_count && !after_stage_us(request, stage)) {
 		direct_stages_share(request->direct->stages, &ask);
@@ -169,7 +170,7 @@
 		const struct direct_service *maker = direct_config_service(
 			request->config, stages[before].service);
 		int64_t bytes = stages[before].bytes *
-				graph_pieces(request->graph, before);
+				graph_piece_count(request->graph, before);
 
 		if (maker && maker->room_bytes &&
 		    bytes * ROOM_SHARES >= maker->room_bytes)
@@ -181,8 +182,9 @@
 /* Whether some pieces of a stage are made or asked for already. */
 static bool is_begun(const struct graph *graph, uint32_t stage)
 {
-	for (uint32_t i = 0; i < graph_pieces(graph, stage); i++)
-		if (graph_state(graph, stage, i) != GRAPH_PIECE_MISSING)
+	for (uint32_t i = 0; i < graph_piece_count(graph, stage); i++)
+		if (graph_get_piece_state(graph, stage, i) !=
+		    GRAPH_PIECE_MISSING)
 			return true;
 	return false;
 }
@@ -191,7 +193,7 @@
 {
 	GPtrArray *inputs = g_ptr_array_new();
 
-	graph_inputs(graph, stage, inputs);
+	graph_input_handles(graph, stage, inputs);
 	for (guint i = 0; i < inputs->len; i++)
 		inputs->pdata[i] = g_strdup(inputs->pdata[i]);
 	g_ptr_array_set_free_func(inputs, g_free);
@@ -203,10 +205,11 @@
 {
 	GArray *indices = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 
-	for (uint32_t i = 0; i < graph_pieces(graph, stage); i++) {
-		if (graph_state(graph, stage, i) != GRAPH_PIECE_MISSING)
+	for (uint32_t i = 0; i < graph_piece_count(graph, stage); i++) {
+		if (graph_get_piece_state(graph, stage, i) !=
+		    GRAPH_PIECE_MISSING)
 			continue;
-		graph_asked(graph, stage, i);
+		graph_set_requested(graph, stage, i);
 		g_array_append_val(indices, i);
 	}
 	return indices;
@@ -274,7 +277,7 @@
 		    !graph_stage_ready(request->graph, i) ||
 		    is_early(request, i))
 			continue;
-		if (!graph_inputs_kept(request->graph, i)) {
+		if (!graph_inputs_available(request->graph, i)) {
 			direct_stages_lost_inputs(request->direct->stages,
 						  request, i);
 			i = UINT32_MAX; /* the loop adds one */
@@ -300,7 +303,7 @@
 {
 	for (uint32_t i = 0; i < request->route->stages_count; i++)
 		if (request->asked_us[i] && !request->made_us[i] &&
-		    graph_stage_made(request->graph, i))
+		    graph_stage_completed(request->graph, i))
 			note_stage_made(request, i);
 }
 
@@ -310,7 +313,7 @@
 		return;
 	if (request->graph)
 		note_made(request);
-	if (!request->graph || graph_complete(request->graph)) {
+	if (!request->graph || graph_is_complete(request->graph)) {
 		direct_sending_start(request);
 		return;
 	}
--- a/direct/direct_quarantine.c
+++ b/direct/direct_quarantine.c
@@ -50,7 +50,7 @@
 	guint reminded; /* members, so far */
 };
 
-static struct word word_of_end(const struct quarantine_end *end)
+static struct word word_of_end(const struct quarantine_termination *end)
 {
 	return (struct word){
 		.what = WORD_ENDED,
@@ -187,7 +187,7 @@
 
 static void add_suspect(void *userdata, const struct quarantine_view *view)
 {
-	if (view->count >= QUARANTINE_SUSPECT_ENDS)
+	if (view->count >= QUARANTINE_SUSPECT_TERMINATIONS)
 		add_request(userdata, view);
 }
 
@@ -197,7 +197,7 @@
 	g_autoptr(GArray) words =
 		g_array_new(FALSE, FALSE, sizeof(struct word));
 
-	quarantine_each(quarantine->known, add_request, words);
+	quarantine_foreach(quarantine->known, add_request, words);
 	send_words(quarantine, peer, (struct word *)words->data, words->len);
 }
 
@@ -218,10 +218,10 @@
 	g_autoptr(GArray) words =
 		g_array_new(FALSE, FALSE, sizeof(struct word));
 
-	quarantine_forget(quarantine->known);
+	quarantine_expire(quarantine->known);
 	if (!quarantine->peers || quarantine_is_empty(quarantine->known))
 		return G_SOURCE_CONTINUE;
-	quarantine_each(quarantine->known, add_suspect, words);
+	quarantine_foreach(quarantine->known, add_suspect, words);
 	if (words->len)
 		send_words(quarantine, next_member(quarantine),
 			   (struct word *)words->data, words->len);
@@ -241,7 +241,7 @@
 	*direct_counter(direct, "linepier_quarantine_total", label) += 1;
 	if (!lp_event_begin(log, "quarantine", NULL))
 		return;
-	quarantine_look(quarantine->known, request, &view);
+	quarantine_get_view(quarantine->known, request, &view);
 	lp_event_digest(log, "content", request);
 	lp_event_text(log, "outcome", outcome);
 	lp_event_int(log, "ends", view.count);
@@ -258,18 +258,18 @@
 {
 	struct quarantine_view view = { 0 };
 
-	quarantine_look(quarantine->known, request, &view);
+	quarantine_get_view(quarantine->known, request, &view);
 	if (view.out_until_us > now(quarantine))
 		return "kept_out";
-	return view.count >= QUARANTINE_SUSPECT_ENDS ? "one_at_a_time"
-						     : "noted";
+	return view.count >= QUARANTINE_SUSPECT_TERMINATIONS ? "one_at_a_time"
+							     : "noted";
 }
 
 /* `peer`: who says so; 0: we saw it. Returns whether it is news. */
 static bool note_end(struct direct_quarantine *quarantine,
-		     const struct quarantine_end *end, uint64_t peer)
+		     const struct quarantine_termination *end, uint64_t peer)
 {
-	if (!quarantine_ended(quarantine->known, end))
+	if (!quarantine_add_termination(quarantine->known, end))
 		return false;
 	log_change(quarantine, end->request, standing(quarantine, end->request),
 		   peer);
@@ -279,7 +279,7 @@
 static void note_served(struct direct_quarantine *quarantine, uint64_t request,
 			int64_t served_us, uint64_t peer)
 {
-	if (quarantine_served(quarantine->known, request, served_us))
+	if (quarantine_clear(quarantine->known, request, served_us))
 		log_change(quarantine, request, "cleared", peer);
 }
 
@@ -288,7 +288,7 @@
 static void set_try(struct direct_quarantine *quarantine, uint64_t request,
 		    int64_t until_us)
 {
-	quarantine_trying(quarantine->known, request, until_us);
+	quarantine_set_trial(quarantine->known, request, until_us);
 	tell(quarantine, word_of_time(WORD_TRIES, request, until_us));
 }
 
@@ -298,7 +298,7 @@
 	int64_t now_us = now(quarantine);
 	struct quarantine_view view;
 
-	if (quarantine_look(quarantine->known, request, &view) &&
+	if (quarantine_get_view(quarantine->known, request, &view) &&
 	    view.try_until_us > now_us)
 		set_try(quarantine, request, now_us);
 }
@@ -318,7 +318,7 @@
 	const struct direct_options *options = &quarantine->direct->options;
 	struct quarantine_view view = { 0 };
 
-	quarantine_look(quarantine->known, request, &view);
+	quarantine_get_view(quarantine->known, request, &view);
 	if (view.out_until_us > now(quarantine) && options->kept_out)
 		options->kept_out(options->userdata, request);
 }
@@ -327,7 +327,7 @@
 			     const struct loss *lost, guint count)
 {
 	for (guint i = 0; i < count; i++) {
-		const struct quarantine_end end = {
+		const struct quarantine_termination end = {
 			.request = lost[i].request,
 			.life = lost[i].life,
 			.round = lost[i].round,
@@ -350,7 +350,7 @@
 		      const struct word *word, int64_t time_us)
 {
 	int64_t now_us = now(quarantine);
-	const struct quarantine_end end = {
+	const struct quarantine_termination end = {
 		.request = word->request,
 		.life = word->life,
 		.round = MIN(word->round, ROUND_MAX),
@@ -366,8 +366,8 @@
 		note_served(quarantine, word->request, end.ended_us, peer);
 		break;
 	case WORD_TRIES:
-		quarantine_trying(quarantine->known, word->request,
-				  now_us + time_us);
+		quarantine_set_trial(quarantine->known, word->request,
+				     now_us + time_us);
 		break;
 	default: /* of a newer entry */
 		break;
@@ -425,11 +425,11 @@
 		log_refusal(quarantine, request, *wait_us);
 		return false;
 	}
-	switch (quarantine_ask(quarantine->known, digest, request->give_up_us,
-			       wait_us)) {
+	switch (quarantine_admit(quarantine->known, digest, request->give_up_us,
+				 wait_us)) {
 	case QUARANTINE_PASS:
 		return true;
-	case QUARANTINE_TRY:
+	case QUARANTINE_TRIAL:
 		request->is_try = true;
 		request->was_try = true;
 		log_change(quarantine, digest, "tried", 0);
@@ -461,7 +461,8 @@
 		return;
 	digest = direct_request_digest(request);
 	request->is_try = false;
-	if (!quarantine_look(quarantine->known, digest, &view) || !view.count)
+	if (!quarantine_get_view(quarantine->known, digest, &view) ||
+	    !view.count)
 		return;
 	clear_now(quarantine, digest);
 	set_try(quarantine, digest, now(quarantine));
@@ -474,8 +475,8 @@
 	int64_t ran_us = now(quarantine) - request->sent_us;
 
 	if (!request->is_try ||
-	    !quarantine_look(quarantine->known, direct_request_digest(request),
-			     &view))
+	    !quarantine_get_view(quarantine->known,
+				 direct_request_digest(request), &view))
 		return;
 	if (ran_us > OUTLIVES * view.ran_us + OUTLIVES_US)
 		direct_quarantine_served(quarantine, request);
@@ -507,12 +508,12 @@
 bool direct_quarantine_look(const struct direct_quarantine *quarantine,
 			    uint64_t request, struct quarantine_view *out)
 {
-	return quarantine_look(quarantine->known, request, out);
+	return quarantine_get_view(quarantine->known, request, out);
 }
 
 /* Those that are met are told all that is known, this with it. */
 void direct_quarantine_offer(struct direct_quarantine *quarantine,
-			     const struct quarantine_end *end)
+			     const struct quarantine_termination *end)
 {
 	note_end(quarantine, end, 0);
 }
@@ -521,7 +522,7 @@
 
 void direct_quarantine_turn(struct direct_quarantine *quarantine, bool on)
 {
-	quarantine_turn(quarantine->known, on);
+	quarantine_set_enabled(quarantine->known, on);
 }
 
 void direct_quarantine_let_in(struct direct_quarantine *quarantine,
@@ -536,7 +537,7 @@
 };
 
 static void print_end(const struct direct_quarantine *quarantine,
-		      const struct quarantine_end *end, GString *out)
+		      const struct quarantine_termination *end, GString *out)
 {
 	char life[LP_DIGEST_SIZE];
 
@@ -579,7 +580,7 @@
 {
 	struct printing printing = { quarantine, out };
 
-	quarantine_each(quarantine->known, print_request, &printing);
+	quarantine_foreach(quarantine->known, print_request, &printing);
 }
 
 struct counting {
@@ -599,7 +600,7 @@
 {
 	struct counting counting = { .now_us = now(quarantine) };
 
-	quarantine_each(quarantine->known, count_out, &counting);
+	quarantine_foreach(quarantine->known, count_out, &counting);
 	return counting.out;
 }
 
--- a/direct/direct_quarantine.h
+++ b/direct/direct_quarantine.h
@@ -60,7 +60,7 @@
 			    uint64_t request, struct quarantine_view *out);
 /** An end that was written down by an entry that may be gone. */
 void direct_quarantine_offer(struct direct_quarantine *quarantine,
-			     const struct quarantine_end *end);
+			     const struct quarantine_termination *end);
 /** Requests that are kept out, a JSON object a line, for operators. */
 void direct_quarantine_print(const struct direct_quarantine *quarantine,
 			     GString *out);
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -229,7 +229,7 @@
 		for (uint32_t j = 0; j < route->stages[i].after_count; j++)
 			done_us[i] = MAX(done_us[i],
 					 done_us[route->stages[i].after[j]]);
-		if (graph_pieces(request->graph, i))
+		if (graph_piece_count(request->graph, i))
 			done_us[i] += direct_stages_estimate_us(
 				request->direct->stages,
 				route->stages[i].service, request->priority);
@@ -283,7 +283,7 @@
 	if (pool_is_closed(pool, request->service, request->homes))
 		return true;
 	for (uint32_t i = 0; request->graph && i < route->stages_count; i++)
-		if (!graph_stage_made(request->graph, i) &&
+		if (!graph_stage_completed(request->graph, i) &&
 		    pool_is_closed(pool, route->stages[i].service,
 				   request->homes))
 			return true;
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -154,7 +154,8 @@
  * this try. */
 static bool is_suspect(const struct direct_request *request)
 {
-	return request->was_try || request->losses >= QUARANTINE_SUSPECT_ENDS;
+	return request->was_try ||
+	       request->losses >= QUARANTINE_SUSPECT_TERMINATIONS;
 }
 
 /* Not run, and not sent again: back when some upstream may take it. */
@@ -463,8 +464,8 @@
 
 	if (request->graph) {
 		inputs = g_ptr_array_new();
-		graph_inputs(request->graph, request->route->stages_count,
-			     inputs);
+		graph_input_handles(request->graph,
+				    request->route->stages_count, inputs);
 		offer.inputs = inputs;
 	}
 	request->direct->options.codec->write_offer(&offer, fields);
@@ -685,7 +686,8 @@
 	if (!direct_request_passes(request))
 		return;
 	if (request->graph &&
-	    !graph_inputs_kept(request->graph, request->route->stages_count)) {
+	    !graph_inputs_available(request->graph,
+				    request->route->stages_count)) {
 		remake_inputs(request);
 		return;
 	}
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -159,7 +159,7 @@
 
 	if (service->is_engines)
 		upstreams /= ENGINES_PER_UPSTREAM;
-	return MIN(dispatchers_parts(upstreams), PARTS_MAX);
+	return MIN(dispatchers_shard_count(upstreams), PARTS_MAX);
 }
 
 static uint64_t task_hash(const struct service *service, uint32_t part)
@@ -310,9 +310,9 @@
 	}
 	direct_peers_members(stages->direct->peers, members);
 	tasks = list_tasks(stages);
-	dispatchers_find((struct dispatchers_member *)members->data,
-			 members->len, (struct dispatchers_task *)tasks->data,
-			 tasks->len);
+	dispatchers_assign((struct dispatchers_member *)members->data,
+			   members->len, (struct dispatchers_task *)tasks->data,
+			   tasks->len);
 	g_hash_table_iter_init(&iter, stages->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct service *service = value;
@@ -438,11 +438,12 @@
 
 	/* Our list may not name its maker yet; the dispatcher's does. */
 	if (result->result == DIRECT_ITEM_MADE)
-		graph_made(graph, ask->stage, result->index, result->handle,
-			   result->maker,
-			   ask->request->route->stages[ask->stage].bytes);
+		graph_complete_piece(
+			graph, ask->stage, result->index, result->handle,
+			result->maker,
+			ask->request->route->stages[ask->stage].bytes);
 	else
-		graph_not_made(graph, ask->stage, result->index);
+		graph_reset_piece(graph, ask->stage, result->index);
 }
 
 static void remove_index(GArray *indices, uint32_t index)
@@ -659,16 +660,17 @@
 	g_autoptr(GArray) results =
 		g_array_new(FALSE, FALSE, sizeof(struct graph_result));
 
-	graph_take_unneeded(request->graph, all, results);
+	graph_take_unused_results(request->graph, all, results);
 	give_up(stages, results);
 }
 
 /* Pieces that wait with the old inputs are not made. */
 static void forget_asked(struct graph *graph, uint32_t stage)
 {
-	for (uint32_t i = 0; i < graph_pieces(graph, stage); i++)
-		if (graph_state(graph, stage, i) == GRAPH_PIECE_ASKED)
-			graph_not_made(graph, stage, i);
+	for (uint32_t i = 0; i < graph_piece_count(graph, stage); i++)
+		if (graph_get_piece_state(graph, stage, i) ==
+		    GRAPH_PIECE_REQUESTED)
+			graph_reset_piece(graph, stage, i);
 }
 
 void direct_stages_lost_inputs(struct direct_stages *stages,
@@ -681,7 +683,7 @@
 		drop_asks(stages, request, &stage);
 		forget_asked(request->graph, stage);
 	}
-	graph_lost_inputs(request->graph, stage, results);
+	graph_discard_inputs(request->graph, stage, results);
 	give_up(stages, results);
 }
 
--- a/policy/dispatchers.c
+++ b/policy/dispatchers.c
@@ -22,8 +22,9 @@
 /* Thirty entries have met by then, though some greetings are lost. */
 #define MEET_MAX_US (700 * LP_US_PER_MS)
 
-int64_t dispatchers_meeting_left_us(const struct dispatchers_meeting *meeting,
-				    int64_t now_us)
+int64_t
+dispatchers_discovery_left_us(const struct dispatchers_discovery *meeting,
+			      int64_t now_us)
 {
 	int64_t started_us = meeting->started_us;
 	int64_t until_us = MAX(started_us, meeting->found_us) + MEET_QUIET_US;
@@ -33,7 +34,7 @@
 	return MAX(MIN(until_us, started_us + MEET_MAX_US) - now_us, 0);
 }
 
-uint32_t dispatchers_parts(uint32_t upstreams)
+uint32_t dispatchers_shard_count(uint32_t upstreams)
 {
 	uint32_t parts = 1;
 
@@ -103,9 +104,9 @@
 	}
 }
 
-void dispatchers_find(const struct dispatchers_member *members,
-		      uint32_t members_count, struct dispatchers_task *tasks,
-		      uint32_t tasks_count)
+void dispatchers_assign(const struct dispatchers_member *members,
+			uint32_t members_count, struct dispatchers_task *tasks,
+			uint32_t tasks_count)
 {
 	uint32_t *held;
 
--- a/policy/dispatchers.h
+++ b/policy/dispatchers.h
@@ -26,7 +26,7 @@
 };
 
 /** What an entry that has just started knows of the others. */
-struct dispatchers_meeting {
+struct dispatchers_discovery {
 	int64_t started_us; /**< when it started itself */
 	int64_t found_us;   /**< when it heard a new member last; 0: none yet */
 	bool knows_silent;  /**< of members that it has not heard */
@@ -41,16 +41,17 @@
  * find each other one by one, so it waits for as long as new ones turn up, and
  * a little longer while some that it knows of are silent.
  */
-int64_t dispatchers_meeting_left_us(const struct dispatchers_meeting *meeting,
-				    int64_t now_us);
+int64_t
+dispatchers_discovery_left_us(const struct dispatchers_discovery *meeting,
+			      int64_t now_us);
 /** Parts into which a service of so many upstreams is split: 1, 2, 4, ... */
-uint32_t dispatchers_parts(uint32_t upstreams);
+uint32_t dispatchers_shard_count(uint32_t upstreams);
 /**
  * Find the dispatcher of each task. Strong members go first, and none gets a
  * second task before each strong one has a first. Sorts the tasks by hash.
  */
-void dispatchers_find(const struct dispatchers_member *members,
-		      uint32_t members_count, struct dispatchers_task *tasks,
-		      uint32_t tasks_count);
+void dispatchers_assign(const struct dispatchers_member *members,
+			uint32_t members_count, struct dispatchers_task *tasks,
+			uint32_t tasks_count);
 
 #endif
--- a/policy/graph.c
+++ b/policy/graph.c
@@ -65,7 +65,7 @@
 static bool stage_made(const struct stage *stage)
 {
 	for (uint32_t i = 0; i < stage->pieces_count; i++)
-		if (stage->pieces[i].state != GRAPH_PIECE_MADE)
+		if (stage->pieces[i].state != GRAPH_PIECE_COMPLETED)
 			return false;
 	return true;
 }
@@ -86,45 +86,45 @@
 	return true;
 }
 
-bool graph_stage_made(const struct graph *graph, uint32_t stage)
+bool graph_stage_completed(const struct graph *graph, uint32_t stage)
 {
 	return stage_made(&graph->stages[stage]);
 }
 
-uint32_t graph_pieces(const struct graph *graph, uint32_t stage)
+uint32_t graph_piece_count(const struct graph *graph, uint32_t stage)
 {
 	return graph->stages[stage].pieces_count;
 }
 
-enum graph_piece_state graph_state(const struct graph *graph, uint32_t stage,
-				   uint32_t piece)
+enum graph_piece_state graph_get_piece_state(const struct graph *graph,
+					     uint32_t stage, uint32_t piece)
 {
 	return graph->stages[stage].pieces[piece].state;
 }
 
-void graph_asked(struct graph *graph, uint32_t stage, uint32_t piece)
+void graph_set_requested(struct graph *graph, uint32_t stage, uint32_t piece)
 {
-	graph->stages[stage].pieces[piece].state = GRAPH_PIECE_ASKED;
+	graph->stages[stage].pieces[piece].state = GRAPH_PIECE_REQUESTED;
 }
 
-void graph_not_made(struct graph *graph, uint32_t stage, uint32_t piece)
+void graph_reset_piece(struct graph *graph, uint32_t stage, uint32_t piece)
 {
 	graph->stages[stage].pieces[piece].state = GRAPH_PIECE_MISSING;
 }
 
-void graph_made(struct graph *graph, uint32_t stage, uint32_t number,
-		const char *handle, uint64_t maker, int64_t bytes)
+void graph_complete_piece(struct graph *graph, uint32_t stage, uint32_t number,
+			  const char *handle, uint64_t maker, int64_t bytes)
 {
 	struct piece *piece = &graph->stages[stage].pieces[number];
 
 	forget(piece);
-	piece->state = GRAPH_PIECE_MADE;
+	piece->state = GRAPH_PIECE_COMPLETED;
 	piece->handle = g_strdup(handle);
 	piece->maker = maker;
 	piece->bytes = bytes;
 }
 
-bool graph_complete(const struct graph *graph)
+bool graph_is_complete(const struct graph *graph)
 {
 	for (uint32_t i = 0; i < graph->count; i++)
 		if (!stage_made(&graph->stages[i]))
@@ -160,7 +160,8 @@
 	return false;
 }
 
-void graph_inputs(const struct graph *graph, uint32_t taker, GPtrArray *out)
+void graph_input_handles(const struct graph *graph, uint32_t taker,
+			 GPtrArray *out)
 {
 	uint32_t end = MIN(taker, graph->count);
 
@@ -175,7 +176,7 @@
 	}
 }
 
-bool graph_inputs_kept(const struct graph *graph, uint32_t taker)
+bool graph_inputs_available(const struct graph *graph, uint32_t taker)
 {
 	uint32_t end = MIN(taker, graph->count);
 
@@ -216,7 +217,7 @@
 	g_array_append_val(out, result);
 }
 
-void graph_lost_inputs(struct graph *graph, uint32_t taker, GArray *out)
+void graph_discard_inputs(struct graph *graph, uint32_t taker, GArray *out)
 {
 	uint32_t end = MIN(taker, graph->count);
 
@@ -226,7 +227,7 @@
 		if (!takes_from(graph, taker, i))
 			continue;
 		for (uint32_t j = 0; j < stage->pieces_count; j++) {
-			if (stage->pieces[j].state != GRAPH_PIECE_MADE)
+			if (stage->pieces[j].state != GRAPH_PIECE_COMPLETED)
 				continue;
 			take_result(&stage->pieces[j], out);
 			stage->pieces[j].state = GRAPH_PIECE_MISSING;
@@ -234,7 +235,7 @@
 	}
 }
 
-uint64_t graph_maker(const struct graph *graph, uint32_t number)
+uint64_t graph_stage_producer(const struct graph *graph, uint32_t number)
 {
 	const struct stage *stage = &graph->stages[number];
 
@@ -292,7 +293,7 @@
 	return best.domain;
 }
 
-void graph_take_unneeded(struct graph *graph, bool all, GArray *out)
+void graph_take_unused_results(struct graph *graph, bool all, GArray *out)
 {
 	for (uint32_t i = 0; i < graph->count; i++) {
 		struct stage *stage = &graph->stages[i];
--- a/policy/graph.h
+++ b/policy/graph.h
@@ -24,8 +24,8 @@
 
 enum graph_piece_state {
 	GRAPH_PIECE_MISSING,
-	GRAPH_PIECE_ASKED, /**< queued or at work */
-	GRAPH_PIECE_MADE,
+	GRAPH_PIECE_REQUESTED, /**< queued or at work */
+	GRAPH_PIECE_COMPLETED,
 };
 
 struct graph_stage {
@@ -41,31 +41,32 @@
 /** Whether all pieces of a stage's inputs are made. */
 bool graph_stage_ready(const struct graph *graph, uint32_t stage);
 /** Whether all pieces of a stage are made. */
-bool graph_stage_made(const struct graph *graph, uint32_t stage);
-uint32_t graph_pieces(const struct graph *graph, uint32_t stage);
-enum graph_piece_state graph_state(const struct graph *graph, uint32_t stage,
-				   uint32_t piece);
-void graph_asked(struct graph *graph, uint32_t stage, uint32_t piece);
+bool graph_stage_completed(const struct graph *graph, uint32_t stage);
+uint32_t graph_piece_count(const struct graph *graph, uint32_t stage);
+enum graph_piece_state graph_get_piece_state(const struct graph *graph,
+					     uint32_t stage, uint32_t piece);
+void graph_set_requested(struct graph *graph, uint32_t stage, uint32_t piece);
 /** An asked piece was not made: it is missing again. */
-void graph_not_made(struct graph *graph, uint32_t stage, uint32_t piece);
-void graph_made(struct graph *graph, uint32_t stage, uint32_t piece,
-		const char *handle, uint64_t maker, int64_t bytes);
+void graph_reset_piece(struct graph *graph, uint32_t stage, uint32_t piece);
+void graph_complete_piece(struct graph *graph, uint32_t stage, uint32_t piece,
+			  const char *handle, uint64_t maker, int64_t bytes);
 /** Every piece of every stage is made. */
-bool graph_complete(const struct graph *graph);
+bool graph_is_complete(const struct graph *graph);
 /**
  * Handles that a stage takes in, appended to `out` (borrowed); stage ==
  * the number of stages: those that the request itself takes in.
  */
-void graph_inputs(const struct graph *graph, uint32_t stage, GPtrArray *out);
+void graph_input_handles(const struct graph *graph, uint32_t stage,
+			 GPtrArray *out);
 /** Whether all handles that a stage takes in are still kept. */
-bool graph_inputs_kept(const struct graph *graph, uint32_t stage);
+bool graph_inputs_available(const struct graph *graph, uint32_t stage);
 /**
  * Some inputs of a stage are gone, nobody knows which: all are missing. Those
  * still kept are appended to `out`, of struct graph_result, to be given up.
  */
-void graph_lost_inputs(struct graph *graph, uint32_t stage, GArray *out);
+void graph_discard_inputs(struct graph *graph, uint32_t stage, GArray *out);
 /** The maker of the first piece of a stage, or 0. */
-uint64_t graph_maker(const struct graph *graph, uint32_t stage);
+uint64_t graph_stage_producer(const struct graph *graph, uint32_t stage);
 /** The domain of a maker; NULL: it is not known. */
 typedef const char *(*graph_domain_fn)(void *userdata, uint64_t maker);
 /**
@@ -82,6 +83,6 @@
  * Take out handles that nobody needs any more: results whose takers are all
  * made; with `all`, every one. Appended to `out`, of struct graph_result.
  */
-void graph_take_unneeded(struct graph *graph, bool all, GArray *out);
+void graph_take_unused_results(struct graph *graph, bool all, GArray *out);
 
 #endif
--- a/policy/pieces.c
+++ b/policy/pieces.c
@@ -42,7 +42,7 @@
 	pieces->service = g_strdup(options->service);
 	pieces->waiting = g_array_new(FALSE, FALSE, sizeof(struct piece));
 	pieces->calls = g_ptr_array_new();
-	pieces_set_parts(pieces, 1, 1);
+	pieces_set_shards(pieces, 1, 1);
 	return pieces;
 }
 
@@ -56,7 +56,8 @@
 	g_free(pieces);
 }
 
-void pieces_set(struct pieces *pieces, const struct pieces_options *figures)
+void pieces_update_options(struct pieces *pieces,
+			   const struct pieces_options *figures)
 {
 	pieces->options.batch_max = figures->batch_max;
 	pieces->options.call_us = figures->call_us;
@@ -92,7 +93,7 @@
 	}
 }
 
-void pieces_set_parts(struct pieces *pieces, uint32_t parts, uint64_t own)
+void pieces_set_shards(struct pieces *pieces, uint32_t parts, uint64_t own)
 {
 	if (pieces->parts == parts && pieces->own == own)
 		return;
@@ -112,7 +113,7 @@
 	waiting_at(pieces, pieces->waiting->len - 1)->added_us = now(pieces);
 }
 
-uint32_t pieces_drop(struct pieces *pieces, const void *request)
+uint32_t pieces_drop_request(struct pieces *pieces, const void *request)
 {
 	uint32_t dropped = 0;
 
@@ -483,7 +484,7 @@
 	return call;
 }
 
-struct pieces_call *pieces_next(struct pieces *pieces)
+struct pieces_call *pieces_start_call(struct pieces *pieces)
 {
 	struct pool_upstream *upstream;
 	int64_t late_us;
@@ -498,7 +499,7 @@
 	return open_call(pieces, upstream);
 }
 
-int64_t pieces_wake_us(const struct pieces *pieces)
+int64_t pieces_next_check_us(const struct pieces *pieces)
 {
 	return pieces->waiting->len ? now(pieces) + LOOK_AGAIN_US : 0;
 }
@@ -515,15 +516,15 @@
 			now(pieces) + running * one_us / 2 + waiting * one_us);
 }
 
-void pieces_made(struct pieces *pieces, struct pieces_call *call,
-		 const struct piece *piece, const char *handle)
+void pieces_piece_completed(struct pieces *pieces, struct pieces_call *call,
+			    const struct piece *piece, const char *handle)
 {
 	room_made(call->upstream->room, handle, piece->bytes);
 	call->made_bytes += piece->bytes;
 }
 
-void pieces_not_made(struct pieces *pieces, struct pieces_call *call,
-		     const struct piece *piece, bool no_room)
+void pieces_piece_failed(struct pieces *pieces, struct pieces_call *call,
+			 const struct piece *piece, bool no_room)
 {
 	room_not_made(call->upstream->room, piece->bytes);
 	call->was_short |= no_room;
@@ -538,8 +539,9 @@
 	upstream->room_heard_us = now(pieces);
 }
 
-void pieces_end(struct pieces *pieces, struct pieces_call *call,
-		enum pool_outcome outcome, int32_t running, int32_t waiting)
+void pieces_end_call(struct pieces *pieces, struct pieces_call *call,
+		     enum pool_outcome outcome, int32_t running,
+		     int32_t waiting)
 {
 	struct pool_upstream *upstream = call->upstream;
 	int64_t now_us = now(pieces);
@@ -576,7 +578,7 @@
 	       now(pieces) - upstream->room_asked_us >= ROOM_ASK_US;
 }
 
-struct pool_upstream *pieces_ask_room(struct pieces *pieces)
+struct pool_upstream *pieces_next_memory_query(struct pieces *pieces)
 {
 	const GPtrArray *list = upstreams_of(pieces);
 
@@ -593,9 +595,9 @@
 	return NULL;
 }
 
-void pieces_room_told(struct pieces *pieces, struct pool_upstream *upstream,
-		      int64_t own_bytes, int64_t least_bytes,
-		      int64_t most_bytes)
+void pieces_memory_reported(struct pieces *pieces,
+			    struct pool_upstream *upstream, int64_t own_bytes,
+			    int64_t least_bytes, int64_t most_bytes)
 {
 	room_told(upstream->room, pieces->options.room_bytes, own_bytes,
 		  least_bytes, most_bytes);
@@ -688,8 +690,8 @@
 	return estimate_us(pieces, &outlook, priority);
 }
 
-void pieces_estimate_each_us(const struct pieces *pieces, int64_t *out,
-			     int32_t count)
+void pieces_estimate_by_priority_us(const struct pieces *pieces, int64_t *out,
+				    int32_t count)
 {
 	struct outlook outlook = look(pieces);
 
--- a/policy/pieces.h
+++ b/policy/pieces.h
@@ -59,41 +59,44 @@
 struct pieces *pieces_create(const struct pieces_options *options);
 void pieces_destroy(struct pieces *pieces);
 /** The service's figures have changed. */
-void pieces_set(struct pieces *pieces, const struct pieces_options *figures);
+void pieces_update_options(struct pieces *pieces,
+			   const struct pieces_options *figures);
 void pieces_add(struct pieces *pieces, const struct piece *piece);
 /** Call upstreams of this part of so many parts of the service only. */
-void pieces_set_parts(struct pieces *pieces, uint32_t parts, uint64_t own);
+void pieces_set_shards(struct pieces *pieces, uint32_t parts, uint64_t own);
 /** What waits for this one is dropped; returns how many pieces. */
-uint32_t pieces_drop(struct pieces *pieces, const void *request);
-/** The next call to be made now, or NULL. End it by pieces_end(). */
-struct pieces_call *pieces_next(struct pieces *pieces);
-/** When pieces_next() may have a call although nothing happens; 0: never. */
-int64_t pieces_wake_us(const struct pieces *pieces);
+uint32_t pieces_drop_request(struct pieces *pieces, const void *request);
+/** The next call to be made now, or NULL. End it by pieces_end_call(). */
+struct pieces_call *pieces_start_call(struct pieces *pieces);
+/** When pieces_start_call() may have a call although nothing happens; 0: never.
+ */
+int64_t pieces_next_check_us(const struct pieces *pieces);
 /** A piece of a call is made; its result goes by this handle. */
-void pieces_made(struct pieces *pieces, struct pieces_call *call,
-		 const struct piece *piece, const char *handle);
+void pieces_piece_completed(struct pieces *pieces, struct pieces_call *call,
+			    const struct piece *piece, const char *handle);
 /** A piece of a call is not made; `no_room`: for want of room. */
-void pieces_not_made(struct pieces *pieces, struct pieces_call *call,
-		     const struct piece *piece, bool no_room);
+void pieces_piece_failed(struct pieces *pieces, struct pieces_call *call,
+			 const struct piece *piece, bool no_room);
 /**
  * A call is over; all its pieces are made or not. Frees it. `running` and
  * `waiting`: calls of others that the upstream told of, or negative.
  */
-void pieces_end(struct pieces *pieces, struct pieces_call *call,
-		enum pool_outcome outcome, int32_t running, int32_t waiting);
+void pieces_end_call(struct pieces *pieces, struct pieces_call *call,
+		     enum pool_outcome outcome, int32_t running,
+		     int32_t waiting);
 /**
  * An upstream that is to be asked now how much room it has, or NULL: what
  * others left there is not known, or still counted. Counts as asked.
  */
-struct pool_upstream *pieces_ask_room(struct pieces *pieces);
+struct pool_upstream *pieces_next_memory_query(struct pieces *pieces);
 /** It had at least and at most so much when `own_bytes` were counted there. */
-void pieces_room_told(struct pieces *pieces, struct pool_upstream *upstream,
-		      int64_t own_bytes, int64_t least_bytes,
-		      int64_t most_bytes);
+void pieces_memory_reported(struct pieces *pieces,
+			    struct pool_upstream *upstream, int64_t own_bytes,
+			    int64_t least_bytes, int64_t most_bytes);
 /** Time until a piece of this priority that came now would be made. */
 int64_t pieces_estimate_us(const struct pieces *pieces, int32_t priority);
 /** The same for each of the priorities 0 to count - 1. */
-void pieces_estimate_each_us(const struct pieces *pieces, int64_t *out,
-			     int32_t count);
+void pieces_estimate_by_priority_us(const struct pieces *pieces, int64_t *out,
+				    int32_t count);
 
 #endif
--- a/policy/quarantine.c
+++ b/policy/quarantine.c
@@ -5,7 +5,8 @@
 
 struct record {
 	uint64_t request;
-	struct quarantine_end ends[QUARANTINE_ENDS_MAX]; /* by time */
+	struct quarantine_termination
+		ends[QUARANTINE_TERMINATIONS_MAX]; /* by time */
 	uint32_t count;
 	uint32_t rounds;
 	int64_t served_us;
@@ -36,7 +37,7 @@
 	g_free(quarantine);
 }
 
-void quarantine_turn(struct quarantine *quarantine, bool on)
+void quarantine_set_enabled(struct quarantine *quarantine, bool on)
 {
 	quarantine->off = !on;
 }
@@ -61,21 +62,21 @@
 
 static int64_t out_until_us(const struct record *record)
 {
-	int64_t out_us = QUARANTINE_OUT_US;
+	int64_t out_us = QUARANTINE_BLOCK_US;
 
-	if (record->rounds < QUARANTINE_ROUNDS)
+	if (record->rounds < QUARANTINE_BLOCK_ROUNDS)
 		return 0;
-	for (uint32_t i = QUARANTINE_ROUNDS;
-	     i < record->rounds && out_us < QUARANTINE_OUT_MAX_US; i++)
-		out_us *= QUARANTINE_OUT_FACTOR;
-	return last_end_us(record) + MIN(out_us, QUARANTINE_OUT_MAX_US);
+	for (uint32_t i = QUARANTINE_BLOCK_ROUNDS;
+	     i < record->rounds && out_us < QUARANTINE_BLOCK_MAX_US; i++)
+		out_us *= QUARANTINE_BLOCK_FACTOR;
+	return last_end_us(record) + MIN(out_us, QUARANTINE_BLOCK_MAX_US);
 }
 
 static int64_t keep_until_us(const struct record *record)
 {
 	int64_t until_us = MAX(last_end_us(record), out_until_us(record));
 
-	return MAX(until_us, record->served_us) + QUARANTINE_KEEP_US;
+	return MAX(until_us, record->served_us) + QUARANTINE_RECORD_TTL_US;
 }
 
 uint32_t quarantine_round(const struct quarantine *quarantine, uint64_t request)
@@ -125,7 +126,7 @@
 /* A life that ends in a later round is another one: that run was begun although
  * its end was known, so it has started again, and no list says so yet. */
 static bool has_end(const struct record *record,
-		    const struct quarantine_end *end)
+		    const struct quarantine_termination *end)
 {
 	for (uint32_t i = 0; i < record->count; i++)
 		if (record->ends[i].life == end->life &&
@@ -142,11 +143,12 @@
 }
 
 /* By time. Of too many the first and the newest are kept. */
-static void insert(struct record *record, const struct quarantine_end *end)
+static void insert(struct record *record,
+		   const struct quarantine_termination *end)
 {
 	uint32_t at;
 
-	if (record->count == QUARANTINE_ENDS_MAX)
+	if (record->count == QUARANTINE_TERMINATIONS_MAX)
 		remove_at(record, 1);
 	at = record->count;
 	while (at && record->ends[at - 1].ended_us > end->ended_us)
@@ -157,8 +159,8 @@
 	record->count++;
 }
 
-bool quarantine_ended(struct quarantine *quarantine,
-		      const struct quarantine_end *end)
+bool quarantine_add_termination(struct quarantine *quarantine,
+				const struct quarantine_termination *end)
 {
 	struct record *record = find(quarantine, end->request);
 
@@ -179,8 +181,8 @@
 		record->rounds = MAX(record->rounds, record->ends[i].round);
 }
 
-bool quarantine_served(struct quarantine *quarantine, uint64_t request,
-		       int64_t served_us)
+bool quarantine_clear(struct quarantine *quarantine, uint64_t request,
+		      int64_t served_us)
 {
 	struct record *record = find(quarantine, request);
 	bool any = false;
@@ -199,16 +201,16 @@
 
 /* ---- may it go ---- */
 
-enum quarantine_step quarantine_ask(struct quarantine *quarantine,
-				    uint64_t request, int64_t until_us,
-				    int64_t *wait_us)
+enum quarantine_decision quarantine_admit(struct quarantine *quarantine,
+					  uint64_t request, int64_t until_us,
+					  int64_t *wait_us)
 {
 	struct record *record = find(quarantine, request);
 	int64_t now_us = lp_now_us(quarantine->clock);
 
 	*wait_us = 0;
 	if (quarantine->off || !record ||
-	    record->count < QUARANTINE_SUSPECT_ENDS)
+	    record->count < QUARANTINE_SUSPECT_TERMINATIONS)
 		return QUARANTINE_PASS;
 	if (now_us < out_until_us(record)) {
 		*wait_us = out_until_us(record) - now_us;
@@ -216,15 +218,15 @@
 	}
 	if (now_us < record->try_until_us) {
 		*wait_us = MIN(record->try_until_us - now_us,
-			       QUARANTINE_WAIT_MAX_US);
+			       QUARANTINE_TRIAL_WAIT_MAX_US);
 		return QUARANTINE_REFUSE;
 	}
 	record->try_until_us = until_us;
-	return QUARANTINE_TRY;
+	return QUARANTINE_TRIAL;
 }
 
-void quarantine_trying(struct quarantine *quarantine, uint64_t request,
-		       int64_t until_us)
+void quarantine_set_trial(struct quarantine *quarantine, uint64_t request,
+			  int64_t until_us)
 {
 	struct record *record = find(quarantine, request);
 
@@ -257,8 +259,8 @@
 	};
 }
 
-bool quarantine_look(const struct quarantine *quarantine, uint64_t request,
-		     struct quarantine_view *out)
+bool quarantine_get_view(const struct quarantine *quarantine, uint64_t request,
+			 struct quarantine_view *out)
 {
 	const struct record *record = find(quarantine, request);
 
@@ -267,10 +269,10 @@
 	return record != NULL;
 }
 
-void quarantine_each(const struct quarantine *quarantine,
-		     void (*look)(void *userdata,
-				  const struct quarantine_view *view),
-		     void *userdata)
+void quarantine_foreach(const struct quarantine *quarantine,
+			void (*look)(void *userdata,
+				     const struct quarantine_view *view),
+			void *userdata)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -283,7 +285,7 @@
 	}
 }
 
-void quarantine_forget(struct quarantine *quarantine)
+void quarantine_expire(struct quarantine *quarantine)
 {
 	int64_t now_us = lp_now_us(quarantine->clock);
 	GHashTableIter iter;
--- a/policy/quarantine.h
+++ b/policy/quarantine.h
@@ -8,9 +8,9 @@
  * that was before, as what ends its upstreams never does.
  *
  * - Under two ends it goes like any other.
- * - From two on it goes one at a time in the whole fleet (QUARANTINE_TRY), and
- *   is refused meanwhile. Who shared its upstreams by chance comes to an answer
- *   now; so does what many ask for while upstreams end for another reason.
+ * - From two on it goes one at a time in the whole fleet (QUARANTINE_TRIAL),
+ * and is refused meanwhile. Who shared its upstreams by chance comes to an
+ * answer now; so does what many ask for while upstreams end for another reason.
  * - After three rounds it is kept out (QUARANTINE_REFUSE). A round is a run
  * that was begun although the ends of the round before were known, so that ends
  * of one moment, of a whole service even, are one round.
@@ -30,29 +30,29 @@
 
 /** From so many ends on, one at a time: one may be chance, and happens to all
  * who were under way there. */
-#define QUARANTINE_SUSPECT_ENDS 2
+#define QUARANTINE_SUSPECT_TERMINATIONS 2
 /** Kept out after so many rounds. */
-#define QUARANTINE_ROUNDS 3
+#define QUARANTINE_BLOCK_ROUNDS 3
 /** Kept out for so long at first: longer than a caller's patience, so that it
  * costs no upstream more for one caller who comes again. */
-#define QUARANTINE_OUT_US (60 * LP_US_PER_S)
-#define QUARANTINE_OUT_FACTOR 4
-#define QUARANTINE_OUT_MAX_US (3600 * LP_US_PER_S)
+#define QUARANTINE_BLOCK_US (60 * LP_US_PER_S)
+#define QUARANTINE_BLOCK_FACTOR 4
+#define QUARANTINE_BLOCK_MAX_US (3600 * LP_US_PER_S)
 /** What is not kept out is forgotten so long after its last end; what is, so
  * long after it may be tried again. */
-#define QUARANTINE_KEEP_US (600 * LP_US_PER_S)
+#define QUARANTINE_RECORD_TTL_US (600 * LP_US_PER_S)
 /** Who meets a try under way is told to come back within this. */
-#define QUARANTINE_WAIT_MAX_US (1 * LP_US_PER_S)
+#define QUARANTINE_TRIAL_WAIT_MAX_US (1 * LP_US_PER_S)
 /** Requests that are known at a time, some 400 bytes each. Those with the
  * fewest rounds and ends yield first, of these the oldest. */
 #define QUARANTINE_RECORDS_MAX 1024
 /** Ends of one request that are kept. */
-#define QUARANTINE_ENDS_MAX 16
+#define QUARANTINE_TERMINATIONS_MAX 16
 
 struct quarantine;
 
 /** An upstream ended while a request was under way there. */
-struct quarantine_end {
+struct quarantine_termination {
 	uint64_t request; /**< digest of its content */
 	uint64_t life;	  /**< of the upstream */
 	uint32_t round;	  /**< quarantine_round() when it was sent there */
@@ -60,16 +60,16 @@
 	int64_t ran_us; /**< from its sending to the end */
 };
 
-enum quarantine_step {
+enum quarantine_decision {
 	QUARANTINE_PASS,   /**< nothing is held against it */
-	QUARANTINE_TRY,	   /**< it goes, as the only one of its kind */
+	QUARANTINE_TRIAL,  /**< it goes, as the only one of its kind */
 	QUARANTINE_REFUSE, /**< not now */
 };
 
 /** What is known of a request. */
 struct quarantine_view {
 	uint64_t request;
-	const struct quarantine_end *ends; /**< the earliest first */
+	const struct quarantine_termination *ends; /**< the earliest first */
 	uint32_t count;
 	uint32_t rounds;
 	int64_t served_us;    /**< an answer cleared it last; 0: none did */
@@ -82,39 +82,39 @@
 struct quarantine *quarantine_create(const struct lp_clock *clock);
 void quarantine_destroy(struct quarantine *quarantine);
 /** Turned off, it goes on counting and refuses nothing. */
-void quarantine_turn(struct quarantine *quarantine, bool on);
+void quarantine_set_enabled(struct quarantine *quarantine, bool on);
 /** Nothing is known of any request. */
 bool quarantine_is_empty(const struct quarantine *quarantine);
 /** The round that a run begun now would belong to. */
 uint32_t quarantine_round(const struct quarantine *quarantine,
 			  uint64_t request);
 /** An upstream has ended under a request. Returns whether that is news. */
-bool quarantine_ended(struct quarantine *quarantine,
-		      const struct quarantine_end *end);
+bool quarantine_add_termination(struct quarantine *quarantine,
+				const struct quarantine_termination *end);
 /**
- * May it go to an upstream now? QUARANTINE_TRY: until quarantine_tried() or an
- * answer, at most until `until_us`, it is the only one. Refused: `*wait_us` is
- * when to come back.
+ * May it go to an upstream now? QUARANTINE_TRIAL: until quarantine_tried() or
+ * an answer, at most until `until_us`, it is the only one. Refused: `*wait_us`
+ * is when to come back.
  */
-enum quarantine_step quarantine_ask(struct quarantine *quarantine,
-				    uint64_t request, int64_t until_us,
-				    int64_t *wait_us);
+enum quarantine_decision quarantine_admit(struct quarantine *quarantine,
+					  uint64_t request, int64_t until_us,
+					  int64_t *wait_us);
 /** Another entry tries it until then; in the past: its try is over. */
-void quarantine_trying(struct quarantine *quarantine, uint64_t request,
-		       int64_t until_us);
+void quarantine_set_trial(struct quarantine *quarantine, uint64_t request,
+			  int64_t until_us);
 /** It came to an answer, or an operator lets it in: what was until then is
  * cleared. Returns whether there was anything. */
-bool quarantine_served(struct quarantine *quarantine, uint64_t request,
-		       int64_t served_us);
+bool quarantine_clear(struct quarantine *quarantine, uint64_t request,
+		      int64_t served_us);
 /** What is known of a request. False: nothing. */
-bool quarantine_look(const struct quarantine *quarantine, uint64_t request,
-		     struct quarantine_view *out);
+bool quarantine_get_view(const struct quarantine *quarantine, uint64_t request,
+			 struct quarantine_view *out);
 /** Look at each. Nothing may be changed meanwhile. */
-void quarantine_each(const struct quarantine *quarantine,
-		     void (*look)(void *userdata,
-				  const struct quarantine_view *view),
-		     void *userdata);
+void quarantine_foreach(const struct quarantine *quarantine,
+			void (*look)(void *userdata,
+				     const struct quarantine_view *view),
+			void *userdata);
 /** Drop what is too old. */
-void quarantine_forget(struct quarantine *quarantine);
+void quarantine_expire(struct quarantine *quarantine);
 
 #endif
--- a/tests/direct_policy_test.cc
+++ b/tests/direct_policy_test.cc
@@ -133,8 +133,8 @@
 
 	for (uint64_t hash : hashes)
 		tasks.push_back({ hash, 0 });
-	dispatchers_find(members.data(), members.size(), tasks.data(),
-			 tasks.size());
+	dispatchers_assign(members.data(), members.size(), tasks.data(),
+			   tasks.size());
 	return tasks;
 }
 
@@ -180,13 +180,13 @@
 TEST(Dispatchers, AreAskedOnceAllThatAreKnownWereHeard)
 {
 	const int64_t ms = 1000;
-	dispatchers_meeting alone = { 0, 0, false };
-	dispatchers_meeting met = { 0, 15 * ms, false };
+	dispatchers_discovery alone = { 0, 0, false };
+	dispatchers_discovery met = { 0, 15 * ms, false };
 
-	EXPECT_EQ(dispatchers_meeting_left_us(&alone, 40 * ms), 60 * ms);
-	EXPECT_EQ(dispatchers_meeting_left_us(&alone, 100 * ms), 0);
-	EXPECT_EQ(dispatchers_meeting_left_us(&met, 114 * ms), 1 * ms);
-	EXPECT_EQ(dispatchers_meeting_left_us(&met, 115 * ms), 0);
+	EXPECT_EQ(dispatchers_discovery_left_us(&alone, 40 * ms), 60 * ms);
+	EXPECT_EQ(dispatchers_discovery_left_us(&alone, 100 * ms), 0);
+	EXPECT_EQ(dispatchers_discovery_left_us(&met, 114 * ms), 1 * ms);
+	EXPECT_EQ(dispatchers_discovery_left_us(&met, 115 * ms), 0);
 }
 
 /* Thirty that start together turn up one after the other for 300 ms; some of
@@ -194,29 +194,29 @@
 TEST(Dispatchers, AreNotAskedWhileNewMembersTurnUp)
 {
 	const int64_t ms = 1000;
-	dispatchers_meeting meeting = { 0, 0, true };
+	dispatchers_discovery meeting = { 0, 0, true };
 
-	EXPECT_EQ(dispatchers_meeting_left_us(&meeting, 349 * ms), 1 * ms);
+	EXPECT_EQ(dispatchers_discovery_left_us(&meeting, 349 * ms), 1 * ms);
 	for (int64_t at_us = 10 * ms; at_us <= 300 * ms; at_us += 10 * ms) {
 		int64_t later_us = at_us + 99 * ms;
 
 		meeting.found_us = at_us;
 		meeting.knows_silent = false;
-		EXPECT_GT(dispatchers_meeting_left_us(&meeting, later_us), 0);
+		EXPECT_GT(dispatchers_discovery_left_us(&meeting, later_us), 0);
 		meeting.knows_silent = true;
-		EXPECT_GT(dispatchers_meeting_left_us(&meeting, later_us), 0);
+		EXPECT_GT(dispatchers_discovery_left_us(&meeting, later_us), 0);
 	}
-	EXPECT_EQ(dispatchers_meeting_left_us(&meeting, 400 * ms), 0);
+	EXPECT_EQ(dispatchers_discovery_left_us(&meeting, 400 * ms), 0);
 	meeting.found_us = 690 * ms;
-	EXPECT_EQ(dispatchers_meeting_left_us(&meeting, 700 * ms), 0);
+	EXPECT_EQ(dispatchers_discovery_left_us(&meeting, 700 * ms), 0);
 }
 
 TEST(Dispatchers, ShareALargeService)
 {
-	EXPECT_EQ(dispatchers_parts(0), 1u);
-	EXPECT_EQ(dispatchers_parts(32), 1u);
-	EXPECT_EQ(dispatchers_parts(33), 2u);
-	EXPECT_EQ(dispatchers_parts(180), 8u);
+	EXPECT_EQ(dispatchers_shard_count(0), 1u);
+	EXPECT_EQ(dispatchers_shard_count(32), 1u);
+	EXPECT_EQ(dispatchers_shard_count(33), 2u);
+	EXPECT_EQ(dispatchers_shard_count(180), 8u);
 }
 
 /* ---- events ---- */
@@ -500,14 +500,14 @@
 	}
 	void make(uint32_t stage, uint32_t piece, const char *handle)
 	{
-		graph_made(it, stage, piece, handle, 7, 10);
+		graph_complete_piece(it, stage, piece, handle, 7, 10);
 	}
 	std::vector<std::string> inputs(uint32_t stage)
 	{
 		g_autoptr(GPtrArray) out = g_ptr_array_new();
 		std::vector<std::string> handles;
 
-		graph_inputs(it, stage, out);
+		graph_input_handles(it, stage, out);
 		for (guint i = 0; i < out->len; i++)
 			handles.emplace_back(
 				(const char *)g_ptr_array_index(out, i));
@@ -518,7 +518,7 @@
 		GArray *out = g_array_new(FALSE, FALSE, sizeof(graph_result));
 		std::vector<std::string> handles;
 
-		graph_take_unneeded(it, all, out);
+		graph_take_unused_results(it, all, out);
 		for (guint i = 0; i < out->len; i++) {
 			auto *result = &g_array_index(out, graph_result, i);
 
@@ -542,11 +542,11 @@
 	EXPECT_TRUE(graph_stage_ready(graph.it, 2));
 	EXPECT_EQ(graph.inputs(2), (std::vector<std::string>{ "b0", "b1" }));
 	graph.make(2, 0, "c0");
-	EXPECT_FALSE(graph_complete(graph.it));
+	EXPECT_FALSE(graph_is_complete(graph.it));
 	EXPECT_EQ(graph.unneeded(false),
 		  (std::vector<std::string>{ "b0", "b1" }));
 	graph.make(0, 0, "a0");
-	EXPECT_TRUE(graph_complete(graph.it));
+	EXPECT_TRUE(graph_is_complete(graph.it));
 	EXPECT_EQ(graph.inputs(3), (std::vector<std::string>{ "a0", "c0" }));
 	EXPECT_EQ(graph.unneeded(true),
 		  (std::vector<std::string>{ "a0", "c0" }));
@@ -559,7 +559,7 @@
 	EXPECT_TRUE(graph_stage_ready(graph.it, 2));
 	EXPECT_TRUE(graph.inputs(2).empty());
 	graph.make(2, 0, "c0");
-	EXPECT_TRUE(graph_complete(graph.it));
+	EXPECT_TRUE(graph_is_complete(graph.it));
 	EXPECT_EQ(graph.inputs(3), (std::vector<std::string>{ "c0" }));
 }
 
@@ -569,10 +569,10 @@
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(graph_result));
 
 	graph.make(1, 0, "b0");
-	graph_lost_inputs(graph.it, 2, out);
+	graph_discard_inputs(graph.it, 2, out);
 	EXPECT_EQ(out->len, 1u);
-	EXPECT_FALSE(graph_inputs_kept(graph.it, 2));
-	EXPECT_EQ(graph_state(graph.it, 1, 0), GRAPH_PIECE_MISSING);
+	EXPECT_FALSE(graph_inputs_available(graph.it, 2));
+	EXPECT_EQ(graph_get_piece_state(graph.it, 1, 0), GRAPH_PIECE_MISSING);
 	for (guint i = 0; i < out->len; i++) {
 		EXPECT_EQ(g_array_index(out, graph_result, i).maker, 7u);
 		g_free(g_array_index(out, graph_result, i).handle);
@@ -598,16 +598,17 @@
 	EXPECT_EQ(graph_main_domain(it, domain_of, nullptr, &bytes), nullptr);
 	EXPECT_EQ(bytes, 0);
 	for (uint32_t i = 0; i < 16; i++)
-		graph_made(it, 2, i, "s", 3, 6000);
+		graph_complete_piece(it, 2, i, "s", 3, 6000);
 	for (uint32_t i = 0; i < 8; i++) /* only the stage after takes these */
-		graph_made(it, 1, i, "i", 4, 60000);
+		graph_complete_piece(it, 1, i, "i", 4, 60000);
 	EXPECT_STREQ(graph_main_domain(it, domain_of, nullptr, &bytes), "c");
 	EXPECT_EQ(bytes, 96000);
-	graph_made(it, 0, 0, "l", 2, 3000000);
-	graph_made(it, 0, 1, "l", 0, 3000000); /* its maker is not known */
+	graph_complete_piece(it, 0, 0, "l", 2, 3000000);
+	graph_complete_piece(it, 0, 1, "l", 0,
+			     3000000); /* its maker is not known */
 	EXPECT_STREQ(graph_main_domain(it, domain_of, nullptr, &bytes), "b");
 	EXPECT_EQ(bytes, 3000000);
-	graph_made(it, 0, 1, "l", 2, 3000000);
+	graph_complete_piece(it, 0, 1, "l", 2, 3000000);
 	EXPECT_STREQ(graph_main_domain(it, domain_of, nullptr, &bytes), "b");
 	EXPECT_EQ(bytes, 6000000);
 	graph_destroy(it);
@@ -660,7 +661,7 @@
 	{
 		std::vector<int> out;
 
-		*call = pieces_next(queue);
+		*call = pieces_start_call(queue);
 		for (guint i = 0; *call && i < (*call)->pieces->len; i++)
 			out.push_back(
 				(int *)g_array_index((*call)->pieces, piece, i)
@@ -691,10 +692,11 @@
 	/* All upstreams that are asked say that nothing else is there. */
 	void tell_rooms(int64_t bytes)
 	{
-		while (pool_upstream *upstream = pieces_ask_room(queue))
-			pieces_room_told(queue, upstream,
-					 room_own_bytes(upstream->room), bytes,
-					 bytes);
+		while (pool_upstream *upstream =
+			       pieces_next_memory_query(queue))
+			pieces_memory_reported(queue, upstream,
+					       room_own_bytes(upstream->room),
+					       bytes, bytes);
 	}
 	/* A result is kept there. */
 	void keep(const char *id, const char *handle, int64_t bytes)
@@ -794,9 +796,9 @@
 	pieces_call *call;
 
 	rig.ask(1, 3, 500000);
-	pieces_drop(rig.queue, &rig.requests[1]);
+	pieces_drop_request(rig.queue, &rig.requests[1]);
 	ASSERT_TRUE(rig.next(&call).empty());
-	EXPECT_EQ(pieces_wake_us(rig.queue), 0);
+	EXPECT_EQ(pieces_next_check_us(rig.queue), 0);
 }
 
 /* Every idle upstream gets what waits; nobody else calls it. */
@@ -825,7 +827,7 @@
 
 	rig.ask_far(900000);
 	ASSERT_TRUE(rig.next(&call).empty());
-	EXPECT_GT(pieces_wake_us(rig.queue), 0);
+	EXPECT_GT(pieces_next_check_us(rig.queue), 0);
 	rig.clock.now_us += 49000;
 	ASSERT_TRUE(rig.next(&call).empty());
 	rig.clock.now_us += 2000;
@@ -886,7 +888,7 @@
 	pieces_call *call;
 
 	ASSERT_NE(part, pool_find(rig.it, "two")->hash % 64);
-	pieces_set_parts(rig.queue, 64, UINT64_C(1) << part);
+	pieces_set_shards(rig.queue, 64, UINT64_C(1) << part);
 	rig.ask(1, 1, 900000);
 	ASSERT_EQ(rig.next(&call).size(), 1u);
 	EXPECT_STREQ(call->upstream->entry.id, "one");
--- a/tests/poison_test.cc
+++ b/tests/poison_test.cc
@@ -592,8 +592,8 @@
 			turn_until([] { return false; }, 30);
 		}
 		pe_poison_seen(platform, &book);
-		EXPECT_LE(book.arrivals, 3u * QUARANTINE_ROUNDS) << size;
-		EXPECT_GE(refused, tries - 3 * QUARANTINE_ROUNDS) << size;
+		EXPECT_LE(book.arrivals, 3u * QUARANTINE_BLOCK_ROUNDS) << size;
+		EXPECT_GE(refused, tries - 3 * QUARANTINE_BLOCK_ROUNDS) << size;
 		rigs.clear();
 		pe_destroy(platform);
 	}
--- a/tests/pool_rig.h
+++ b/tests/pool_rig.h
@@ -54,9 +54,10 @@
 inline void end_made(pieces *queue, pieces_call *call, int *results)
 {
 	for (guint i = 0; i < call->pieces->len; i++)
-		pieces_made(queue, call, &g_array_index(call->pieces, piece, i),
-			    std::to_string(++*results).c_str());
-	pieces_end(queue, call, POOL_SERVED, 0, 0);
+		pieces_piece_completed(queue, call,
+				       &g_array_index(call->pieces, piece, i),
+				       std::to_string(++*results).c_str());
+	pieces_end_call(queue, call, POOL_SERVED, 0, 0);
 }
 
 #endif
--- a/tests/preferred_domain_test.cc
+++ b/tests/preferred_domain_test.cc
@@ -98,7 +98,7 @@
 				next_us += every_us;
 			}
 			end_calls();
-			while (pieces_call *call = pieces_next(queue))
+			while (pieces_call *call = pieces_start_call(queue))
 				start(call);
 		}
 		clock.now_us += 10000 * ms;
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -25,15 +25,15 @@
 	/* An upstream ends under a run that was begun in this round. */
 	void end(uint64_t request, uint32_t round)
 	{
-		quarantine_end end = { request, ++lives, round, clock.now_us,
-				       100 };
+		quarantine_termination end = { request, ++lives, round,
+					       clock.now_us, 100 };
 
-		EXPECT_TRUE(quarantine_ended(it, &end));
+		EXPECT_TRUE(quarantine_add_termination(it, &end));
 	}
-	quarantine_step ask(uint64_t request = bad)
+	quarantine_decision ask(uint64_t request = bad)
 	{
-		return quarantine_ask(it, request, clock.now_us + 3 * s,
-				      &wait_us);
+		return quarantine_admit(it, request, clock.now_us + 3 * s,
+					&wait_us);
 	}
 	/* One run after the other; returns how many upstreams ended. */
 	int runs_until_refused(uint64_t request, int most)
@@ -42,7 +42,7 @@
 			if (ask(request) == QUARANTINE_REFUSE)
 				return i;
 			end(request, quarantine_round(it, request));
-			quarantine_trying(it, request, clock.now_us);
+			quarantine_set_trial(it, request, clock.now_us);
 			clock.now_us += 100000;
 		}
 		return most;
@@ -51,7 +51,7 @@
 	{
 		quarantine_view view = {};
 
-		quarantine_look(it, request, &view);
+		quarantine_get_view(it, request, &view);
 		return view;
 	}
 };
@@ -61,32 +61,32 @@
 	Fleet fleet;
 
 	EXPECT_EQ(fleet.runs_until_refused(bad, 10), 3);
-	EXPECT_EQ(fleet.wait_us, QUARANTINE_OUT_US - 100000);
+	EXPECT_EQ(fleet.wait_us, QUARANTINE_BLOCK_US - 100000);
 	EXPECT_EQ(fleet.ask(8), QUARANTINE_PASS);
 }
 
 TEST(Quarantine, LetsInAgainForOneTryAndThenLater)
 {
 	Fleet fleet;
-	int64_t out_us = QUARANTINE_OUT_US;
+	int64_t out_us = QUARANTINE_BLOCK_US;
 
 	fleet.runs_until_refused(bad, 10);
 	for (int i = 0; i < 6; i++) {
 		fleet.clock.now_us += fleet.wait_us - 1;
 		EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
 		fleet.clock.now_us += 1;
-		EXPECT_EQ(fleet.ask(), QUARANTINE_TRY);
+		EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL);
 		EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
-		EXPECT_LE(fleet.wait_us, QUARANTINE_WAIT_MAX_US);
+		EXPECT_LE(fleet.wait_us, QUARANTINE_TRIAL_WAIT_MAX_US);
 		fleet.end(bad, quarantine_round(fleet.it, bad));
 		EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
-		out_us = MIN(out_us * QUARANTINE_OUT_FACTOR,
-			     QUARANTINE_OUT_MAX_US);
+		out_us = MIN(out_us * QUARANTINE_BLOCK_FACTOR,
+			     QUARANTINE_BLOCK_MAX_US);
 		EXPECT_EQ(fleet.wait_us, out_us);
 	}
 	fleet.clock.now_us += fleet.wait_us;
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRY);
-	EXPECT_TRUE(quarantine_served(fleet.it, bad, fleet.clock.now_us));
+	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL);
+	EXPECT_TRUE(quarantine_clear(fleet.it, bad, fleet.clock.now_us));
 	EXPECT_EQ(fleet.ask(), QUARANTINE_PASS);
 	EXPECT_EQ(fleet.ask(), QUARANTINE_PASS);
 }
@@ -100,9 +100,9 @@
 	for (int i = 0; i < 40; i++)
 		fleet.end(bad, 1);
 	EXPECT_EQ(fleet.look().rounds, 1u);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRY);
+	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL);
 	EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
-	EXPECT_TRUE(quarantine_served(fleet.it, bad, fleet.clock.now_us));
+	EXPECT_TRUE(quarantine_clear(fleet.it, bad, fleet.clock.now_us));
 	EXPECT_EQ(fleet.ask(), QUARANTINE_PASS);
 	EXPECT_EQ(fleet.look().count, 0u);
 }
@@ -117,9 +117,9 @@
 		fleet.end(bad, round);
 		fleet.end(good, round);
 	}
-	EXPECT_EQ(fleet.ask(good), QUARANTINE_TRY);
-	EXPECT_EQ(fleet.ask(bad), QUARANTINE_TRY);
-	EXPECT_TRUE(quarantine_served(fleet.it, good, fleet.clock.now_us));
+	EXPECT_EQ(fleet.ask(good), QUARANTINE_TRIAL);
+	EXPECT_EQ(fleet.ask(bad), QUARANTINE_TRIAL);
+	EXPECT_TRUE(quarantine_clear(fleet.it, good, fleet.clock.now_us));
 	fleet.end(bad, 3);
 	EXPECT_EQ(fleet.ask(good), QUARANTINE_PASS);
 	EXPECT_EQ(fleet.ask(bad), QUARANTINE_REFUSE);
@@ -128,9 +128,9 @@
 /* Words of others come twice, late, in any order. */
 TEST(Quarantine, WordsMayComeInAnyOrder)
 {
-	const quarantine_end ends[] = { { bad, 1, 1, 1000, 0 },
-					{ bad, 2, 2, 2000, 0 },
-					{ bad, 3, 3, 3000, 0 } };
+	const quarantine_termination ends[] = { { bad, 1, 1, 1000, 0 },
+						{ bad, 2, 2, 2000, 0 },
+						{ bad, 3, 3, 3000, 0 } };
 	const int orders[][5] = { { 0, 1, 2, 1, 0 },
 				  { 2, 1, 0, 0, 2 },
 				  { 1, 2, 1, 0, 1 } };
@@ -139,7 +139,7 @@
 		Fleet fleet;
 
 		for (int at : order)
-			quarantine_ended(fleet.it, &ends[at]);
+			quarantine_add_termination(fleet.it, &ends[at]);
 		EXPECT_EQ(fleet.look().count, 3u);
 		EXPECT_EQ(fleet.look().rounds, 3u);
 		EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
@@ -147,9 +147,10 @@
 			EXPECT_EQ(fleet.look().ends[i].ended_us,
 				  ends[i].ended_us);
 		/* It was served; what is said of before counts no more. */
-		quarantine_served(fleet.it, bad, 3000);
+		quarantine_clear(fleet.it, bad, 3000);
 		for (int at : order)
-			EXPECT_FALSE(quarantine_ended(fleet.it, &ends[at]));
+			EXPECT_FALSE(quarantine_add_termination(fleet.it,
+								&ends[at]));
 		EXPECT_EQ(fleet.ask(), QUARANTINE_PASS);
 	}
 }
@@ -158,13 +159,13 @@
 TEST(Quarantine, ALifeThatEndsInALaterRoundIsAnother)
 {
 	Fleet fleet;
-	quarantine_end end = { bad, 50, 1, 1000, 0 };
+	quarantine_termination end = { bad, 50, 1, 1000, 0 };
 
-	EXPECT_TRUE(quarantine_ended(fleet.it, &end));
+	EXPECT_TRUE(quarantine_add_termination(fleet.it, &end));
 	end.ended_us = 1500; /* the same, as another entry saw it */
-	EXPECT_FALSE(quarantine_ended(fleet.it, &end));
+	EXPECT_FALSE(quarantine_add_termination(fleet.it, &end));
 	end.round = 2;
-	EXPECT_TRUE(quarantine_ended(fleet.it, &end));
+	EXPECT_TRUE(quarantine_add_termination(fleet.it, &end));
 	EXPECT_EQ(fleet.look().count, 2u);
 }
 
@@ -174,14 +175,14 @@
 
 	fleet.end(bad, 1);
 	fleet.end(bad, 2);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRY);
-	quarantine_trying(fleet.it, bad, fleet.clock.now_us);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRY); /* told to be over */
+	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL);
+	quarantine_set_trial(fleet.it, bad, fleet.clock.now_us);
+	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL); /* told to be over */
 	fleet.clock.now_us += 3 * s;
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRY); /* never told */
-	quarantine_trying(fleet.it, bad, fleet.clock.now_us + 2 * s);
+	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL); /* never told */
+	quarantine_set_trial(fleet.it, bad, fleet.clock.now_us + 2 * s);
 	EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE); /* another entry's */
-	EXPECT_EQ(fleet.wait_us, QUARANTINE_WAIT_MAX_US);
+	EXPECT_EQ(fleet.wait_us, QUARANTINE_TRIAL_WAIT_MAX_US);
 }
 
 /* Thousands of bodies, each of which ends an upstream: memory is bounded, and
@@ -197,7 +198,7 @@
 		if (other % 2)
 			fleet.end(other, 2);
 	}
-	quarantine_each(
+	quarantine_foreach(
 		fleet.it,
 		[](void *out, const quarantine_view *view) {
 			static_cast<std::vector<uint64_t> *>(out)->push_back(
@@ -206,7 +207,7 @@
 		&seen);
 	EXPECT_EQ(seen.size(), (size_t)QUARANTINE_RECORDS_MAX);
 	EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
-	EXPECT_EQ(fleet.ask(20999), QUARANTINE_TRY);
+	EXPECT_EQ(fleet.ask(20999), QUARANTINE_TRIAL);
 	EXPECT_EQ(fleet.ask(20998), QUARANTINE_PASS);
 }
 
@@ -218,7 +219,7 @@
 		fleet.end(bad, 1 + i / 20);
 		fleet.clock.now_us += s;
 	}
-	EXPECT_EQ(fleet.look().count, (uint32_t)QUARANTINE_ENDS_MAX);
+	EXPECT_EQ(fleet.look().count, (uint32_t)QUARANTINE_TERMINATIONS_MAX);
 	EXPECT_EQ(fleet.look().rounds, 5u);
 	EXPECT_EQ(fleet.look().ends[0].ended_us, 1000000);
 }
@@ -228,25 +229,26 @@
 	Fleet fleet;
 
 	fleet.end(bad, 1);
-	fleet.clock.now_us += QUARANTINE_KEEP_US;
-	quarantine_forget(fleet.it);
+	fleet.clock.now_us += QUARANTINE_RECORD_TTL_US;
+	quarantine_expire(fleet.it);
 	EXPECT_FALSE(quarantine_is_empty(fleet.it));
 	fleet.clock.now_us += 1;
-	quarantine_forget(fleet.it);
+	quarantine_expire(fleet.it);
 	EXPECT_TRUE(quarantine_is_empty(fleet.it));
 	fleet.runs_until_refused(bad, 10);
-	fleet.clock.now_us += QUARANTINE_OUT_US + QUARANTINE_KEEP_US - s;
-	quarantine_forget(fleet.it);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRY);
+	fleet.clock.now_us +=
+		QUARANTINE_BLOCK_US + QUARANTINE_RECORD_TTL_US - s;
+	quarantine_expire(fleet.it);
+	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL);
 }
 
 TEST(Quarantine, TurnedOffItRefusesNothing)
 {
 	Fleet fleet;
 
-	quarantine_turn(fleet.it, false);
+	quarantine_set_enabled(fleet.it, false);
 	EXPECT_EQ(fleet.runs_until_refused(bad, 10), 10);
-	quarantine_turn(fleet.it, true);
+	quarantine_set_enabled(fleet.it, true);
 	EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
 }
 
--- a/tests/remaining_test.cc
+++ b/tests/remaining_test.cc
@@ -90,7 +90,7 @@
 	~Load()
 	{
 		for (pieces_call *call : calls)
-			pieces_end(queue, call, POOL_SERVED, 0, 0);
+			pieces_end_call(queue, call, POOL_SERVED, 0, 0);
 		pieces_destroy(queue);
 	}
 	void ask()
@@ -151,7 +151,7 @@
 			if ((clock.now_us - start_us) / ms % 15 == 0)
 				ask();
 			end_calls();
-			while (pieces_call *call = pieces_next(queue))
+			while (pieces_call *call = pieces_start_call(queue))
 				calls.push_back(call);
 		}
 	}
--- a/tests/room_test.cc
+++ b/tests/room_test.cc
@@ -186,14 +186,15 @@
 	}
 	void answer_questions()
 	{
-		while (pool_upstream *upstream = pieces_ask_room(queue)) {
+		while (pool_upstream *upstream =
+			       pieces_next_memory_query(queue)) {
 			int64_t free_bytes = makers.free_bytes(
 				upstream->entry.id, clock.now_us);
 
 			free_bytes -= free_bytes % step_bytes;
-			pieces_room_told(queue, upstream,
-					 room_own_bytes(upstream->room),
-					 free_bytes, free_bytes + step_bytes);
+			pieces_memory_reported(
+				queue, upstream, room_own_bytes(upstream->room),
+				free_bytes, free_bytes + step_bytes);
 		}
 	}
 	/* Room is taken up from a call's start. */
@@ -218,16 +219,16 @@
 			std::string handle = std::to_string(++results);
 
 			if (call.has_room[i]) {
-				pieces_made(queue, call.it, one,
-					    handle.c_str());
+				pieces_piece_completed(queue, call.it, one,
+						       handle.c_str());
 				made++;
 				continue;
 			}
-			pieces_not_made(queue, call.it, one, true);
+			pieces_piece_failed(queue, call.it, one, true);
 			pieces_add(queue, one);
 			short_of_room++;
 		}
-		pieces_end(queue, call.it, POOL_SERVED, 0, 0);
+		pieces_end_call(queue, call.it, POOL_SERVED, 0, 0);
 	}
 	/* Calls are made and end in time for so long. */
 	void run(int64_t time_us)
@@ -238,7 +239,7 @@
 		for (int64_t end_us = clock.now_us + time_us;
 		     clock.now_us < end_us; clock.now_us += step_us) {
 			answer_questions();
-			while (pieces_call *call = pieces_next(queue))
+			while (pieces_call *call = pieces_start_call(queue))
 				calls.push_back(start(call));
 			for (size_t i = 0; i < calls.size();) {
 				const pieces_call *call = calls[i].it;
@@ -284,18 +285,18 @@
 
 	rig.leave_results(20);
 	rig.ask(4);
-	while (pieces_ask_room(rig.queue))
+	while (pieces_next_memory_query(rig.queue))
 		;
 	rig.clock.now_us += 30000;
 	for (uint32_t i = 0; i < upstreams; i++) {
-		call = pieces_next(rig.queue);
+		call = pieces_start_call(rig.queue);
 		ASSERT_NE(call, nullptr);
 		rig.end(rig.start(call));
 	}
 	EXPECT_EQ(rig.made, 0u);
-	EXPECT_EQ(pieces_next(rig.queue), nullptr);
+	EXPECT_EQ(pieces_start_call(rig.queue), nullptr);
 	rig.clock.now_us += linger_us;
-	call = pieces_next(rig.queue);
+	call = pieces_start_call(rig.queue);
 	ASSERT_NE(call, nullptr);
 	rig.end(rig.start(call));
 	EXPECT_EQ(rig.made, 8u);
