--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -91,8 +91,8 @@
 	options->batch_max = MAX(figures->batch_max, 1);
 	options->call_us = figures->call_us;
 	options->piece_us = figures->piece_us;
-	options->room_bytes = figures->room_bytes;
-	options->linger_us = figures->linger_us;
+	options->result_memory_bytes = figures->room_bytes;
+	options->result_ttl_us = figures->linger_us;
 }
 
 static struct service *service_of(struct direct_calls *calls, const char *name)
@@ -190,7 +190,7 @@
 			continue;
 		direct_results_give_up(direct->results, results[i].maker,
 				       g_steal_pointer(&results[i].handle),
-				       job->work.piece.bytes);
+				       job->work.piece.result_bytes);
 	}
 }
 
@@ -415,7 +415,7 @@
 	item->stage = piece->stage;
 	item->piece = piece->index;
 	item->left_us =
-		piece->until_us - lp_now_us(calls->direct->options.clock);
+		piece->expires_us - lp_now_us(calls->direct->options.clock);
 	item->inputs = work->inputs;
 	if (!work->inputs->len)
 		item->key = work->key;
--- a/direct/direct_peers.c
+++ b/direct/direct_peers.c
@@ -409,8 +409,8 @@
 {
 	const struct dispatchers_discovery meeting = {
 		.started_us = peers->started_us,
-		.found_us = peers->found_us,
-		.knows_silent = knows_silent(peers),
+		.last_discovered_us = peers->found_us,
+		.has_silent_members = knows_silent(peers),
 	};
 
 	return dispatchers_discovery_left_us(&meeting,
--- a/direct/direct_prepare.c
+++ b/direct/direct_prepare.c
@@ -231,14 +231,14 @@
 			.due_us = request->arrived_us - request->waited_us +
 				  request->route->target_us -
 				  allowed_us(request, stage) - call_us,
-			.until_us = request->give_up_us,
+			.expires_us = request->give_up_us,
 			.priority = request->priority,
-			.bytes = config->bytes,
-			.homes = request->homes,
+			.result_bytes = config->bytes,
+			.allowed_regions = request->homes,
 			.has_inputs = config->after_count > 0,
-			.holds_room = holds_room(request, stage),
-			.alone = request->is_try,
-			.split = is_begun(request->graph, stage),
+			.holds_memory = holds_room(request, stage),
+			.exclusive = request->is_try,
+			.group_started = is_begun(request->graph, stage),
 		},
 	};
 
@@ -340,8 +340,8 @@
 		g_new0(struct graph_stage, route->stages_count);
 
 	for (uint32_t i = 0; i < route->stages_count; i++) {
-		stages[i].after = route->stages[i].after;
-		stages[i].after_count = route->stages[i].after_count;
+		stages[i].dependencies = route->stages[i].after;
+		stages[i].dependencies_count = route->stages[i].after_count;
 		stages[i].pieces = i < request->ask.pieces->len
 					   ? g_array_index(request->ask.pieces,
 							   uint32_t, i)
--- a/direct/direct_quarantine.c
+++ b/direct/direct_quarantine.c
@@ -55,10 +55,10 @@
 	return (struct word){
 		.what = WORD_ENDED,
 		.request = end->request,
-		.life = end->life,
+		.life = end->incarnation,
 		.round = end->round,
-		.at_us = end->ended_us,
-		.ran_us = end->ran_us,
+		.at_us = end->terminated_us,
+		.ran_us = end->run_us,
 	};
 }
 
@@ -175,19 +175,19 @@
 {
 	GArray *words = userdata;
 	struct word word =
-		word_of_time(WORD_SERVED, view->request, view->served_us);
+		word_of_time(WORD_SERVED, view->request, view->cleared_us);
 
-	if (view->served_us)
+	if (view->cleared_us)
 		g_array_append_val(words, word);
-	for (uint32_t i = 0; i < view->count; i++) {
-		word = word_of_end(&view->ends[i]);
+	for (uint32_t i = 0; i < view->terminations_count; i++) {
+		word = word_of_end(&view->terminations[i]);
 		g_array_append_val(words, word);
 	}
 }
 
 static void add_suspect(void *userdata, const struct quarantine_view *view)
 {
-	if (view->count >= QUARANTINE_SUSPECT_TERMINATIONS)
+	if (view->terminations_count >= QUARANTINE_SUSPECT_TERMINATIONS)
 		add_request(userdata, view);
 }
 
@@ -244,10 +244,10 @@
 	quarantine_get_view(quarantine->known, request, &view);
 	lp_event_digest(log, "content", request);
 	lp_event_text(log, "outcome", outcome);
-	lp_event_int(log, "ends", view.count);
+	lp_event_int(log, "ends", view.terminations_count);
 	lp_event_int(log, "rounds", view.rounds);
 	lp_event_int(log, "out_us",
-		     MAX(view.out_until_us - now(quarantine), 0));
+		     MAX(view.blocked_until_us - now(quarantine), 0));
 	lp_event_text(log, "peer",
 		      peer ? direct_peers_ip(quarantine->peers, peer) : "");
 	lp_event_end(log);
@@ -259,10 +259,11 @@
 	struct quarantine_view view = { 0 };
 
 	quarantine_get_view(quarantine->known, request, &view);
-	if (view.out_until_us > now(quarantine))
+	if (view.blocked_until_us > now(quarantine))
 		return "kept_out";
-	return view.count >= QUARANTINE_SUSPECT_TERMINATIONS ? "one_at_a_time"
-							     : "noted";
+	return view.terminations_count >= QUARANTINE_SUSPECT_TERMINATIONS
+		       ? "one_at_a_time"
+		       : "noted";
 }
 
 /* `peer`: who says so; 0: we saw it. Returns whether it is news. */
@@ -299,7 +300,7 @@
 	struct quarantine_view view;
 
 	if (quarantine_get_view(quarantine->known, request, &view) &&
-	    view.try_until_us > now_us)
+	    view.trial_until_us > now_us)
 		set_try(quarantine, request, now_us);
 }
 
@@ -319,7 +320,7 @@
 	struct quarantine_view view = { 0 };
 
 	quarantine_get_view(quarantine->known, request, &view);
-	if (view.out_until_us > now(quarantine) && options->kept_out)
+	if (view.blocked_until_us > now(quarantine) && options->kept_out)
 		options->kept_out(options->userdata, request);
 }
 
@@ -329,10 +330,10 @@
 	for (guint i = 0; i < count; i++) {
 		const struct quarantine_termination end = {
 			.request = lost[i].request,
-			.life = lost[i].life,
+			.incarnation = lost[i].life,
 			.round = lost[i].round,
-			.ended_us = lost[i].lost_us,
-			.ran_us = MAX(lost[i].lost_us - lost[i].began_us, 0),
+			.terminated_us = lost[i].lost_us,
+			.run_us = MAX(lost[i].lost_us - lost[i].began_us, 0),
 		};
 
 		if (note_end(quarantine, &end, 0))
@@ -352,10 +353,10 @@
 	int64_t now_us = now(quarantine);
 	const struct quarantine_termination end = {
 		.request = word->request,
-		.life = word->life,
+		.incarnation = word->life,
 		.round = MIN(word->round, ROUND_MAX),
-		.ended_us = now_us - time_us,
-		.ran_us = CLAMP(word->ran_us, 0, AGE_MAX_US),
+		.terminated_us = now_us - time_us,
+		.run_us = CLAMP(word->ran_us, 0, AGE_MAX_US),
 	};
 
 	switch (word->what) {
@@ -363,7 +364,7 @@
 		note_end(quarantine, &end, peer);
 		break;
 	case WORD_SERVED:
-		note_served(quarantine, word->request, end.ended_us, peer);
+		note_served(quarantine, word->request, end.terminated_us, peer);
 		break;
 	case WORD_TRIES:
 		quarantine_set_trial(quarantine->known, word->request,
@@ -462,7 +463,7 @@
 	digest = direct_request_digest(request);
 	request->is_try = false;
 	if (!quarantine_get_view(quarantine->known, digest, &view) ||
-	    !view.count)
+	    !view.terminations_count)
 		return;
 	clear_now(quarantine, digest);
 	set_try(quarantine, digest, now(quarantine));
@@ -478,7 +479,7 @@
 	    !quarantine_get_view(quarantine->known,
 				 direct_request_digest(request), &view))
 		return;
-	if (ran_us > OUTLIVES * view.ran_us + OUTLIVES_US)
+	if (ran_us > OUTLIVES * view.longest_run_us + OUTLIVES_US)
 		direct_quarantine_served(quarantine, request);
 }
 
@@ -541,14 +542,14 @@
 {
 	char life[LP_DIGEST_SIZE];
 
-	lp_digest_print(end->life, life);
+	lp_digest_print(end->incarnation, life);
 	g_string_append_printf(out,
 			       "{\"life\":\"%s\",\"round\":%u,"
 			       "\"age_us\":%" G_GINT64_FORMAT
 			       ",\"ran_us\":%" G_GINT64_FORMAT "}",
 			       life, end->round,
-			       (gint64)(now(quarantine) - end->ended_us),
-			       (gint64)end->ran_us);
+			       (gint64)(now(quarantine) - end->terminated_us),
+			       (gint64)end->run_us);
 }
 
 static void print_request(void *userdata, const struct quarantine_view *view)
@@ -557,7 +558,7 @@
 	const struct direct_quarantine *quarantine = printing->quarantine;
 	char content[LP_DIGEST_SIZE];
 
-	if (!view->count)
+	if (!view->terminations_count)
 		return;
 	lp_digest_print(view->request, content);
 	g_string_append_printf(
@@ -566,11 +567,11 @@
 		"\"%s\",\"rounds\":%u,\"out_us\":%" G_GINT64_FORMAT
 		",\"ends\":[",
 		content, standing(quarantine, view->request), view->rounds,
-		(gint64)MAX(view->out_until_us - now(quarantine), 0));
-	for (uint32_t i = 0; i < view->count; i++) {
+		(gint64)MAX(view->blocked_until_us - now(quarantine), 0));
+	for (uint32_t i = 0; i < view->terminations_count; i++) {
 		if (i)
 			g_string_append_c(printing->out, ',');
-		print_end(quarantine, &view->ends[i], printing->out);
+		print_end(quarantine, &view->terminations[i], printing->out);
 	}
 	g_string_append(printing->out, "]}\n");
 }
@@ -592,7 +593,7 @@
 {
 	struct counting *counting = userdata;
 
-	if (view->out_until_us > counting->now_us)
+	if (view->blocked_until_us > counting->now_us)
 		counting->out++;
 }
 
--- a/direct/direct_relay.c
+++ b/direct/direct_relay.c
@@ -269,9 +269,9 @@
 	const struct piece *piece = &work->piece;
 	int64_t now_us = now(relay);
 	uint32_t flags = (piece->has_inputs ? FLAG_HAS_INPUTS : 0) |
-			 (piece->holds_room ? FLAG_HOLDS_ROOM : 0) |
-			 (piece->split ? FLAG_SPLIT : 0) |
-			 (piece->alone ? FLAG_ALONE : 0);
+			 (piece->holds_memory ? FLAG_HOLDS_ROOM : 0) |
+			 (piece->group_started ? FLAG_SPLIT : 0) |
+			 (piece->exclusive ? FLAG_ALONE : 0);
 
 	return g_variant_ref_sink(g_variant_new(
 		"(tsssu@au@asxxixusxs)", (guint64)number, work->service,
@@ -280,10 +280,11 @@
 					  work->indices->data,
 					  work->indices->len, sizeof(uint32_t)),
 		strings(work->inputs), (gint64)(piece->due_us - now_us),
-		(gint64)(piece->until_us - now_us), piece->priority,
-		(gint64)piece->bytes, flags,
+		(gint64)(piece->expires_us - now_us), piece->priority,
+		(gint64)piece->result_bytes, flags,
 		piece->preferred_domain ? piece->preferred_domain : "",
-		(gint64)piece->preferred_bytes, homes_write(piece->homes)));
+		(gint64)piece->preferred_bytes,
+		homes_write(piece->allowed_regions)));
 }
 
 bool direct_relay_ask(struct direct_relay *relay, uint64_t peer,
@@ -516,8 +517,9 @@
 
 	g_variant_get(body, "(tsssu@au@asxxixu&sx&s)", &number, &work->service,
 		      &work->id, &work->key, &piece->stage, &indices, &inputs,
-		      &due_us, &until_us, &piece->priority, &piece->bytes,
-		      &flags, &preferred, &piece->preferred_bytes, &homes);
+		      &due_us, &until_us, &piece->priority,
+		      &piece->result_bytes, &flags, &preferred,
+		      &piece->preferred_bytes, &homes);
 	cells = g_variant_get_fixed_array(indices, &count, sizeof(uint32_t));
 	work->indices = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	g_array_append_vals(work->indices, cells, (guint)count);
@@ -525,15 +527,15 @@
 	if (!*work->key)
 		g_clear_pointer(&work->key, g_free);
 	piece->due_us = now_us + CLAMP(due_us, -DUE_MAX_US, DUE_MAX_US);
-	piece->until_us = now_us + CLAMP(until_us, 0, DUE_MAX_US);
+	piece->expires_us = now_us + CLAMP(until_us, 0, DUE_MAX_US);
 	piece->has_inputs = flags & FLAG_HAS_INPUTS;
-	piece->holds_room = flags & FLAG_HOLDS_ROOM;
-	piece->split = flags & FLAG_SPLIT;
-	piece->alone = flags & FLAG_ALONE;
+	piece->holds_memory = flags & FLAG_HOLDS_ROOM;
+	piece->group_started = flags & FLAG_SPLIT;
+	piece->exclusive = flags & FLAG_ALONE;
 	/* Domains are few. */
 	piece->preferred_domain =
 		*preferred ? g_intern_string(preferred) : NULL;
-	piece->homes = homes_read(homes);
+	piece->allowed_regions = homes_read(homes);
 }
 
 static void confirm_ask(struct direct_relay *relay, const struct served *served)
@@ -574,7 +576,7 @@
 	served->peer = peer;
 	served->number = number;
 	served->service = g_strdup(work.service);
-	served->until_us = work.piece.until_us;
+	served->until_us = work.piece.expires_us;
 	g_hash_table_insert(relay->served, &served->key, served);
 	served->job = direct_calls_add(relay->direct->calls, &work, on_job_made,
 				       served);
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -649,7 +649,7 @@
 		struct graph_result *result =
 			&g_array_index(results, struct graph_result, i);
 
-		direct_results_give_up(direct->results, result->maker,
+		direct_results_give_up(direct->results, result->producer,
 				       result->handle, result->bytes);
 	}
 }
--- a/policy/dispatchers.c
+++ b/policy/dispatchers.c
@@ -27,9 +27,10 @@
 			      int64_t now_us)
 {
 	int64_t started_us = meeting->started_us;
-	int64_t until_us = MAX(started_us, meeting->found_us) + MEET_QUIET_US;
+	int64_t until_us =
+		MAX(started_us, meeting->last_discovered_us) + MEET_QUIET_US;
 
-	if (meeting->knows_silent)
+	if (meeting->has_silent_members)
 		until_us = MAX(until_us, started_us + MEET_SILENT_US);
 	return MAX(MIN(until_us, started_us + MEET_MAX_US) - now_us, 0);
 }
--- a/policy/dispatchers.h
+++ b/policy/dispatchers.h
@@ -27,9 +27,10 @@
 
 /** What an entry that has just started knows of the others. */
 struct dispatchers_discovery {
-	int64_t started_us; /**< when it started itself */
-	int64_t found_us;   /**< when it heard a new member last; 0: none yet */
-	bool knows_silent;  /**< of members that it has not heard */
+	int64_t started_us;	    /**< when it started itself */
+	int64_t last_discovered_us; /**< when it heard a new member last; 0:
+				       none yet */
+	bool has_silent_members;    /**< of members that it has not heard */
 };
 
 /**
--- a/policy/graph.c
+++ b/policy/graph.c
@@ -6,7 +6,7 @@
 	enum graph_piece_state state;
 	char *handle;	/* of a made one that is still kept */
 	uint64_t maker; /* 0: nobody */
-	int64_t bytes;
+	int64_t result_bytes;
 };
 
 struct stage {
@@ -30,10 +30,11 @@
 	for (uint32_t i = 0; i < count; i++) {
 		struct stage *stage = &graph->stages[i];
 
-		stage->after = g_memdup2(stages[i].after,
-					 stages[i].after_count *
-						 sizeof(*stages[i].after));
-		stage->after_count = stages[i].after_count;
+		stage->after =
+			g_memdup2(stages[i].dependencies,
+				  stages[i].dependencies_count *
+					  sizeof(*stages[i].dependencies));
+		stage->after_count = stages[i].dependencies_count;
 		stage->pieces_count = stages[i].pieces;
 		stage->pieces = g_new0(struct piece, stages[i].pieces);
 	}
@@ -121,7 +122,7 @@
 	piece->state = GRAPH_PIECE_COMPLETED;
 	piece->handle = g_strdup(handle);
 	piece->maker = maker;
-	piece->bytes = bytes;
+	piece->result_bytes = bytes;
 }
 
 bool graph_is_complete(const struct graph *graph)
@@ -211,9 +212,9 @@
 	if (!piece->handle)
 		return;
 	result.handle = g_steal_pointer(&piece->handle);
-	result.maker = piece->maker;
+	result.producer = piece->maker;
 	piece->maker = 0;
-	result.bytes = piece->bytes;
+	result.bytes = piece->result_bytes;
 	g_array_append_val(out, result);
 }
 
@@ -280,7 +281,7 @@
 			const char *domain = domain_of(userdata, piece->maker);
 
 			if (domain)
-				add_share(shares, domain, piece->bytes);
+				add_share(shares, domain, piece->result_bytes);
 		}
 	}
 	for (guint i = 0; i < shares->len; i++) {
--- a/policy/graph.h
+++ b/policy/graph.h
@@ -17,8 +17,8 @@
 
 /** A result that is given up. */
 struct graph_result {
-	char *handle;	/**< the receiver's */
-	uint64_t maker; /**< the life of an upstream */
+	char *handle;	   /**< the receiver's */
+	uint64_t producer; /**< the life of an upstream */
 	int64_t bytes;
 };
 
@@ -29,8 +29,8 @@
 };
 
 struct graph_stage {
-	const uint32_t *after;
-	uint32_t after_count;
+	const uint32_t *dependencies;
+	uint32_t dependencies_count;
 	uint32_t pieces;
 };
 
--- a/policy/pieces.c
+++ b/policy/pieces.c
@@ -62,8 +62,8 @@
 	pieces->options.batch_max = figures->batch_max;
 	pieces->options.call_us = figures->call_us;
 	pieces->options.piece_us = figures->piece_us;
-	pieces->options.room_bytes = figures->room_bytes;
-	pieces->options.linger_us = figures->linger_us;
+	pieces->options.result_memory_bytes = figures->result_memory_bytes;
+	pieces->options.result_ttl_us = figures->result_ttl_us;
 }
 
 static int64_t now(const struct pieces *pieces)
@@ -152,9 +152,9 @@
 {
 	int64_t rank = piece->due_us + piece->priority * PRIORITY_US;
 
-	if (piece->split)
+	if (piece->group_started)
 		return rank - LATE_US;
-	if (piece->holds_room || piece->due_us >= late_before_us)
+	if (piece->holds_memory || piece->due_us >= late_before_us)
 		return rank;
 	return rank + LATE_US;
 }
@@ -223,17 +223,18 @@
 static int64_t room_bytes(const struct pieces *pieces,
 			  const struct pool_upstream *upstream)
 {
-	if (!pieces->options.room_bytes)
+	if (!pieces->options.result_memory_bytes)
 		return G_MAXINT64;
-	return pieces->options.room_bytes - room_taken_bytes(upstream->room);
+	return pieces->options.result_memory_bytes -
+	       room_taken_bytes(upstream->room);
 }
 
 /* It is being asked of its room, and may answer in a moment. */
 static bool awaits_room(const struct pieces *pieces,
 			const struct pool_upstream *upstream)
 {
-	return pieces->options.room_bytes && !upstream->room_heard_us &&
-	       !upstream->limit.named &&
+	return pieces->options.result_memory_bytes &&
+	       !upstream->room_heard_us && !upstream->limit.named &&
 	       (!upstream->room_asked_us ||
 		now(pieces) - upstream->room_asked_us < ROOM_ANSWER_US);
 }
@@ -262,8 +263,8 @@
 	int64_t bytes = 0;
 
 	for (guint i = start; i < end; i++)
-		bytes += waiting_at(pieces, i)->bytes;
-	return bytes <= room || bytes > pieces->options.room_bytes;
+		bytes += waiting_at(pieces, i)->result_bytes;
+	return bytes <= room || bytes > pieces->options.result_memory_bytes;
 }
 
 /* Whether a group goes whole into what is left of a batch, or in part with
@@ -334,20 +335,21 @@
 	while (start < pieces->waiting->len &&
 	       count < pieces->options.batch_max) {
 		guint end = group_end(pieces, start);
-		bool alone = waiting_at(pieces, start)->alone;
-		bool fits = homes_have(waiting_at(pieces, start)->homes,
-				       upstream->region) &&
-			    (!alone || !count) &&
-			    group_fits(pieces, start, end, room) &&
-			    may_split(pieces, count, end - start) &&
-			    may_go(pieces, start, end, upstream);
+		bool alone = waiting_at(pieces, start)->exclusive;
+		bool fits =
+			homes_have(waiting_at(pieces, start)->allowed_regions,
+				   upstream->region) &&
+			(!alone || !count) &&
+			group_fits(pieces, start, end, room) &&
+			may_split(pieces, count, end - start) &&
+			may_go(pieces, start, end, upstream);
 
 		for (guint i = start;
 		     fits && i < end && count < pieces->options.batch_max;
 		     i++) {
-			if (waiting_at(pieces, i)->bytes > room)
+			if (waiting_at(pieces, i)->result_bytes > room)
 				break;
-			room -= waiting_at(pieces, i)->bytes;
+			room -= waiting_at(pieces, i)->result_bytes;
 			count++;
 			if (taken)
 				taken[i] = true;
@@ -452,14 +454,14 @@
 	for (guint i = 0; i < pieces->waiting->len; i++) {
 		if (!taken[i])
 			continue;
-		room_begin(upstream->room, waiting_at(pieces, i)->bytes);
+		room_begin(upstream->room, waiting_at(pieces, i)->result_bytes);
 		g_array_append_val(out, *waiting_at(pieces, i));
 	}
 	for (guint i = pieces->waiting->len; i-- > 0;) {
 		if (taken[i])
 			g_array_remove_index(pieces->waiting, i);
 		else if (is_taken_of(out, waiting_at(pieces, i)))
-			waiting_at(pieces, i)->split = true;
+			waiting_at(pieces, i)->group_started = true;
 	}
 	g_free(taken);
 }
@@ -472,7 +474,7 @@
 	call->upstream = pool_hold(upstream);
 	pool_sent(pieces->options.pool, upstream);
 	call->pieces = g_array_new(FALSE, FALSE, sizeof(struct piece));
-	room_set_linger(upstream->room, pieces->options.linger_us);
+	room_set_linger(upstream->room, pieces->options.result_ttl_us);
 	call->own_bytes = room_own_bytes(upstream->room);
 	take_planned(pieces, upstream, call->pieces);
 	call->started_us = now(pieces);
@@ -519,23 +521,24 @@
 void pieces_piece_completed(struct pieces *pieces, struct pieces_call *call,
 			    const struct piece *piece, const char *handle)
 {
-	room_made(call->upstream->room, handle, piece->bytes);
-	call->made_bytes += piece->bytes;
+	room_made(call->upstream->room, handle, piece->result_bytes);
+	call->completed_bytes += piece->result_bytes;
 }
 
 void pieces_piece_failed(struct pieces *pieces, struct pieces_call *call,
 			 const struct piece *piece, bool no_room)
 {
-	room_not_made(call->upstream->room, piece->bytes);
-	call->was_short |= no_room;
+	room_not_made(call->upstream->room, piece->result_bytes);
+	call->memory_exhausted |= no_room;
 }
 
 static void learn_room(struct pieces *pieces, const struct pieces_call *call)
 {
 	struct pool_upstream *upstream = call->upstream;
 
-	room_learn(upstream->room, pieces->options.room_bytes, call->own_bytes,
-		   call->made_bytes, call->was_short);
+	room_learn(upstream->room, pieces->options.result_memory_bytes,
+		   call->own_bytes, call->completed_bytes,
+		   call->memory_exhausted);
 	upstream->room_heard_us = now(pieces);
 }
 
@@ -582,7 +585,7 @@
 {
 	const GPtrArray *list = upstreams_of(pieces);
 
-	if (!pieces->options.room_bytes || !pieces->waiting->len)
+	if (!pieces->options.result_memory_bytes || !pieces->waiting->len)
 		return NULL;
 	for (guint i = 0; i < list->len; i++) {
 		struct pool_upstream *upstream = g_ptr_array_index(list, i);
@@ -599,8 +602,8 @@
 			    struct pool_upstream *upstream, int64_t own_bytes,
 			    int64_t least_bytes, int64_t most_bytes)
 {
-	room_told(upstream->room, pieces->options.room_bytes, own_bytes,
-		  least_bytes, most_bytes);
+	room_told(upstream->room, pieces->options.result_memory_bytes,
+		  own_bytes, least_bytes, most_bytes);
 	upstream->room_heard_us = now(pieces);
 }
 
--- a/policy/pieces.h
+++ b/policy/pieces.h
@@ -20,17 +20,17 @@
 	uint32_t index;
 	int64_t due_us; /**< begun by then in a call that carries nothing else,
 			   its request is on time */
-	int64_t until_us; /**< of no use after it */
-	int32_t priority; /**< 0 goes first */
-	int64_t bytes;	  /**< of its result, about */
+	int64_t expires_us;   /**< of no use after it */
+	int32_t priority;     /**< 0 goes first */
+	int64_t result_bytes; /**< of its result, about */
 	bool has_inputs;
-	bool holds_room; /**< its inputs take up scarce room meanwhile */
-	bool alone;	 /**< shares a call with its own request only */
-	bool split;	 /**< others of its stage and request went ahead */
+	bool holds_memory;  /**< its inputs take up scarce room meanwhile */
+	bool exclusive;	    /**< shares a call with its own request only */
+	bool group_started; /**< others of its stage and request went ahead */
 	const char *preferred_domain; /**< domain of what it takes in, or of who
 			     takes it; NULL: no matter. Interned. */
 	int64_t preferred_bytes;      /**< that would cross domains elsewhere */
-	const char *homes;	      /**< regions that may have it: homes.h */
+	const char *allowed_regions;  /**< regions that may have it: homes.h */
 	int64_t added_us; /**< when it began to wait; set by pieces_add() */
 };
 
@@ -39,10 +39,11 @@
 	struct pool *pool;
 	const char *service; /**< copied */
 	uint32_t batch_max;
-	int64_t call_us;    /**< a call's fixed time */
-	int64_t piece_us;   /**< and that of each piece */
-	int64_t room_bytes; /**< for results, one upstream; 0: no limit */
-	int64_t linger_us;  /**< results that nobody gives up stay so long */
+	int64_t call_us;	     /**< a call's fixed time */
+	int64_t piece_us;	     /**< and that of each piece */
+	int64_t result_memory_bytes; /**< for results, one upstream; 0: no limit
+				      */
+	int64_t result_ttl_us; /**< results that nobody gives up stay so long */
 };
 
 /** A call to be made. */
@@ -50,10 +51,10 @@
 	struct pool_upstream *upstream; /**< held by the call */
 	GArray *pieces;			/**< of struct piece */
 	int64_t started_us;
-	int64_t expected_us; /**< its time, waiting included */
-	int64_t own_bytes;   /**< of results counted there before it */
-	int64_t made_bytes;  /**< of its results */
-	bool was_short;	     /**< pieces of it met no room */
+	int64_t expected_us;	 /**< its time, waiting included */
+	int64_t own_bytes;	 /**< of results counted there before it */
+	int64_t completed_bytes; /**< of its results */
+	bool memory_exhausted;	 /**< pieces of it met no room */
 };
 
 struct pieces *pieces_create(const struct pieces_options *options);
--- a/policy/quarantine.c
+++ b/policy/quarantine.c
@@ -57,7 +57,8 @@
 
 static int64_t last_end_us(const struct record *record)
 {
-	return record->count ? record->ends[record->count - 1].ended_us : 0;
+	return record->count ? record->ends[record->count - 1].terminated_us
+			     : 0;
 }
 
 static int64_t out_until_us(const struct record *record)
@@ -129,7 +130,7 @@
 		    const struct quarantine_termination *end)
 {
 	for (uint32_t i = 0; i < record->count; i++)
-		if (record->ends[i].life == end->life &&
+		if (record->ends[i].incarnation == end->incarnation &&
 		    record->ends[i].round == end->round)
 			return true;
 	return false;
@@ -151,7 +152,7 @@
 	if (record->count == QUARANTINE_TERMINATIONS_MAX)
 		remove_at(record, 1);
 	at = record->count;
-	while (at && record->ends[at - 1].ended_us > end->ended_us)
+	while (at && record->ends[at - 1].terminated_us > end->terminated_us)
 		at--;
 	memmove(&record->ends[at + 1], &record->ends[at],
 		(record->count - at) * sizeof(record->ends[0]));
@@ -165,7 +166,7 @@
 	struct record *record = find(quarantine, end->request);
 
 	if (record &&
-	    (has_end(record, end) || end->ended_us <= record->served_us))
+	    (has_end(record, end) || end->terminated_us <= record->served_us))
 		return false;
 	if (!record)
 		record = add(quarantine, end->request);
@@ -189,7 +190,7 @@
 
 	if (!record)
 		return false;
-	while (record->count && record->ends[0].ended_us <= served_us) {
+	while (record->count && record->ends[0].terminated_us <= served_us) {
 		remove_at(record, 0);
 		any = true;
 	}
@@ -241,7 +242,7 @@
 	int64_t longest_us = 0;
 
 	for (uint32_t i = 0; i < record->count; i++)
-		longest_us = MAX(longest_us, record->ends[i].ran_us);
+		longest_us = MAX(longest_us, record->ends[i].run_us);
 	return longest_us;
 }
 
@@ -249,13 +250,13 @@
 {
 	return (struct quarantine_view){
 		.request = record->request,
-		.ends = record->ends,
-		.count = record->count,
+		.terminations = record->ends,
+		.terminations_count = record->count,
 		.rounds = record->rounds,
-		.served_us = record->served_us,
-		.out_until_us = out_until_us(record),
-		.try_until_us = record->try_until_us,
-		.ran_us = longest_ran_us(record),
+		.cleared_us = record->served_us,
+		.blocked_until_us = out_until_us(record),
+		.trial_until_us = record->try_until_us,
+		.longest_run_us = longest_ran_us(record),
 	};
 }
 
--- a/policy/quarantine.h
+++ b/policy/quarantine.h
@@ -53,11 +53,11 @@
 
 /** An upstream ended while a request was under way there. */
 struct quarantine_termination {
-	uint64_t request; /**< digest of its content */
-	uint64_t life;	  /**< of the upstream */
-	uint32_t round;	  /**< quarantine_round() when it was sent there */
-	int64_t ended_us;
-	int64_t ran_us; /**< from its sending to the end */
+	uint64_t request;     /**< digest of its content */
+	uint64_t incarnation; /**< of the upstream */
+	uint32_t round;	      /**< quarantine_round() when it was sent there */
+	int64_t terminated_us;
+	int64_t run_us; /**< from its sending to the end */
 };
 
 enum quarantine_decision {
@@ -69,14 +69,17 @@
 /** What is known of a request. */
 struct quarantine_view {
 	uint64_t request;
-	const struct quarantine_termination *ends; /**< the earliest first */
-	uint32_t count;
+	const struct quarantine_termination
+		*terminations; /**< the earliest first */
+	uint32_t terminations_count;
 	uint32_t rounds;
-	int64_t served_us;    /**< an answer cleared it last; 0: none did */
-	int64_t out_until_us; /**< kept out until then; in the past: it is not
-			       */
-	int64_t try_until_us; /**< a try is under way until then at the most */
-	int64_t ran_us;	      /**< the longest that a run took to an end */
+	int64_t cleared_us;	  /**< an answer cleared it last; 0: none did */
+	int64_t blocked_until_us; /**< kept out until then; in the past: it is
+				   * not
+				   */
+	int64_t trial_until_us;	  /**< a try is under way until then at the most
+				   */
+	int64_t longest_run_us;	  /**< the longest that a run took to an end */
 };
 
 struct quarantine *quarantine_create(const struct lp_clock *clock);
--- a/tests/direct_policy_test.cc
+++ b/tests/direct_policy_test.cc
@@ -200,14 +200,14 @@
 	for (int64_t at_us = 10 * ms; at_us <= 300 * ms; at_us += 10 * ms) {
 		int64_t later_us = at_us + 99 * ms;
 
-		meeting.found_us = at_us;
-		meeting.knows_silent = false;
+		meeting.last_discovered_us = at_us;
+		meeting.has_silent_members = false;
 		EXPECT_GT(dispatchers_discovery_left_us(&meeting, later_us), 0);
-		meeting.knows_silent = true;
+		meeting.has_silent_members = true;
 		EXPECT_GT(dispatchers_discovery_left_us(&meeting, later_us), 0);
 	}
 	EXPECT_EQ(dispatchers_discovery_left_us(&meeting, 400 * ms), 0);
-	meeting.found_us = 690 * ms;
+	meeting.last_discovered_us = 690 * ms;
 	EXPECT_EQ(dispatchers_discovery_left_us(&meeting, 700 * ms), 0);
 }
 
@@ -574,7 +574,7 @@
 	EXPECT_FALSE(graph_inputs_available(graph.it, 2));
 	EXPECT_EQ(graph_get_piece_state(graph.it, 1, 0), GRAPH_PIECE_MISSING);
 	for (guint i = 0; i < out->len; i++) {
-		EXPECT_EQ(g_array_index(out, graph_result, i).maker, 7u);
+		EXPECT_EQ(g_array_index(out, graph_result, i).producer, 7u);
 		g_free(g_array_index(out, graph_result, i).handle);
 	}
 	g_array_unref(out);
@@ -633,8 +633,8 @@
 		options.batch_max = 8;
 		options.call_us = 150000;
 		options.piece_us = 10000;
-		options.room_bytes = room;
-		options.linger_us = 4000000;
+		options.result_memory_bytes = room;
+		options.result_ttl_us = 4000000;
 		queue = pieces_create(&options);
 	}
 	~Pieces()
@@ -648,9 +648,9 @@
 
 		one.request = &requests[request];
 		one.due_us = clock.now_us + due_us;
-		one.until_us = one.due_us + 5000000;
+		one.expires_us = one.due_us + 5000000;
 		one.priority = priority;
-		one.bytes = bytes;
+		one.result_bytes = bytes;
 		for (int i = 0; i < count; i++) {
 			one.index = i;
 			pieces_add(queue, &one);
@@ -684,7 +684,7 @@
 				clock.now_us + 400000);
 		far.request = &requests[1];
 		far.due_us = clock.now_us + due_us;
-		far.until_us = far.due_us + 5000000;
+		far.expires_us = far.due_us + 5000000;
 		far.preferred_domain = "b";
 		far.preferred_bytes = 3100000;
 		pieces_add(queue, &far);
--- a/tests/preferred_domain_test.cc
+++ b/tests/preferred_domain_test.cc
@@ -49,7 +49,7 @@
 
 		one.request = &requests[request];
 		one.due_us = clock.now_us + 900 * ms;
-		one.until_us = clock.now_us + 6000 * ms;
+		one.expires_us = clock.now_us + 6000 * ms;
 		one.has_inputs = true;
 		one.preferred_domain = domains[at];
 		one.preferred_bytes = 360000;
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -104,7 +104,7 @@
 	EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
 	EXPECT_TRUE(quarantine_clear(fleet.it, bad, fleet.clock.now_us));
 	EXPECT_EQ(fleet.ask(), QUARANTINE_PASS);
-	EXPECT_EQ(fleet.look().count, 0u);
+	EXPECT_EQ(fleet.look().terminations_count, 0u);
 }
 
 /* It shares an upstream with the bad one at each of its ends. */
@@ -140,12 +140,12 @@
 
 		for (int at : order)
 			quarantine_add_termination(fleet.it, &ends[at]);
-		EXPECT_EQ(fleet.look().count, 3u);
+		EXPECT_EQ(fleet.look().terminations_count, 3u);
 		EXPECT_EQ(fleet.look().rounds, 3u);
 		EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
 		for (uint32_t i = 0; i < 3; i++)
-			EXPECT_EQ(fleet.look().ends[i].ended_us,
-				  ends[i].ended_us);
+			EXPECT_EQ(fleet.look().terminations[i].terminated_us,
+				  ends[i].terminated_us);
 		/* It was served; what is said of before counts no more. */
 		quarantine_clear(fleet.it, bad, 3000);
 		for (int at : order)
@@ -162,11 +162,11 @@
 	quarantine_termination end = { bad, 50, 1, 1000, 0 };
 
 	EXPECT_TRUE(quarantine_add_termination(fleet.it, &end));
-	end.ended_us = 1500; /* the same, as another entry saw it */
+	end.terminated_us = 1500; /* the same, as another entry saw it */
 	EXPECT_FALSE(quarantine_add_termination(fleet.it, &end));
 	end.round = 2;
 	EXPECT_TRUE(quarantine_add_termination(fleet.it, &end));
-	EXPECT_EQ(fleet.look().count, 2u);
+	EXPECT_EQ(fleet.look().terminations_count, 2u);
 }
 
 TEST(Quarantine, ATryThatLeadsNowhereIsOverInTime)
@@ -219,9 +219,10 @@
 		fleet.end(bad, 1 + i / 20);
 		fleet.clock.now_us += s;
 	}
-	EXPECT_EQ(fleet.look().count, (uint32_t)QUARANTINE_TERMINATIONS_MAX);
+	EXPECT_EQ(fleet.look().terminations_count,
+		  (uint32_t)QUARANTINE_TERMINATIONS_MAX);
 	EXPECT_EQ(fleet.look().rounds, 5u);
-	EXPECT_EQ(fleet.look().ends[0].ended_us, 1000000);
+	EXPECT_EQ(fleet.look().terminations[0].terminated_us, 1000000);
 }
 
 TEST(Quarantine, ForgetsWhatIsOver)
--- a/tests/remaining_test.cc
+++ b/tests/remaining_test.cc
@@ -103,7 +103,7 @@
 		one.request = &requests.back();
 		one.due_us =
 			clock.now_us + target_us - after_us - 150 * ms - 7100;
-		one.until_us = clock.now_us + 8000 * ms;
+		one.expires_us = clock.now_us + 8000 * ms;
 		for (one.index = 0; one.index < 8; one.index++)
 			pieces_add(queue, &one);
 	}
--- a/tests/room_test.cc
+++ b/tests/room_test.cc
@@ -152,8 +152,8 @@
 		options.batch_max = 8;
 		options.call_us = 200000;
 		options.piece_us = 20000;
-		options.room_bytes = all_bytes;
-		options.linger_us = linger_us;
+		options.result_memory_bytes = all_bytes;
+		options.result_ttl_us = linger_us;
 		queue = pieces_create(&options);
 	}
 	~Restart()
@@ -176,8 +176,8 @@
 		piece one = {};
 
 		one.due_us = clock.now_us + 1000000;
-		one.until_us = clock.now_us + 6000000;
-		one.bytes = piece_bytes;
+		one.expires_us = clock.now_us + 6000000;
+		one.result_bytes = piece_bytes;
 		for (uint32_t i = 0; i < 2 * count; i++) {
 			one.request = &requests[i / 2];
 			one.index = i % 2;
