--- a/policy/pieces.c
+++ b/policy/pieces.c
@@ -2,36 +2,40 @@
 
 #include <string.h>
 
-/* Results that cross domains are paid for: 3 MB weigh as 95 ms of waiting. */
-#define FETCH_BYTES_PER_US 62
-/* Inputs more so: each piece of a stage fetches all of them. */
-#define INPUT_BYTES_PER_US 10
-/* ... but nothing waits longer than about a full call for a nearer upstream. */
-#define FAR_WAIT_MAX_US (400 * LP_US_PER_MS)
-/* Waiting pieces are looked at again after at most this. */
-#define LOOK_AGAIN_US (10 * LP_US_PER_MS)
-/* Among those that can be on time, a rank of priority goes before any due
- * time: what is less urgent must not be served more often. */
-#define PRIORITY_US (20 * LP_US_PER_S)
-/* Late pieces go behind all that can still be on time. */
-#define LATE_US (1000 * LP_US_PER_S)
-/* An idle upstream is left idle for one at work that would end in less than
- * this part of its time. */
-#define SLOW_PART 1.5
-
-/* An upstream where others' results take up room is asked again this often: a
- * call lasts about twice as long. */
-#define ROOM_ASK_US (150 * LP_US_PER_MS)
-/* ... and gets no call until it has answered, or for five round trips. */
-#define ROOM_ANSWER_US (25 * LP_US_PER_MS)
+/* Transfers between failure domains cost money, so a piece waits for an
+ * upstream in its preferred domain: 3 MB of results are worth 48 ms of
+ * waiting ... */
+#define RESULT_FETCH_BYTES_PER_US 62
+/* ... and inputs are worth more, as each piece of a stage fetches all of them
+ * ... */
+#define INPUT_FETCH_BYTES_PER_US 10
+/* ... but no piece waits longer than about the time of a full call. */
+#define DOMAIN_WAIT_MAX_US (400 * LP_US_PER_MS)
+/* Longest time until the queue is checked again while pieces wait. */
+#define RECHECK_INTERVAL_US (10 * LP_US_PER_MS)
+/* Among pieces that can be on time, a step of priority outweighs any due time:
+ * less urgent pieces must not be served more often. */
+#define PRIORITY_RANK_US (20 * LP_US_PER_S)
+/* Late pieces are ordered behind all that can still be on time. */
+#define LATE_RANK_US (1000 * LP_US_PER_S)
+/* An idle upstream stays idle if a busy one would finish the same call sooner
+ * by this factor. */
+#define SLOW_CALL_FACTOR 1.5
+
+/* Interval between memory queries to an upstream that holds results of other
+ * dispatchers; a call lasts about twice as long. */
+#define MEMORY_QUERY_INTERVAL_US (150 * LP_US_PER_MS)
+/* An upstream gets no call until it has answered its first memory query, or
+ * until five round trips have passed. */
+#define MEMORY_QUERY_TIMEOUT_US (25 * LP_US_PER_MS)
 
 struct pieces {
 	struct pieces_options options;
 	char *service;
-	GArray *waiting;  /* of struct piece */
-	GPtrArray *calls; /* under way; owned by whoever got them */
-	uint32_t parts;	  /* of the service */
-	uint64_t own;	  /* bits of the parts that are this queue's */
+	GArray *waiting;     /* of struct piece */
+	GPtrArray *calls;    /* in flight; owned by the caller */
+	uint32_t shards;     /* of the service */
+	uint64_t own_shards; /* bitmask of the shards of this queue */
 };
 
 struct pieces *pieces_create(const struct pieces_options *options)
@@ -57,13 +61,13 @@
 }
 
 void pieces_update_options(struct pieces *pieces,
-			   const struct pieces_options *figures)
+			   const struct pieces_options *options)
 {
-	pieces->options.batch_max = figures->batch_max;
-	pieces->options.call_us = figures->call_us;
-	pieces->options.piece_us = figures->piece_us;
-	pieces->options.result_memory_bytes = figures->result_memory_bytes;
-	pieces->options.result_ttl_us = figures->result_ttl_us;
+	pieces->options.batch_max = options->batch_max;
+	pieces->options.call_us = options->call_us;
+	pieces->options.piece_us = options->piece_us;
+	pieces->options.result_memory_bytes = options->result_memory_bytes;
+	pieces->options.result_ttl_us = options->result_ttl_us;
 }
 
 static int64_t now(const struct pieces *pieces)
@@ -80,8 +84,8 @@
 	return list ? list : &none;
 }
 
-/* Another dispatcher may have left results anywhere. */
-static void forget_rooms(struct pieces *pieces)
+/* The previous dispatcher of a shard may have left results at any upstream. */
+static void invalidate_memory_reports(struct pieces *pieces)
 {
 	const GPtrArray *list = upstreams_of(pieces);
 
@@ -93,16 +97,17 @@
 	}
 }
 
-void pieces_set_shards(struct pieces *pieces, uint32_t parts, uint64_t own)
+void pieces_set_shards(struct pieces *pieces, uint32_t shards,
+		       uint64_t own_shards)
 {
-	if (pieces->parts == parts && pieces->own == own)
+	if (pieces->shards == shards && pieces->own_shards == own_shards)
 		return;
-	pieces->parts = parts;
-	pieces->own = own;
-	forget_rooms(pieces);
+	pieces->shards = shards;
+	pieces->own_shards = own_shards;
+	invalidate_memory_reports(pieces);
 }
 
-static struct piece *waiting_at(const struct pieces *pieces, guint i)
+static struct piece *waiting_piece(const struct pieces *pieces, guint i)
 {
 	return &g_array_index(pieces->waiting, struct piece, i);
 }
@@ -110,7 +115,7 @@
 void pieces_add(struct pieces *pieces, const struct piece *piece)
 {
 	g_array_append_vals(pieces->waiting, piece, 1);
-	waiting_at(pieces, pieces->waiting->len - 1)->added_us = now(pieces);
+	waiting_piece(pieces, pieces->waiting->len - 1)->added_us = now(pieces);
 }
 
 uint32_t pieces_drop_request(struct pieces *pieces, const void *request)
@@ -118,7 +123,7 @@
 	uint32_t dropped = 0;
 
 	for (guint i = pieces->waiting->len; i-- > 0;) {
-		if (waiting_at(pieces, i)->request != request)
+		if (waiting_piece(pieces, i)->request != request)
 			continue;
 		g_array_remove_index(pieces->waiting, i);
 		dropped++;
@@ -133,43 +138,43 @@
 
 /* ---- order ---- */
 
-/* What is due before it is late: a call is as full as the queue makes it, and
- * whatever goes along makes it longer. */
-static int64_t late_before_us(const struct pieces *pieces)
+/* A piece that is due before this time is late: the next call carries as much
+ * of the queue as fits, and each further piece makes the call longer. */
+static int64_t lateness_cutoff_us(const struct pieces *pieces)
 {
-	uint32_t along =
+	uint32_t others =
 		MIN(pieces->waiting->len, pieces->options.batch_max) - 1;
 
-	return now(pieces) + along * pieces->options.piece_us;
+	return now(pieces) + others * pieces->options.piece_us;
 }
 
 /*
- * What has been begun is ended first: its results take up room meanwhile. So
- * the rest of a split group goes before all, and being late puts back only
- * what holds no scarce room.
+ * Stages that have begun are finished first, as their results occupy memory
+ * until then: the rest of a started group goes before all other pieces, and
+ * lateness puts back only pieces whose inputs occupy no scarce memory.
  */
-static int64_t rank_us(const struct piece *piece, int64_t late_before_us)
+static int64_t rank_us(const struct piece *piece, int64_t lateness_cutoff_us)
 {
-	int64_t rank = piece->due_us + piece->priority * PRIORITY_US;
+	int64_t rank = piece->due_us + piece->priority * PRIORITY_RANK_US;
 
 	if (piece->group_started)
-		return rank - LATE_US;
-	if (piece->holds_memory || piece->due_us >= late_before_us)
+		return rank - LATE_RANK_US;
+	if (piece->holds_memory || piece->due_us >= lateness_cutoff_us)
 		return rank;
-	return rank + LATE_US;
+	return rank + LATE_RANK_US;
 }
 
-static int by_rank(gconstpointer a, gconstpointer b, gpointer userdata)
+static int compare_rank(gconstpointer a, gconstpointer b, gpointer userdata)
 {
-	const int64_t *late_us = userdata;
+	const int64_t *cutoff_us = userdata;
 	const struct piece *first = a;
 	const struct piece *second = b;
-	int64_t one = rank_us(first, *late_us);
-	int64_t two = rank_us(second, *late_us);
+	int64_t one = rank_us(first, *cutoff_us);
+	int64_t two = rank_us(second, *cutoff_us);
 
 	if (one != two)
 		return one < two ? -1 : 1;
-	/* Pieces of one request stay together. */
+	/* Pieces of one request stay adjacent. */
 	if (first->request != second->request)
 		return first->request < second->request ? -1 : 1;
 	return first->stage < second->stage ? -1 : first->stage > second->stage;
@@ -177,22 +182,23 @@
 
 /* ---- upstreams ---- */
 
-static bool is_own(const struct pieces *pieces,
-		   const struct pool_upstream *upstream)
+static bool is_in_own_shard(const struct pieces *pieces,
+			    const struct pool_upstream *upstream)
 {
-	return pieces->own >> (upstream->hash % pieces->parts) & 1;
+	return pieces->own_shards >> (upstream->hash % pieces->shards) & 1;
 }
 
 static bool is_usable(const struct pieces *pieces,
 		      const struct pool_upstream *upstream)
 {
-	return is_own(pieces, upstream) &&
+	return is_in_own_shard(pieces, upstream) &&
 	       pool_usable(pieces->options.pool, upstream);
 }
 
-/* Until it is free of others' calls and of our own; 0: it is idle. */
-static int64_t wait_us(const struct pieces *pieces,
-		       const struct pool_upstream *upstream)
+/* Time until the upstream has finished calls of this queue and of others; 0:
+ * it is idle. */
+static int64_t time_until_idle_us(const struct pieces *pieces,
+				  const struct pool_upstream *upstream)
 {
 	int64_t now_us = now(pieces);
 	int64_t left_us = MAX(upstream->busy_until_us - now_us, 0);
@@ -201,7 +207,7 @@
 		const struct pieces_call *call =
 			g_ptr_array_index(pieces->calls, i);
 
-		/* One that takes longer than expected may end any time. */
+		/* A call that takes longer than expected may end any time. */
 		if (call->upstream == upstream)
 			left_us = MAX(left_us,
 				      MAX(call->started_us + call->expected_us -
@@ -211,17 +217,17 @@
 	return left_us;
 }
 
-static double time_there_us(const struct pieces *pieces,
-			    const struct pool_upstream *upstream,
-			    uint32_t count)
+static double expected_call_us(const struct pieces *pieces,
+			       const struct pool_upstream *upstream,
+			       uint32_t count)
 {
 	return (double)call_time_us(pieces, count) * upstream->slowness *
 	       (1.0 + 2.0 * upstream->error_share);
 }
 
-/* Room for results that is believed to be free. */
-static int64_t room_bytes(const struct pieces *pieces,
-			  const struct pool_upstream *upstream)
+/* Result memory of the upstream that is free, as far as is known. */
+static int64_t free_memory_bytes(const struct pieces *pieces,
+				 const struct pool_upstream *upstream)
 {
 	if (!pieces->options.result_memory_bytes)
 		return G_MAXINT64;
@@ -229,48 +235,52 @@
 	       room_taken_bytes(upstream->room);
 }
 
-/* It is being asked of its room, and may answer in a moment. */
-static bool awaits_room(const struct pieces *pieces,
-			const struct pool_upstream *upstream)
+/* Whether the upstream's first memory report is still due. */
+static bool awaits_memory_report(const struct pieces *pieces,
+				 const struct pool_upstream *upstream)
 {
 	return pieces->options.result_memory_bytes &&
 	       !upstream->room_heard_us && !upstream->limit.named &&
 	       (!upstream->room_asked_us ||
-		now(pieces) - upstream->room_asked_us < ROOM_ANSWER_US);
+		now(pieces) - upstream->room_asked_us <
+			MEMORY_QUERY_TIMEOUT_US);
 }
 
 /* ---- groups ---- */
 
-/* End of the group at this place: pieces of one stage of one request, which
- * the order has put together. */
+/* End of the group that begins at `start`. A group is the pieces of one stage
+ * of one request, which are adjacent in the order. */
 static guint group_end(const struct pieces *pieces, guint start)
 {
-	const struct piece *first = waiting_at(pieces, start);
+	const struct piece *first = waiting_piece(pieces, start);
 	guint end = start + 1;
 
 	while (end < pieces->waiting->len &&
-	       waiting_at(pieces, end)->request == first->request &&
-	       waiting_at(pieces, end)->stage == first->stage)
+	       waiting_piece(pieces, end)->request == first->request &&
+	       waiting_piece(pieces, end)->stage == first->stage)
 		end++;
 	return end;
 }
 
-/* Whether a group has room as a whole: a part of it would take up room and
- * wait for the rest. */
+/* Whether the results of a whole group fit: results of an incomplete group
+ * would occupy memory while they wait for the rest. A group that is larger than
+ * the whole memory may be started in part. */
 static bool group_fits(const struct pieces *pieces, guint start, guint end,
-		       int64_t room)
+		       int64_t free_bytes)
 {
 	int64_t bytes = 0;
 
 	for (guint i = start; i < end; i++)
-		bytes += waiting_at(pieces, i)->result_bytes;
-	return bytes <= room || bytes > pieces->options.result_memory_bytes;
+		bytes += waiting_piece(pieces, i)->result_bytes;
+	return bytes <= free_bytes ||
+	       bytes > pieces->options.result_memory_bytes;
 }
 
-/* Whether a group goes whole into what is left of a batch, or in part with
- * enough behind it that the rest does not make a poor call by itself. */
-static bool may_split(const struct pieces *pieces, uint32_t count,
-		      uint32_t group)
+/* Whether a group may be added to a batch of `count` pieces: it fits as a
+ * whole, or the queue is long enough that the remainder will not make a small
+ * call by itself. */
+static bool may_join_batch(const struct pieces *pieces, uint32_t count,
+			   uint32_t group)
 {
 	uint32_t batch_max = pieces->options.batch_max;
 
@@ -278,7 +288,8 @@
 	       pieces->waiting->len >= 2 * batch_max;
 }
 
-static bool any_usable_in(const struct pieces *pieces, const char *domain)
+static bool any_usable_in_domain(const struct pieces *pieces,
+				 const char *domain)
 {
 	const GPtrArray *list = upstreams_of(pieces);
 
@@ -293,85 +304,89 @@
 	return false;
 }
 
-/* Waiting any longer would make it late. What came too late does not mind. */
-static bool is_due(const struct pieces *pieces, const struct piece *piece)
+/* Whether waiting any longer would make the piece late. A piece that was late
+ * when it was added is never due. */
+static bool is_due_now(const struct pieces *pieces, const struct piece *piece)
 {
-	return late_before_us(pieces) >= piece->due_us &&
+	return lateness_cutoff_us(pieces) >= piece->due_us &&
 	       piece->due_us > piece->added_us;
 }
 
-/* Whether a group goes there now, or waits for an upstream nearer to what it
- * takes in: as long as the bytes that would cross are worth, and as it can
- * wait without being late. */
-static bool may_go(const struct pieces *pieces, guint start, guint end,
-		   const struct pool_upstream *upstream)
+/* Whether a group may go to this upstream now. Else it waits for one in its
+ * preferred domain: at most for the time that the bytes to be transferred
+ * between domains are worth, and only while it would not be late. */
+static bool may_use_upstream(const struct pieces *pieces, guint start,
+			     guint end, const struct pool_upstream *upstream)
 {
-	const struct piece *first = waiting_at(pieces, start);
+	const struct piece *first = waiting_piece(pieces, start);
 	int64_t now_us = now(pieces);
-	int64_t worth_us;
+	int64_t fetch_cost_us;
 
 	if (!first->preferred_domain ||
 	    !strcmp(first->preferred_domain, upstream->entry.domain))
 		return true;
-	worth_us =
-		first->preferred_bytes * (end - start) /
-		(first->has_inputs ? INPUT_BYTES_PER_US : FETCH_BYTES_PER_US);
-	return is_due(pieces, first) ||
-	       now_us - first->added_us >= MIN(worth_us, FAR_WAIT_MAX_US) ||
-	       !any_usable_in(pieces, first->preferred_domain);
+	fetch_cost_us = first->preferred_bytes * (end - start) /
+			(first->has_inputs ? INPUT_FETCH_BYTES_PER_US
+					   : RESULT_FETCH_BYTES_PER_US);
+	return is_due_now(pieces, first) ||
+	       now_us - first->added_us >=
+		       MIN(fetch_cost_us, DOMAIN_WAIT_MAX_US) ||
+	       !any_usable_in_domain(pieces, first->preferred_domain);
 }
 
 /*
- * The waiting pieces that one call to this upstream would carry: marks them in
- * `taken` (as many cells as pieces wait) unless it is NULL; returns how many.
+ * Selects the waiting pieces that one call to this upstream would carry and
+ * returns their number. `selected`: one cell for each waiting piece, set for
+ * those selected; may be NULL.
  */
-static uint32_t plan(const struct pieces *pieces,
-		     const struct pool_upstream *upstream, bool *taken)
+static uint32_t plan_call(const struct pieces *pieces,
+			  const struct pool_upstream *upstream, bool *selected)
 {
-	int64_t room = room_bytes(pieces, upstream);
+	int64_t free_bytes = free_memory_bytes(pieces, upstream);
 	uint32_t count = 0;
 	guint start = 0;
 
 	while (start < pieces->waiting->len &&
 	       count < pieces->options.batch_max) {
 		guint end = group_end(pieces, start);
-		bool alone = waiting_at(pieces, start)->exclusive;
+		bool exclusive = waiting_piece(pieces, start)->exclusive;
 		bool fits =
-			homes_have(waiting_at(pieces, start)->allowed_regions,
-				   upstream->region) &&
-			(!alone || !count) &&
-			group_fits(pieces, start, end, room) &&
-			may_split(pieces, count, end - start) &&
-			may_go(pieces, start, end, upstream);
+			homes_have(
+				waiting_piece(pieces, start)->allowed_regions,
+				upstream->region) &&
+			(!exclusive || !count) &&
+			group_fits(pieces, start, end, free_bytes) &&
+			may_join_batch(pieces, count, end - start) &&
+			may_use_upstream(pieces, start, end, upstream);
 
 		for (guint i = start;
 		     fits && i < end && count < pieces->options.batch_max;
 		     i++) {
-			if (waiting_at(pieces, i)->result_bytes > room)
+			if (waiting_piece(pieces, i)->result_bytes > free_bytes)
 				break;
-			room -= waiting_at(pieces, i)->result_bytes;
+			free_bytes -= waiting_piece(pieces, i)->result_bytes;
 			count++;
-			if (taken)
-				taken[i] = true;
+			if (selected)
+				selected[i] = true;
 		}
-		if (alone && fits && count)
+		if (exclusive && fits && count)
 			break;
 		start = end;
 	}
 	return count;
 }
 
-/* ---- where ---- */
+/* ---- choice of the upstream ---- */
 
-/* While others keep up, a slow upstream that is idle is not worth its time if
- * one at work would end the same call much sooner. */
+/* Whether a busy upstream would finish the same call much sooner than this idle
+ * one, while the queue is short enough for the usable upstreams. */
 static bool is_too_slow(const struct pieces *pieces,
 			const struct pool_upstream *slow, uint32_t count)
 {
 	const GPtrArray *list = upstreams_of(pieces);
-	double own_us = time_there_us(pieces, slow, count);
-	uint32_t usable = 0;
-	bool sooner = false;
+	double own_us = expected_call_us(pieces, slow, count);
+	uint32_t usable_count = 0;
+	bool any_sooner = false;
 
 	for (guint i = 0; i < list->len; i++) {
 		const struct pool_upstream *upstream =
@@ -379,18 +394,20 @@
 
 		if (!is_usable(pieces, upstream))
 			continue;
-		usable++;
-		if (SLOW_PART * ((double)wait_us(pieces, upstream) +
-				 time_there_us(pieces, upstream, count)) <
+		usable_count++;
+		if (SLOW_CALL_FACTOR *
+			    ((double)time_until_idle_us(pieces, upstream) +
+			     expected_call_us(pieces, upstream, count)) <
 		    own_us)
-			sooner = true;
+			any_sooner = true;
 	}
-	return sooner &&
-	       pieces->waiting->len < usable * pieces->options.batch_max;
+	return any_sooner &&
+	       pieces->waiting->len < usable_count * pieces->options.batch_max;
 }
 
-/* The idle upstream that ends its call first, or NULL: wait. */
-static struct pool_upstream *choose(const struct pieces *pieces)
+/* The idle upstream with the shortest expected time for each piece, or NULL:
+ * wait. */
+static struct pool_upstream *choose_upstream(const struct pieces *pieces)
 {
 	const GPtrArray *list = upstreams_of(pieces);
 	struct pool_upstream *best = NULL;
@@ -402,13 +419,14 @@
 		uint32_t count;
 		double us;
 
-		if (!is_usable(pieces, upstream) || wait_us(pieces, upstream) ||
-		    awaits_room(pieces, upstream))
+		if (!is_usable(pieces, upstream) ||
+		    time_until_idle_us(pieces, upstream) ||
+		    awaits_memory_report(pieces, upstream))
 			continue;
-		count = plan(pieces, upstream, NULL);
+		count = plan_call(pieces, upstream, NULL);
 		if (!count)
 			continue;
-		us = time_there_us(pieces, upstream, count) / count;
+		us = expected_call_us(pieces, upstream, count) / count;
 		if (best && us >= best_us)
 			continue;
 		best = upstream;
@@ -418,7 +436,7 @@
 	return best && !is_too_slow(pieces, best, best_count) ? best : NULL;
 }
 
-static bool any_idle(const struct pieces *pieces)
+static bool any_upstream_idle(const struct pieces *pieces)
 {
 	const GPtrArray *list = upstreams_of(pieces);
 
@@ -426,13 +444,14 @@
 		const struct pool_upstream *upstream =
 			g_ptr_array_index(list, i);
 
-		if (is_usable(pieces, upstream) && !wait_us(pieces, upstream))
+		if (is_usable(pieces, upstream) &&
+		    !time_until_idle_us(pieces, upstream))
 			return true;
 	}
 	return false;
 }
 
-static bool is_taken_of(const GArray *out, const struct piece *piece)
+static bool has_piece_of_group(const GArray *out, const struct piece *piece)
 {
 	for (guint i = 0; i < out->len; i++) {
 		const struct piece *other =
@@ -445,25 +464,26 @@
 	return false;
 }
 
-static void take_planned(struct pieces *pieces, struct pool_upstream *upstream,
-			 GArray *out)
+static void dequeue_planned(struct pieces *pieces,
+			    struct pool_upstream *upstream, GArray *out)
 {
-	bool *taken = g_new0(bool, pieces->waiting->len);
+	bool *selected = g_new0(bool, pieces->waiting->len);
 
-	plan(pieces, upstream, taken);
+	plan_call(pieces, upstream, selected);
 	for (guint i = 0; i < pieces->waiting->len; i++) {
-		if (!taken[i])
+		if (!selected[i])
 			continue;
-		room_begin(upstream->room, waiting_at(pieces, i)->result_bytes);
-		g_array_append_val(out, *waiting_at(pieces, i));
+		room_begin(upstream->room,
+			   waiting_piece(pieces, i)->result_bytes);
+		g_array_append_val(out, *waiting_piece(pieces, i));
 	}
 	for (guint i = pieces->waiting->len; i-- > 0;) {
-		if (taken[i])
+		if (selected[i])
 			g_array_remove_index(pieces->waiting, i);
-		else if (is_taken_of(out, waiting_at(pieces, i)))
-			waiting_at(pieces, i)->group_started = true;
+		else if (has_piece_of_group(out, waiting_piece(pieces, i)))
+			waiting_piece(pieces, i)->group_started = true;
 	}
-	g_free(taken);
+	g_free(selected);
 }
 
 static struct pieces_call *open_call(struct pieces *pieces,
@@ -476,7 +496,7 @@
 	call->pieces = g_array_new(FALSE, FALSE, sizeof(struct piece));
 	room_set_linger(upstream->room, pieces->options.result_ttl_us);
 	call->own_bytes = room_own_bytes(upstream->room);
-	take_planned(pieces, upstream, call->pieces);
+	dequeue_planned(pieces, upstream, call->pieces);
 	call->started_us = now(pieces);
 	call->expected_us =
 		(int64_t)((double)call_time_us(pieces, call->pieces->len) *
@@ -489,13 +509,13 @@
 struct pieces_call *pieces_start_call(struct pieces *pieces)
 {
 	struct pool_upstream *upstream;
-	int64_t late_us;
+	int64_t cutoff_us;
 
-	if (!pieces->waiting->len || !any_idle(pieces))
+	if (!pieces->waiting->len || !any_upstream_idle(pieces))
 		return NULL;
-	late_us = late_before_us(pieces);
-	g_array_sort_with_data(pieces->waiting, by_rank, &late_us);
-	upstream = choose(pieces);
+	cutoff_us = lateness_cutoff_us(pieces);
+	g_array_sort_with_data(pieces->waiting, compare_rank, &cutoff_us);
+	upstream = choose_upstream(pieces);
 	if (!upstream)
 		return NULL;
 	return open_call(pieces, upstream);
@@ -503,12 +523,12 @@
 
 int64_t pieces_next_check_us(const struct pieces *pieces)
 {
-	return pieces->waiting->len ? now(pieces) + LOOK_AGAIN_US : 0;
+	return pieces->waiting->len ? now(pieces) + RECHECK_INTERVAL_US : 0;
 }
 
-/* What an upstream says of others' calls at the end of ours. */
-static void learn_load(struct pieces *pieces, struct pool_upstream *upstream,
-		       int32_t running, int32_t waiting)
+/* Records the calls of other dispatchers that the upstream has reported. */
+static void record_load(struct pieces *pieces, struct pool_upstream *upstream,
+			int32_t running, int32_t waiting)
 {
 	int64_t one_us = call_time_us(pieces, pieces->options.batch_max / 3);
 
@@ -526,13 +546,13 @@
 }
 
 void pieces_piece_failed(struct pieces *pieces, struct pieces_call *call,
-			 const struct piece *piece, bool no_room)
+			 const struct piece *piece, bool memory_exhausted)
 {
 	room_not_made(call->upstream->room, piece->result_bytes);
-	call->memory_exhausted |= no_room;
+	call->memory_exhausted |= memory_exhausted;
 }
 
-static void learn_room(struct pieces *pieces, const struct pieces_call *call)
+static void record_memory(struct pieces *pieces, const struct pieces_call *call)
 {
 	struct pool_upstream *upstream = call->upstream;
 
@@ -548,7 +568,7 @@
 {
 	struct pool_upstream *upstream = call->upstream;
 	int64_t now_us = now(pieces);
-	/* With others' calls about, the time is not the upstream's own. */
+	/* Calls of others would distort the measured time. */
 	bool timed = outcome == POOL_SERVED && !running && !waiting;
 
 	pool_learn(pieces->options.pool, upstream, outcome,
@@ -556,9 +576,9 @@
 			   ? now_us - call->started_us
 			   : 0,
 		   timed ? call_time_us(pieces, call->pieces->len) : 0);
-	learn_load(pieces, upstream, running, waiting);
+	record_load(pieces, upstream, running, waiting);
 	if (outcome == POOL_SERVED)
-		learn_room(pieces, call);
+		record_memory(pieces, call);
 	upstream->in_flight--;
 	g_ptr_array_remove_fast(pieces->calls, call);
 	g_array_unref(call->pieces);
@@ -566,19 +586,22 @@
 	g_free(call);
 }
 
-/* ---- room ---- */
+/* ---- result memory ---- */
 
-/* Never asked; or others' results still count there. One that takes only so
- * many requests gets calls for them; these tell the same. */
-static bool is_to_be_asked(const struct pieces *pieces,
-			   const struct pool_upstream *upstream)
+/* An upstream is queried if it never was, or if results of other dispatchers
+ * are still counted there. One that advertises a rate limit is not: queries
+ * would use up its requests, and the outcomes of calls give the same
+ * information. */
+static bool needs_memory_query(const struct pieces *pieces,
+			       const struct pool_upstream *upstream)
 {
 	if (!is_usable(pieces, upstream) || upstream->limit.named)
 		return false;
 	if (!upstream->room_asked_us)
 		return true;
 	return room_other_bytes(upstream->room) &&
-	       now(pieces) - upstream->room_asked_us >= ROOM_ASK_US;
+	       now(pieces) - upstream->room_asked_us >=
+		       MEMORY_QUERY_INTERVAL_US;
 }
 
 struct pool_upstream *pieces_next_memory_query(struct pieces *pieces)
@@ -590,7 +613,7 @@
 	for (guint i = 0; i < list->len; i++) {
 		struct pool_upstream *upstream = g_ptr_array_index(list, i);
 
-		if (!is_to_be_asked(pieces, upstream))
+		if (!needs_memory_query(pieces, upstream))
 			continue;
 		upstream->room_asked_us = now(pieces);
 		return upstream;
@@ -600,22 +623,22 @@
 
 void pieces_memory_reported(struct pieces *pieces,
 			    struct pool_upstream *upstream, int64_t own_bytes,
-			    int64_t least_bytes, int64_t most_bytes)
+			    int64_t min_bytes, int64_t max_bytes)
 {
 	room_told(upstream->room, pieces->options.result_memory_bytes,
-		  own_bytes, least_bytes, most_bytes);
+		  own_bytes, min_bytes, max_bytes);
 	upstream->room_heard_us = now(pieces);
 }
 
 /* ---- estimates ---- */
 
-static uint32_t count_before(const struct pieces *pieces, int32_t priority)
+static uint32_t count_ahead(const struct pieces *pieces, int32_t priority)
 {
 	uint32_t count = 0;
 	int64_t now_us = now(pieces);
 
 	for (guint i = 0; i < pieces->waiting->len; i++) {
-		const struct piece *piece = waiting_at(pieces, i);
+		const struct piece *piece = waiting_piece(pieces, i);
 
 		if (piece->priority <= priority && piece->due_us >= now_us)
 			count++;
@@ -623,23 +646,23 @@
 	return count;
 }
 
-/* How fast upstreams are, all together, and when the first is free. */
-struct outlook {
-	double upstreams; /* as many at the usual speed */
-	int64_t free_us;
+/* Capacity of the upstreams that this queue may call. */
+struct capacity {
+	double total_speed; /* in upstreams of normal speed */
+	int64_t idle_in_us; /* time until the first is idle */
 };
 
-/* It takes no call now for its limit alone. */
-static bool awaits_slot(const struct pieces *pieces,
-			const struct pool_upstream *upstream)
+/* Whether only its advertised rate limit keeps the upstream from a call. */
+static bool awaits_rate_limit(const struct pieces *pieces,
+			      const struct pool_upstream *upstream)
 {
-	return is_own(pieces, upstream) && pool_is_open(upstream) &&
+	return is_in_own_shard(pieces, upstream) && pool_is_open(upstream) &&
 	       pool_limit_wait_us(pieces->options.pool, upstream);
 }
 
-/* Calls that it ends in the time of one at the usual speed. */
-static double speed_of(const struct pieces *pieces,
-		       const struct pool_upstream *upstream)
+/* Calls that the upstream completes in the time of one at normal speed. */
+static double relative_speed(const struct pieces *pieces,
+			     const struct pool_upstream *upstream)
 {
 	double speed = 1.0 / MAX(upstream->slowness, 0.1);
 	int64_t call_us = call_time_us(pieces, pieces->options.batch_max);
@@ -650,54 +673,54 @@
 				  (double)call_us / LP_US_PER_S);
 }
 
-static struct outlook look(const struct pieces *pieces)
+static struct capacity measure_capacity(const struct pieces *pieces)
 {
 	const GPtrArray *list = upstreams_of(pieces);
-	struct outlook outlook = { .free_us = G_MAXINT64 };
+	struct capacity capacity = { .idle_in_us = G_MAXINT64 };
 
 	for (guint i = 0; i < list->len; i++) {
 		const struct pool_upstream *upstream =
 			g_ptr_array_index(list, i);
 
 		if (!is_usable(pieces, upstream) &&
-		    !awaits_slot(pieces, upstream))
+		    !awaits_rate_limit(pieces, upstream))
 			continue;
-		outlook.upstreams += speed_of(pieces, upstream);
-		outlook.free_us =
-			MIN(outlook.free_us,
-			    MAX(wait_us(pieces, upstream),
+		capacity.total_speed += relative_speed(pieces, upstream);
+		capacity.idle_in_us =
+			MIN(capacity.idle_in_us,
+			    MAX(time_until_idle_us(pieces, upstream),
 				pool_limit_wait_us(pieces->options.pool,
 						   upstream)));
 	}
-	if (outlook.upstreams > 0)
-		return outlook;
-	return (struct outlook){ 1.0, call_time_us(pieces, 1) };
+	if (capacity.total_speed > 0)
+		return capacity;
+	return (struct capacity){ 1.0, call_time_us(pieces, 1) };
 }
 
 static int64_t estimate_us(const struct pieces *pieces,
-			   const struct outlook *outlook, int32_t priority)
+			   const struct capacity *capacity, int32_t priority)
 {
-	uint32_t before = count_before(pieces, priority);
+	uint32_t ahead = count_ahead(pieces, priority);
 	uint32_t batch = MAX(pieces->options.batch_max, 1);
-	double queue_us = (double)before * (double)call_time_us(pieces, batch) /
-			  (batch * outlook->upstreams);
+	double queue_us = (double)ahead * (double)call_time_us(pieces, batch) /
+			  (batch * capacity->total_speed);
 
-	return outlook->free_us + (int64_t)queue_us +
-	       call_time_us(pieces, MIN(before + 1, batch));
+	return capacity->idle_in_us + (int64_t)queue_us +
+	       call_time_us(pieces, MIN(ahead + 1, batch));
 }
 
 int64_t pieces_estimate_us(const struct pieces *pieces, int32_t priority)
 {
-	struct outlook outlook = look(pieces);
+	struct capacity capacity = measure_capacity(pieces);
 
-	return estimate_us(pieces, &outlook, priority);
+	return estimate_us(pieces, &capacity, priority);
 }
 
 void pieces_estimate_by_priority_us(const struct pieces *pieces, int64_t *out,
 				    int32_t count)
 {
-	struct outlook outlook = look(pieces);
+	struct capacity capacity = measure_capacity(pieces);
 
 	for (int32_t priority = 0; priority < count; priority++)
-		out[priority] = estimate_us(pieces, &outlook, priority);
+		out[priority] = estimate_us(pieces, &capacity, priority);
 }
--- a/policy/pieces.h
+++ b/policy/pieces.h
@@ -1,11 +1,16 @@
 /**
- * Pieces that wait for one service, and the calls that carry them.
+ * Queue of a stage service's pieces, and the batched calls that carry them.
  *
- * An upstream does one call at a time, and a call costs much more than a
- * piece. This queue is the only one that calls its upstreams (dispatchers.h
- * says whose it is): whatever waits when one of them is idle goes to it, most
- * urgent first, so calls fill by themselves as upstreams get busy. Pieces of
- * different requests share a call.
+ * A piece is one unit of work of a request's stage. An upstream processes one
+ * call at a time, and a call has a fixed cost much larger than that of a piece.
+ * So pieces wait here until an upstream is idle, and the most urgent of them
+ * share the next call, also pieces of different requests: calls get fuller as
+ * upstreams get busier.
+ *
+ * Only the queue of the service's dispatcher calls its upstreams
+ * (dispatchers.h), which may be one shard of them. It also accounts for the
+ * memory in which an upstream keeps results. The caller makes the calls and
+ * reports what became of each piece. All times are in microseconds.
  */
 #ifndef PIECES_H
 #define PIECES_H
@@ -15,23 +20,24 @@
 struct pieces;
 
 struct piece {
-	void *request; /**< whose it is, one stage of it; opaque */
+	void *request; /**< opaque owner of the piece */
 	uint32_t stage;
 	uint32_t index;
-	int64_t due_us; /**< begun by then in a call that carries nothing else,
-			   its request is on time */
-	int64_t expires_us;   /**< of no use after it */
-	int32_t priority;     /**< 0 goes first */
-	int64_t result_bytes; /**< of its result, about */
+	int64_t due_us; /**< latest start, in a call of its own, for its request
+			   to be on time */
+	int64_t expires_us;   /**< useless afterwards */
+	int32_t priority;     /**< 0 is the most urgent */
+	int64_t result_bytes; /**< estimated */
 	bool has_inputs;
-	bool holds_memory;  /**< its inputs take up scarce room meanwhile */
+	bool holds_memory;  /**< its inputs occupy scarce result memory */
 	bool exclusive;	    /**< shares a call with its own request only */
-	bool group_started; /**< others of its stage and request went ahead */
-	const char *preferred_domain; /**< domain of what it takes in, or of who
-			     takes it; NULL: no matter. Interned. */
-	int64_t preferred_bytes;      /**< that would cross domains elsewhere */
-	const char *allowed_regions;  /**< regions that may have it: homes.h */
-	int64_t added_us; /**< when it began to wait; set by pieces_add() */
+	bool group_started; /**< others of its stage and request were sent */
+	const char *preferred_domain; /**< of its inputs, or of the consumer of
+			     its result; NULL: any. Interned. */
+	int64_t preferred_bytes;      /**< transferred between domains if it
+					 runs in another one */
+	const char *allowed_regions;  /**< see homes.h */
+	int64_t added_us;	      /**< set by pieces_add() */
 };
 
 struct pieces_options {
@@ -39,62 +45,70 @@
 	struct pool *pool;
 	const char *service; /**< copied */
 	uint32_t batch_max;
-	int64_t call_us;	     /**< a call's fixed time */
-	int64_t piece_us;	     /**< and that of each piece */
-	int64_t result_memory_bytes; /**< for results, one upstream; 0: no limit
-				      */
-	int64_t result_ttl_us; /**< results that nobody gives up stay so long */
+	int64_t call_us;	     /**< fixed time of a call ... */
+	int64_t piece_us;	     /**< ... and time of each piece in it */
+	int64_t result_memory_bytes; /**< of one upstream; 0: no limit */
+	int64_t result_ttl_us; /**< retention of results that nobody frees */
 };
 
-/** A call to be made. */
+/** A call to an upstream. */
 struct pieces_call {
-	struct pool_upstream *upstream; /**< held by the call */
+	struct pool_upstream *upstream; /**< the call holds a reference */
 	GArray *pieces;			/**< of struct piece */
 	int64_t started_us;
-	int64_t expected_us;	 /**< its time, waiting included */
-	int64_t own_bytes;	 /**< of results counted there before it */
-	int64_t completed_bytes; /**< of its results */
-	bool memory_exhausted;	 /**< pieces of it met no room */
+	int64_t expected_us; /**< duration, given the upstream's slowness */
+	int64_t own_bytes;   /**< of results counted there before the call */
+	int64_t completed_bytes; /**< of the call's results */
+	bool memory_exhausted;	 /**< a piece failed for want of memory */
 };
 
 struct pieces *pieces_create(const struct pieces_options *options);
 void pieces_destroy(struct pieces *pieces);
-/** The service's figures have changed. */
+/** Updates the service's batch size, times and memory limits; clock, pool and
+ * service stay. */
 void pieces_update_options(struct pieces *pieces,
-			   const struct pieces_options *figures);
+			   const struct pieces_options *options);
 void pieces_add(struct pieces *pieces, const struct piece *piece);
-/** Call upstreams of this part of so many parts of the service only. */
-void pieces_set_shards(struct pieces *pieces, uint32_t parts, uint64_t own);
-/** What waits for this one is dropped; returns how many pieces. */
+/**
+ * Restricts the queue to some of the service's upstreams, which are split into
+ * `shards` shards by hash; `own_shards` is a bitmask. Initially one shard, own.
+ */
+void pieces_set_shards(struct pieces *pieces, uint32_t shards,
+		       uint64_t own_shards);
+/** Drops the waiting pieces of a request; returns how many. */
 uint32_t pieces_drop_request(struct pieces *pieces, const void *request);
-/** The next call to be made now, or NULL. End it by pieces_end_call(). */
+/** The next call to make now, or NULL. The caller sends it, reports each of its
+ * pieces as completed or failed, and ends it by pieces_end_call(). */
 struct pieces_call *pieces_start_call(struct pieces *pieces);
-/** When pieces_start_call() may have a call although nothing happens; 0: never.
+/** When pieces_start_call() is to be tried again without any event; 0: never.
  */
 int64_t pieces_next_check_us(const struct pieces *pieces);
-/** A piece of a call is made; its result goes by this handle. */
+/** Reports that a piece is completed; `handle` names its result. */
 void pieces_piece_completed(struct pieces *pieces, struct pieces_call *call,
 			    const struct piece *piece, const char *handle);
-/** A piece of a call is not made; `no_room`: for want of room. */
+/** Reports that a piece is not completed; `memory_exhausted`: for want of
+ * result memory. */
 void pieces_piece_failed(struct pieces *pieces, struct pieces_call *call,
-			 const struct piece *piece, bool no_room);
+			 const struct piece *piece, bool memory_exhausted);
 /**
- * A call is over; all its pieces are made or not. Frees it. `running` and
- * `waiting`: calls of others that the upstream told of, or negative.
+ * Ends and frees a call, all pieces of which have been reported. `running` and
+ * `waiting`: calls of other clients that the upstream reported, or negative.
  */
 void pieces_end_call(struct pieces *pieces, struct pieces_call *call,
 		     enum pool_outcome outcome, int32_t running,
 		     int32_t waiting);
 /**
- * An upstream that is to be asked now how much room it has, or NULL: what
- * others left there is not known, or still counted. Counts as asked.
+ * An upstream to query now for its free result memory, or NULL: what other
+ * dispatchers left there is unknown, or was counted and may have been freed.
+ * The upstream counts as queried.
  */
 struct pool_upstream *pieces_next_memory_query(struct pieces *pieces);
-/** It had at least and at most so much when `own_bytes` were counted there. */
+/** The upstream's answer: bounds of its free memory when `own_bytes` of this
+ * queue's results were counted there. */
 void pieces_memory_reported(struct pieces *pieces,
 			    struct pool_upstream *upstream, int64_t own_bytes,
-			    int64_t least_bytes, int64_t most_bytes);
-/** Time until a piece of this priority that came now would be made. */
+			    int64_t min_bytes, int64_t max_bytes);
+/** Time until a piece of this priority would be completed if added now. */
 int64_t pieces_estimate_us(const struct pieces *pieces, int32_t priority);
 /** The same for each of the priorities 0 to count - 1. */
 void pieces_estimate_by_priority_us(const struct pieces *pieces, int64_t *out,
