--- a/policy/quarantine.h
+++ b/policy/quarantine.h
@@ -1,25 +1,31 @@
 /**
- * Requests that are kept from upstreams because upstreams end under them.
+ * Quarantine of requests that seem to crash the upstreams that run them.
  *
- * A request may end whoever begins it, and its caller brings it again. It is
- * known by a digest of its content, as each try has another id. Each upstream
- * that ended while it was under way there counts against it, also if others
- * were under way there too; each run that comes to an answer clears it of all
- * that was before, as what ends its upstreams never does.
+ * Such a request terminates one upstream after the other, as its caller retries
+ * it. Each try has another id, so a request is known by a digest of its
+ * content. A termination of an upstream counts against each request in flight
+ * there, also against those that shared it by chance. An answer clears a
+ * request of all earlier terminations: a request that crashes its upstreams
+ * never gets one.
  *
- * - Under two ends it goes like any other.
- * - From two on it goes one at a time in the whole fleet (QUARANTINE_TRIAL),
- * and is refused meanwhile. Who shared its upstreams by chance comes to an
- * answer now; so does what many ask for while upstreams end for another reason.
- * - After three rounds it is kept out (QUARANTINE_REFUSE). A round is a run
- * that was begun although the ends of the round before were known, so that ends
- * of one moment, of a whole service even, are one round.
- * - It is let in again for one try after a minute, then after four times as
- *   long, at most after an hour: upstreams may have new software. Each such try
- *   may cost an upstream. An operator can let it in at once.
+ * - With fewer than two terminations a request passes.
+ * - From two on it is a suspect. Only one run of it at a time is allowed in the
+ *   whole fleet, the trial (QUARANTINE_TRIAL); other tries are refused
+ *   meanwhile. This clears requests that shared upstreams by chance, and
+ *   popular requests that were in flight while upstreams terminated for another
+ *   reason.
+ * - After three rounds it is blocked (QUARANTINE_REFUSE). The round of a run is
+ *   one more than the highest round of the terminations that were known when
+ *   the run was sent. So terminations of one moment, even of a whole service,
+ *   are one round.
+ * - After a minute one trial is allowed again, as upstreams may have new
+ *   software; each further block lasts four times as long, at most an hour,
+ *   because a trial may cost an upstream. An operator can clear the request at
+ *   once.
  *
- * What entries know of a request is a set that only grows until an answer
- * clears it, so words of each other may come late, twice and in any order.
+ * What entries know of a request is a set that only grows until it is cleared,
+ * so reports of other entries may arrive late, twice and in any order. Times
+ * are in microseconds of the given clock.
  */
 #ifndef QUARANTINE_H
 #define QUARANTINE_H
@@ -28,96 +34,98 @@
 
 #include <stdbool.h>
 
-/** From so many ends on, one at a time: one may be chance, and happens to all
- * who were under way there. */
+/** Terminations that make a request a suspect. A single one may be chance, and
+ * counts against all requests that were in flight there. */
 #define QUARANTINE_SUSPECT_TERMINATIONS 2
-/** Kept out after so many rounds. */
+/** Rounds after which a request is blocked. */
 #define QUARANTINE_BLOCK_ROUNDS 3
-/** Kept out for so long at first: longer than a caller's patience, so that it
- * costs no upstream more for one caller who comes again. */
+/** First block: longer than callers keep retrying, so that the retries of one
+ * caller cost no further upstream. */
 #define QUARANTINE_BLOCK_US (60 * LP_US_PER_S)
 #define QUARANTINE_BLOCK_FACTOR 4
 #define QUARANTINE_BLOCK_MAX_US (3600 * LP_US_PER_S)
-/** What is not kept out is forgotten so long after its last end; what is, so
- * long after it may be tried again. */
+/** A record is dropped this long after its last termination, the end of its
+ * block or the time until which it was cleared, whichever is latest. */
 #define QUARANTINE_RECORD_TTL_US (600 * LP_US_PER_S)
-/** Who meets a try under way is told to come back within this. */
+/** Longest retry delay for a request of which a trial is running. */
 #define QUARANTINE_TRIAL_WAIT_MAX_US (1 * LP_US_PER_S)
-/** Requests that are known at a time, some 400 bytes each. Those with the
- * fewest rounds and ends yield first, of these the oldest. */
+/** Maximum number of records, some 400 bytes each. Those with the fewest rounds
+ * are evicted first, of these those with the fewest terminations, then the
+ * oldest. */
 #define QUARANTINE_RECORDS_MAX 1024
-/** Ends of one request that are kept. */
+/** Terminations kept for each request. */
 #define QUARANTINE_TERMINATIONS_MAX 16
 
 struct quarantine;
 
-/** An upstream ended while a request was under way there. */
+/** An upstream terminated while a request was in flight there. */
 struct quarantine_termination {
-	uint64_t request;     /**< digest of its content */
+	uint64_t request;     /**< digest of the request's content */
 	uint64_t incarnation; /**< of the upstream */
-	uint32_t round;	      /**< quarantine_round() when it was sent there */
+	uint32_t round;	      /**< quarantine_round() when it was sent */
 	int64_t terminated_us;
-	int64_t run_us; /**< from its sending to the end */
+	int64_t run_us; /**< from sending to termination */
 };
 
 enum quarantine_decision {
-	QUARANTINE_PASS,   /**< nothing is held against it */
-	QUARANTINE_TRIAL,  /**< it goes, as the only one of its kind */
-	QUARANTINE_REFUSE, /**< not now */
+	QUARANTINE_PASS,   /**< no suspect */
+	QUARANTINE_TRIAL,  /**< passes as the only run of it in the fleet */
+	QUARANTINE_REFUSE, /**< blocked, or a trial is running */
 };
 
-/** What is known of a request. */
+/** The record of a request. */
 struct quarantine_view {
 	uint64_t request;
 	const struct quarantine_termination
-		*terminations; /**< the earliest first */
+		*terminations; /**< earliest first */
 	uint32_t terminations_count;
 	uint32_t rounds;
-	int64_t cleared_us;	  /**< an answer cleared it last; 0: none did */
-	int64_t blocked_until_us; /**< kept out until then; in the past: it is
-				   * not
-				   */
-	int64_t trial_until_us;	  /**< a try is under way until then at the most
-				   */
-	int64_t longest_run_us;	  /**< the longest that a run took to an end */
+	int64_t cleared_us;	  /**< last; 0: never */
+	int64_t blocked_until_us; /**< in the past: not blocked */
+	int64_t trial_until_us;	  /**< latest end of the running trial; in the
+				     past: none is running */
+	int64_t longest_run_us;	  /**< longest run up to a termination */
 };
 
 struct quarantine *quarantine_create(const struct lp_clock *clock);
 void quarantine_destroy(struct quarantine *quarantine);
-/** Turned off, it goes on counting and refuses nothing. */
-void quarantine_set_enabled(struct quarantine *quarantine, bool on);
-/** Nothing is known of any request. */
+/** Disabled, it refuses nothing but continues to count terminations. */
+void quarantine_set_enabled(struct quarantine *quarantine, bool enabled);
+/** Whether there are no records. */
 bool quarantine_is_empty(const struct quarantine *quarantine);
-/** The round that a run begun now would belong to. */
+/** The round of a run that is sent now. */
 uint32_t quarantine_round(const struct quarantine *quarantine,
 			  uint64_t request);
-/** An upstream has ended under a request. Returns whether that is news. */
-bool quarantine_add_termination(struct quarantine *quarantine,
-				const struct quarantine_termination *end);
+/** Records a termination. Returns false if it is known or was cleared. */
+bool quarantine_add_termination(
+	struct quarantine *quarantine,
+	const struct quarantine_termination *termination);
 /**
- * May it go to an upstream now? QUARANTINE_TRIAL: until quarantine_tried() or
- * an answer, at most until `until_us`, it is the only one. Refused: `*wait_us`
- * is when to come back.
+ * Whether a request may be sent to an upstream now. QUARANTINE_TRIAL: others of
+ * the same content are refused until quarantine_set_trial() or
+ * quarantine_clear() is called, at most until `until_us`. QUARANTINE_REFUSE:
+ * `*wait_us` is the time after which to retry.
  */
 enum quarantine_decision quarantine_admit(struct quarantine *quarantine,
 					  uint64_t request, int64_t until_us,
 					  int64_t *wait_us);
-/** Another entry tries it until then; in the past: its try is over. */
+/** Sets the latest end of the running trial, also of another entry's; now or in
+ * the past: the trial is over. */
 void quarantine_set_trial(struct quarantine *quarantine, uint64_t request,
 			  int64_t until_us);
-/** It came to an answer, or an operator lets it in: what was until then is
- * cleared. Returns whether there was anything. */
+/** Clears the terminations of a request up to `cleared_us`, because it was
+ * answered or by an operator. Returns whether there were any. */
 bool quarantine_clear(struct quarantine *quarantine, uint64_t request,
-		      int64_t served_us);
-/** What is known of a request. False: nothing. */
+		      int64_t cleared_us);
+/** Fills in the record of a request. False: there is none. */
 bool quarantine_get_view(const struct quarantine *quarantine, uint64_t request,
 			 struct quarantine_view *out);
-/** Look at each. Nothing may be changed meanwhile. */
+/** Calls `visit` for each record; it must not change the quarantine. */
 void quarantine_foreach(const struct quarantine *quarantine,
-			void (*look)(void *userdata,
-				     const struct quarantine_view *view),
+			void (*visit)(void *userdata,
+				      const struct quarantine_view *view),
 			void *userdata);
-/** Drop what is too old. */
+/** Drops expired records. */
 void quarantine_expire(struct quarantine *quarantine);
 
 #endif
