--- a/agent/agent.c
+++ b/agent/agent.c
@@ -312,7 +312,7 @@
 	if (msg->type == WIRE_HELLO) {
 		node_heard_revision(agent->node, name, msg->u.hello.revision,
 				    msg->u.hello.kv_age_ms);
-		drain_probed(agent->drain, name);
+		drain_record_probe(agent->drain, name);
 		beat(agent, peer);
 	} else if (msg->type == WIRE_CALL) {
 		node_heard_revision(agent->node, name, msg->u.call.revision,
@@ -397,7 +397,7 @@
 static bool is_idle(void *userdata)
 {
 	struct agent *agent = userdata;
-	enum drain_state state = drain_look(agent->drain);
+	enum drain_state state = drain_get_state(agent->drain);
 
 	if (!worker_idle(agent->worker) || state == DRAIN_WAITING)
 		return false;
--- a/direct/direct.c
+++ b/direct/direct.c
@@ -95,7 +95,7 @@
 		.refused = on_refused,
 		.userdata = direct,
 	};
-	const struct retries_options retries = {
+	const struct retry_budget_options retry_budget = {
 		.clock = options->clock,
 		.ratio = options->retry_ratio,
 		.slack = options->retry_slack,
@@ -125,7 +125,7 @@
 			.counters = options->counters,
 			.pool = direct->pool,
 		});
-	direct->retries = retries_create(&retries);
+	direct->retry_budget = retry_budget_create(&retry_budget);
 	direct->requests = g_hash_table_new(NULL, NULL);
 	direct->learnt =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -171,7 +171,7 @@
 	direct_notices_destroy(direct->notices);
 	pool_destroy(direct->pool);
 	direct_closures_destroy(direct->closures);
-	retries_destroy(direct->retries);
+	retry_budget_destroy(direct->retry_budget);
 	direct_config_unref(direct->config);
 	g_hash_table_unref(direct->requests);
 	g_hash_table_unref(direct->learnt);
@@ -287,7 +287,7 @@
 
 void direct_set_retries(struct direct *direct, double ratio, double slack)
 {
-	retries_set(direct->retries, ratio, slack);
+	retry_budget_set_bounds(direct->retry_budget, ratio, slack);
 }
 
 void direct_set_peers(struct direct *direct, struct direct_peers *peers)
--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -50,7 +50,7 @@
 	bool has_upstreams;
 	int64_t listed_us; /* when the list was handed in last */
 	int64_t end_us;	   /* about to end then; 0: it is not */
-	struct retries *retries;
+	struct retry_budget *retry_budget;
 	struct direct_closures *closures;
 	struct direct_notices *notices;
 	struct direct_ends *ends;
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -266,7 +266,7 @@
 	if (!request->graph)
 		return true;
 	ask.estimate_us = estimate_us(request);
-	wait_us = admission_refuse_us(&ask);
+	wait_us = admission_retry_after_us(&ask);
 	if (!wait_us)
 		return true;
 	log_overload(request, &ask);
@@ -423,7 +423,7 @@
 	request->waited_us =
 		patience_waited_us(&direct_request_learnt(request)->patience,
 				   request->ask.deadline_us);
-	retries_saw_request(direct->retries, request->service);
+	retry_budget_add_request(direct->retry_budget, request->service);
 	if (!direct_request_passes(request))
 		return;
 	if (request->route->stages_count)
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -92,15 +92,16 @@
 static bool take_retry(void *userdata)
 {
 	struct direct_request *request = userdata;
-	bool taken = retries_take(request->direct->retries, request->service);
+	bool taken = retry_budget_take(request->direct->retry_budget,
+				       request->service);
 
 	*direct_counter(request->direct, "linepier_retries_total",
 			taken ? "budget=\"taken\"" : "budget=\"spent\"") += 1;
 	return taken;
 }
 
-static void log_step(struct direct_request *request, enum verdict_event event,
-		     enum verdict_step step, const char *why)
+static void log_step(struct direct_request *request, enum retry_event event,
+		     enum retry_step step, const char *why)
 {
 	static const char *const events[] = { "not_sent", "not_run",
 					      "answered", "error",
@@ -110,7 +111,7 @@
 					     "cut" };
 	struct lp_event_log *log = request->direct->options.log;
 
-	if (step == VERDICT_PASS ||
+	if (step == RETRY_STEP_FORWARD ||
 	    !lp_event_begin(log, "sending_end", request->id))
 		return;
 	lp_event_text(log, "ended", events[event]);
@@ -171,13 +172,13 @@
 }
 
 /* The sending has ended (the upstream is left); decide and act. */
-static void step_on(struct direct_request *request, enum verdict_event event,
+static void step_on(struct direct_request *request, enum retry_event event,
 		    const char *why)
 {
 	bool repeatable = (request->route->kind == DIRECT_IDEMPOTENT ||
 			   request->route->resumes) &&
 			  !is_suspect(request);
-	struct verdict_state state = {
+	struct retry_state state = {
 		.repeatable = repeatable,
 		.resumes = request->route->resumes,
 		.begun = request->begun,
@@ -188,32 +189,32 @@
 		.has_time = direct_request_now_us(request) + TRY_MIN_US <
 			    request->give_up_us,
 	};
-	enum verdict_step step =
-		verdict_next(&state, event, take_retry, request);
+	enum retry_step step =
+		retry_next_step(&state, event, take_retry, request);
 
-	if (event == VERDICT_BROKEN || event == VERDICT_ERROR) {
+	if (event == RETRY_EVENT_BROKEN || event == RETRY_EVENT_ERROR) {
 		request->may_have_run = true;
 		request->runs++;
 	}
 	log_step(request, event, step, why);
 	switch (step) {
-	case VERDICT_PASS:
+	case RETRY_STEP_FORWARD:
 		pass_answer(request);
 		break;
-	case VERDICT_AGAIN:
-	case VERDICT_RESUME:
+	case RETRY_STEP_RETRY:
+	case RETRY_STEP_RESUME:
 		direct_sending_start(request);
 		break;
-	case VERDICT_REMAKE:
+	case RETRY_STEP_RECOMPUTE_INPUTS:
 		remake_inputs(request);
 		break;
-	case VERDICT_REFUSE:
+	case RETRY_STEP_REFUSE:
 		refuse_not_run(request, why);
 		break;
-	case VERDICT_FAIL:
+	case RETRY_STEP_FAIL:
 		direct_request_answer_own(request, 502, 0, why);
 		break;
-	case VERDICT_CUT:
+	case RETRY_STEP_ABORT:
 		direct_request_cut(request, why);
 		break;
 	}
@@ -242,7 +243,7 @@
 	request->stall_timer = 0;
 	note_lost(request);
 	direct_sending_leave(request, POOL_UNREACHABLE);
-	step_on(request, VERDICT_BROKEN, "silent");
+	step_on(request, RETRY_EVENT_BROKEN, "silent");
 	return G_SOURCE_REMOVE;
 }
 
@@ -366,7 +367,7 @@
 	direct_sending_leave(request, torn ? POOL_UNREACHABLE : POOL_SERVED);
 	if (torn) {
 		g_string_truncate(request->body, 0);
-		step_on(request, VERDICT_BROKEN, "torn");
+		step_on(request, RETRY_EVENT_BROKEN, "torn");
 		return;
 	}
 	direct_quarantine_served(request->direct->quarantine, request);
@@ -386,29 +387,29 @@
 		direct_ends_saw(request->direct->ends, request->upstream,
 				DIRECT_END_REPLACED);
 		direct_sending_leave(request, POOL_WRONG);
-		step_on(request, VERDICT_NOT_RUN, "other_process");
+		step_on(request, RETRY_EVENT_NOT_RUN, "other_process");
 	} else if (reply->not_run) {
 		direct_sending_leave(request, POOL_FULL);
 		step_on(request,
-			reply->input_gone ? VERDICT_INPUT_GONE
-					  : VERDICT_NOT_RUN,
+			reply->input_gone ? RETRY_EVENT_INPUT_LOST
+					  : RETRY_EVENT_NOT_RUN,
 			"not_run");
 	} else if (!reply->is_ours || (success && !reply->is_genuine)) {
 		direct_sending_leave(request, POOL_UNREACHABLE);
-		step_on(request, VERDICT_BROKEN, "not_ours");
+		step_on(request, RETRY_EVENT_BROKEN, "not_ours");
 	} else if (request->begun) {
 		direct_quarantine_served(request->direct->quarantine, request);
 		direct_sending_leave(request, POOL_ERROR);
-		step_on(request, VERDICT_BROKEN, "no_stream");
+		step_on(request, RETRY_EVENT_BROKEN, "no_stream");
 	} else if (request->status >= 500) {
 		direct_quarantine_served(request->direct->quarantine, request);
 		direct_sending_leave(request, POOL_ERROR);
-		step_on(request, VERDICT_ERROR, "error");
+		step_on(request, RETRY_EVENT_ERROR, "error");
 	} else {
 		direct_quarantine_served(request->direct->quarantine, request);
 		note_heard(request);
 		direct_sending_leave(request, POOL_SERVED);
-		step_on(request, VERDICT_ANSWERED, "answered");
+		step_on(request, RETRY_EVENT_ANSWERED, "answered");
 	}
 }
 
@@ -425,7 +426,8 @@
 			direct_ends_saw(request->direct->ends,
 					request->upstream, DIRECT_END_REFUSED);
 		direct_sending_leave(request, POOL_UNREACHABLE);
-		step_on(request, sent ? VERDICT_BROKEN : VERDICT_NOT_SENT,
+		step_on(request,
+			sent ? RETRY_EVENT_BROKEN : RETRY_EVENT_NOT_SENT,
 			error == LP_ERROR_PROTOCOL ? "garbled" : "connection");
 	} else if (is_stream(request)) {
 		end_stream(request);
@@ -615,7 +617,7 @@
 	start_exchange(request);
 	if (!request->exchange) {
 		direct_sending_leave(request, POOL_UNREACHABLE);
-		step_on(request, VERDICT_NOT_SENT, "connection");
+		step_on(request, RETRY_EVENT_NOT_SENT, "connection");
 		return;
 	}
 	set_stall_timer(request);
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -27,7 +27,7 @@
 	uint32_t parts;
 	uint64_t dispatchers[PARTS_MAX];
 	int64_t owned_us; /* when the last part became ours */
-	struct admission_memory learnt[DIRECT_RANKS];
+	struct admission_piece_time learnt[DIRECT_RANKS];
 	int64_t waits_us[DIRECT_RANKS]; /* at the dispatcher */
 	int64_t waits_at_us;
 };
@@ -712,9 +712,9 @@
 {
 	struct service *service = service_of(stages, name);
 
-	return admission_stage_us(&service->learnt[rank_of(priority)],
-				  queue_us(stages, service, priority),
-				  now(stages));
+	return admission_estimate_stage_us(&service->learnt[rank_of(priority)],
+					   queue_us(stages, service, priority),
+					   now(stages));
 }
 
 void direct_stages_learn(struct direct_stages *stages, const char *name,
@@ -722,8 +722,8 @@
 {
 	struct service *service = service_of(stages, name);
 
-	admission_learn(&service->learnt[rank_of(priority)], took_us,
-			now(stages));
+	admission_record_piece_time(&service->learnt[rank_of(priority)],
+				    took_us, now(stages));
 }
 
 /* ---- start and end ---- */
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -234,9 +234,9 @@
 
 static void check_leaving(struct entry *entry)
 {
-	enum drain_state state = drain_look(entry->drain);
+	enum drain_state state = drain_get_state(entry->drain);
 
-	if (entry->closed_us || state == DRAIN_NOT_LEAVING ||
+	if (entry->closed_us || state == DRAIN_NOT_DRAINING ||
 	    state == DRAIN_WAITING)
 		return;
 	entry->closed_us = entry_now_us(entry);
@@ -299,7 +299,7 @@
 
 void entry_probed(struct entry *entry, const char *prober)
 {
-	drain_probed(entry->drain, prober);
+	drain_record_probe(entry->drain, prober);
 	entry_count(entry, "linepier_probes_total", "answer",
 		    node_leaving(entry->node) ? "leaving" : "other");
 }
--- a/policy/admission.c
+++ b/policy/admission.c
@@ -19,13 +19,13 @@
 /* Those that a burst brought together come back apart. */
 #define WAIT_SPREAD_US (1500 * LP_US_PER_MS)
 
-static bool is_fresh(const struct admission_memory *memory, int64_t now_us)
+static bool is_fresh(const struct admission_piece_time *memory, int64_t now_us)
 {
 	return memory->at_us && now_us - memory->at_us <= LEARNT_US;
 }
 
-void admission_learn(struct admission_memory *memory, int64_t took_us,
-		     int64_t now_us)
+void admission_record_piece_time(struct admission_piece_time *memory,
+				 int64_t took_us, int64_t now_us)
 {
 	if (is_fresh(memory, now_us))
 		memory->took_us += (took_us - memory->took_us) / LEARN_PARTS;
@@ -34,8 +34,8 @@
 	memory->at_us = now_us;
 }
 
-int64_t admission_stage_us(const struct admission_memory *memory,
-			   int64_t queue_us, int64_t now_us)
+int64_t admission_estimate_stage_us(const struct admission_piece_time *memory,
+				    int64_t queue_us, int64_t now_us)
 {
 	if (!is_fresh(memory, now_us))
 		return queue_us;
@@ -43,7 +43,7 @@
 		   MIN(memory->took_us, LEARNT_QUEUES_MAX * queue_us));
 }
 
-int64_t admission_refuse_us(const struct admission_request *request)
+int64_t admission_retry_after_us(const struct admission_request *request)
 {
 	int64_t over_us = request->estimate_us - request->target_us;
 
--- a/policy/admission.h
+++ b/policy/admission.h
@@ -12,14 +12,14 @@
 #include <stdint.h>
 
 /** How long the pieces of one rank took lately; all zero: nothing learnt. */
-struct admission_memory {
+struct admission_piece_time {
 	int64_t took_us; /**< fading mean */
 	int64_t at_us;	 /**< when it was heard last */
 };
 
 /** Pieces that were asked for in time took so long. */
-void admission_learn(struct admission_memory *memory, int64_t took_us,
-		     int64_t now_us);
+void admission_record_piece_time(struct admission_piece_time *memory,
+				 int64_t took_us, int64_t now_us);
 /**
  * Time until a piece that comes now would be made, by the queue's own estimate
  * and by what pieces took lately.
@@ -28,8 +28,8 @@
  * was learnt does, but outlasts the queue, and an empty queue would still
  * refuse: it counts up to twice the queue's estimate.
  */
-int64_t admission_stage_us(const struct admission_memory *memory,
-			   int64_t queue_us, int64_t now_us);
+int64_t admission_estimate_stage_us(const struct admission_piece_time *memory,
+				    int64_t queue_us, int64_t now_us);
 
 struct admission_request {
 	int64_t estimate_us; /**< until its first event, if it is let in now */
@@ -38,6 +38,6 @@
 };
 
 /** 0: it is let in; else refuse it, its caller comes back after so long. */
-int64_t admission_refuse_us(const struct admission_request *request);
+int64_t admission_retry_after_us(const struct admission_request *request);
 
 #endif
--- a/policy/drain.c
+++ b/policy/drain.c
@@ -85,7 +85,7 @@
 	return prober;
 }
 
-void drain_probed(struct drain *drain, const char *name)
+void drain_record_probe(struct drain *drain, const char *name)
 {
 	struct prober *prober = find(drain, name);
 
@@ -143,13 +143,13 @@
 	return is_new(drain) ? DRAIN_WAITING : DRAIN_UNPROBED;
 }
 
-enum drain_state drain_look(const struct drain *drain)
+enum drain_state drain_get_state(const struct drain *drain)
 {
 	int64_t since_us = now_us(drain) - drain->begun_us;
 	enum drain_state state;
 
 	if (!drain->begun)
-		return DRAIN_NOT_LEAVING;
+		return DRAIN_NOT_DRAINING;
 	if (since_us < drain->options.least_us)
 		return DRAIN_WAITING;
 	state = judge(drain);
--- a/policy/drain.h
+++ b/policy/drain.h
@@ -36,7 +36,7 @@
 };
 
 enum drain_state {
-	DRAIN_NOT_LEAVING,
+	DRAIN_NOT_DRAINING,
 	DRAIN_WAITING,	/**< the listener stays */
 	DRAIN_INFORMED, /**< it may close: every prober is informed, ... */
 	DRAIN_UNPROBED, /**< ... nobody probes, ... */
@@ -59,8 +59,8 @@
 /** The process leaves: probes are answered "not ready" from now on. */
 void drain_begin(struct drain *drain);
 /** `prober` (an address; copied) is given an answer to its probe. */
-void drain_probed(struct drain *drain, const char *prober);
-enum drain_state drain_look(const struct drain *drain);
+void drain_record_probe(struct drain *drain, const char *prober);
+enum drain_state drain_get_state(const struct drain *drain);
 /** Static. */
 const char *drain_state_name(enum drain_state state);
 void drain_get_view(const struct drain *drain, struct drain_view *out);
--- a/policy/retries.c
+++ b/policy/retries.c
@@ -17,60 +17,63 @@
 	struct part parts[PARTS + 1];
 };
 
-struct retries {
-	struct retries_options options;
+struct retry_budget {
+	struct retry_budget_options options;
 	GHashTable *accounts; /* service -> struct account */
 };
 
-struct retries *retries_create(const struct retries_options *options)
+struct retry_budget *
+retry_budget_create(const struct retry_budget_options *options)
 {
-	struct retries *retries = g_new0(struct retries, 1);
+	struct retry_budget *retry_budget = g_new0(struct retry_budget, 1);
 
-	retries->options = *options;
-	if (!retries->options.window_us)
-		retries->options.window_us = DEFAULT_WINDOW_US;
-	retries->accounts =
+	retry_budget->options = *options;
+	if (!retry_budget->options.window_us)
+		retry_budget->options.window_us = DEFAULT_WINDOW_US;
+	retry_budget->accounts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	return retries;
+	return retry_budget;
 }
 
-void retries_destroy(struct retries *retries)
+void retry_budget_destroy(struct retry_budget *retry_budget)
 {
-	if (!retries)
+	if (!retry_budget)
 		return;
-	g_hash_table_unref(retries->accounts);
-	g_free(retries);
+	g_hash_table_unref(retry_budget->accounts);
+	g_free(retry_budget);
 }
 
-void retries_set(struct retries *retries, double ratio, double slack)
+void retry_budget_set_bounds(struct retry_budget *retry_budget, double ratio,
+			     double slack)
 {
-	retries->options.ratio = ratio;
-	retries->options.slack = slack;
+	retry_budget->options.ratio = ratio;
+	retry_budget->options.slack = slack;
 }
 
-static int64_t part_number(const struct retries *retries)
+static int64_t part_number(const struct retry_budget *retry_budget)
 {
-	return lp_now_us(retries->options.clock) /
-	       (retries->options.window_us / PARTS);
+	return lp_now_us(retry_budget->options.clock) /
+	       (retry_budget->options.window_us / PARTS);
 }
 
-static struct account *account_of(struct retries *retries, const char *service)
+static struct account *account_of(struct retry_budget *retry_budget,
+				  const char *service)
 {
 	struct account *account =
-		g_hash_table_lookup(retries->accounts, service);
+		g_hash_table_lookup(retry_budget->accounts, service);
 
 	if (!account) {
 		account = g_new0(struct account, 1);
-		g_hash_table_insert(retries->accounts, g_strdup(service),
+		g_hash_table_insert(retry_budget->accounts, g_strdup(service),
 				    account);
 	}
 	return account;
 }
 
-static struct part *current_part(struct retries *retries,
+static struct part *current_part(struct retry_budget *retry_budget,
 				 struct account *account)
 {
-	int64_t number = part_number(retries);
+	int64_t number = part_number(retry_budget);
 	struct part *part = &account->parts[number % (PARTS + 1)];
 
 	if (part->number != number)
@@ -78,15 +81,17 @@
 	return part;
 }
 
-void retries_saw_request(struct retries *retries, const char *service)
+void retry_budget_add_request(struct retry_budget *retry_budget,
+			      const char *service)
 {
-	current_part(retries, account_of(retries, service))->requests++;
+	current_part(retry_budget, account_of(retry_budget, service))
+		->requests++;
 }
 
-bool retries_take(struct retries *retries, const char *service)
+bool retry_budget_take(struct retry_budget *retry_budget, const char *service)
 {
-	struct account *account = account_of(retries, service);
-	struct part *now = current_part(retries, account);
+	struct account *account = account_of(retry_budget, service);
+	struct part *now = current_part(retry_budget, account);
 	uint32_t requests = 0;
 	uint32_t repeats = 0;
 
@@ -100,8 +105,8 @@
 		if (part->number > now->number - PARTS)
 			requests += part->requests;
 	}
-	if (repeats + 1 >
-	    retries->options.ratio * requests + retries->options.slack)
+	if (repeats + 1 > retry_budget->options.ratio * requests +
+				  retry_budget->options.slack)
 		return false;
 	now->repeats++;
 	return true;
--- a/policy/retries.h
+++ b/policy/retries.h
@@ -12,22 +12,25 @@
 
 #include <stdbool.h>
 
-struct retries;
+struct retry_budget;
 
-struct retries_options {
+struct retry_budget_options {
 	const struct lp_clock *clock;
 	double ratio;
 	double slack;	   /**< of this entry */
 	int64_t window_us; /**< 0: 10 s */
 };
 
-struct retries *retries_create(const struct retries_options *options);
-void retries_destroy(struct retries *retries);
+struct retry_budget *
+retry_budget_create(const struct retry_budget_options *options);
+void retry_budget_destroy(struct retry_budget *retry_budget);
 /** The bounds have changed. */
-void retries_set(struct retries *retries, double ratio, double slack);
+void retry_budget_set_bounds(struct retry_budget *retry_budget, double ratio,
+			     double slack);
 /** A request for this service came. */
-void retries_saw_request(struct retries *retries, const char *service);
+void retry_budget_add_request(struct retry_budget *retry_budget,
+			      const char *service);
 /** Take one repeat out of the budget, if there is one. */
-bool retries_take(struct retries *retries, const char *service);
+bool retry_budget_take(struct retry_budget *retry_budget, const char *service);
 
 #endif
--- a/policy/verdict.c
+++ b/policy/verdict.c
@@ -3,30 +3,30 @@
 /* Upstreams that one request is moved over when none has run it. */
 #define MOVES_MAX 4
 
-static enum verdict_step give_up(const struct verdict_state *state,
-				 bool may_have_run)
+static enum retry_step give_up(const struct retry_state *state,
+			       bool may_have_run)
 {
 	if (state->begun)
-		return VERDICT_CUT;
-	return may_have_run ? VERDICT_FAIL : VERDICT_REFUSE;
+		return RETRY_STEP_ABORT;
+	return may_have_run ? RETRY_STEP_FAIL : RETRY_STEP_REFUSE;
 }
 
-static enum verdict_step after_not_run(const struct verdict_state *state,
-				       enum verdict_event event,
-				       bool (*take)(void *userdata),
-				       void *userdata)
+static enum retry_step after_not_run(const struct retry_state *state,
+				     enum retry_event event,
+				     bool (*take)(void *userdata),
+				     void *userdata)
 {
 	if (state->moves >= MOVES_MAX || !state->has_time)
 		return give_up(state, state->may_have_run);
 	/* What never left us is no arrival and costs no budget. */
-	if (event != VERDICT_NOT_SENT && !take(userdata))
+	if (event != RETRY_EVENT_NOT_SENT && !take(userdata))
 		return give_up(state, state->may_have_run);
-	if (event == VERDICT_INPUT_GONE)
-		return VERDICT_REMAKE;
-	return state->begun ? VERDICT_RESUME : VERDICT_AGAIN;
+	if (event == RETRY_EVENT_INPUT_LOST)
+		return RETRY_STEP_RECOMPUTE_INPUTS;
+	return state->begun ? RETRY_STEP_RESUME : RETRY_STEP_RETRY;
 }
 
-static bool may_repeat(const struct verdict_state *state,
+static bool may_repeat(const struct retry_state *state,
 		       bool (*take)(void *userdata), void *userdata)
 {
 	if (!state->repeatable || !state->has_time ||
@@ -35,28 +35,28 @@
 	return take(userdata);
 }
 
-enum verdict_step verdict_next(const struct verdict_state *state,
-			       enum verdict_event event,
-			       bool (*take)(void *userdata), void *userdata)
+enum retry_step retry_next_step(const struct retry_state *state,
+				enum retry_event event,
+				bool (*take)(void *userdata), void *userdata)
 {
 	switch (event) {
-	case VERDICT_ANSWERED:
-		return VERDICT_PASS;
-	case VERDICT_NOT_SENT:
-	case VERDICT_NOT_RUN:
-	case VERDICT_INPUT_GONE:
+	case RETRY_EVENT_ANSWERED:
+		return RETRY_STEP_FORWARD;
+	case RETRY_EVENT_NOT_SENT:
+	case RETRY_EVENT_NOT_RUN:
+	case RETRY_EVENT_INPUT_LOST:
 		return after_not_run(state, event, take, userdata);
-	case VERDICT_ERROR:
+	case RETRY_EVENT_ERROR:
 		if (state->begun) /* no place is left for another answer */
 			break;
-		return may_repeat(state, take, userdata) ? VERDICT_AGAIN
-							 : VERDICT_PASS;
-	case VERDICT_BROKEN:
+		return may_repeat(state, take, userdata) ? RETRY_STEP_RETRY
+							 : RETRY_STEP_FORWARD;
+	case RETRY_EVENT_BROKEN:
 		break;
 	}
 	if (state->begun && !state->resumes)
-		return VERDICT_CUT;
+		return RETRY_STEP_ABORT;
 	if (!may_repeat(state, take, userdata))
 		return give_up(state, true);
-	return state->begun ? VERDICT_RESUME : VERDICT_AGAIN;
+	return state->begun ? RETRY_STEP_RESUME : RETRY_STEP_RETRY;
 }
--- a/policy/verdict.h
+++ b/policy/verdict.h
@@ -13,26 +13,28 @@
 #include <stdint.h>
 
 /** How one sending ended. */
-enum verdict_event {
-	VERDICT_NOT_SENT,   /**< no byte left: it cannot have run */
-	VERDICT_NOT_RUN,    /**< the upstream says so */
-	VERDICT_ANSWERED,   /**< a whole answer that is no failure */
-	VERDICT_ERROR,	    /**< a whole answer: the upstream failed */
-	VERDICT_BROKEN,	    /**< cut, garbled or given up: it may have run */
-	VERDICT_INPUT_GONE, /**< not run: results of stages are gone */
+enum retry_event {
+	RETRY_EVENT_NOT_SENT, /**< no byte left: it cannot have run */
+	RETRY_EVENT_NOT_RUN,  /**< the upstream says so */
+	RETRY_EVENT_ANSWERED, /**< a whole answer that is no failure */
+	RETRY_EVENT_ERROR,    /**< a whole answer: the upstream failed */
+	RETRY_EVENT_BROKEN,   /**< cut, garbled or given up: it may have run */
+	RETRY_EVENT_INPUT_LOST, /**< not run: results of stages are gone */
 };
 
-enum verdict_step {
-	VERDICT_PASS,	/**< the upstream's answer is the answer */
-	VERDICT_AGAIN,	/**< send to another upstream */
-	VERDICT_RESUME, /**< send to another, from where the stream broke */
-	VERDICT_REMAKE, /**< make the lost results again, then send */
-	VERDICT_REFUSE, /**< answer "not run" */
-	VERDICT_FAIL,	/**< answer that it may have run */
-	VERDICT_CUT,	/**< end a begun answer so that it is seen to be cut */
+enum retry_step {
+	RETRY_STEP_FORWARD, /**< the upstream's answer is the answer */
+	RETRY_STEP_RETRY,   /**< send to another upstream */
+	RETRY_STEP_RESUME,  /**< send to another, from where the stream broke */
+	RETRY_STEP_RECOMPUTE_INPUTS, /**< make the lost results again, then send
+				      */
+	RETRY_STEP_REFUSE,	     /**< answer "not run" */
+	RETRY_STEP_FAIL,	     /**< answer that it may have run */
+	RETRY_STEP_ABORT, /**< end a begun answer so that it is seen to be cut
+			   */
 };
 
-struct verdict_state {
+struct retry_state {
 	bool repeatable;   /**< may run more than once */
 	bool resumes;	   /**< a stream that may go on elsewhere */
 	bool begun;	   /**< a part of the answer has reached the caller */
@@ -47,8 +49,8 @@
  * `take` asks the retry budget, once and only if a repeat is wanted that
  * costs it.
  */
-enum verdict_step verdict_next(const struct verdict_state *state,
-			       enum verdict_event event,
-			       bool (*take)(void *userdata), void *userdata);
+enum retry_step retry_next_step(const struct retry_state *state,
+				enum retry_event event,
+				bool (*take)(void *userdata), void *userdata);
 
 #endif
--- a/policy/watch_keeper.c
+++ b/policy/watch_keeper.c
@@ -17,7 +17,7 @@
 	start(keeper);
 }
 
-enum watch_keeper_action watch_keeper_ended(struct watch_keeper *keeper)
+enum watch_keeper_action watch_keeper_on_ended(struct watch_keeper *keeper)
 {
 	if (lp_now_us(keeper->clock) - keeper->started_us > SERVED_US)
 		keeper->failures = 0;
@@ -30,18 +30,18 @@
 	return WATCH_KEEPER_DELAY;
 }
 
-enum watch_keeper_action watch_keeper_timer_fired(struct watch_keeper *keeper)
+enum watch_keeper_action watch_keeper_on_timer(struct watch_keeper *keeper)
 {
 	return start(keeper);
 }
 
-void watch_keeper_probe_failed(struct watch_keeper *keeper)
+void watch_keeper_on_probe_failed(struct watch_keeper *keeper)
 {
 	keeper->unreachable = true;
 }
 
-enum watch_keeper_action watch_keeper_answered(struct watch_keeper *keeper,
-					       bool is_silent)
+enum watch_keeper_action watch_keeper_on_answer(struct watch_keeper *keeper,
+						bool is_silent)
 {
 	bool was_unreachable = keeper->unreachable;
 
--- a/policy/watch_keeper.h
+++ b/policy/watch_keeper.h
@@ -45,16 +45,16 @@
 /** The watch begins at once: the caller starts it. */
 void watch_keeper_init(struct watch_keeper *keeper,
 		       const struct lp_clock *clock);
-enum watch_keeper_action watch_keeper_ended(struct watch_keeper *keeper);
-enum watch_keeper_action watch_keeper_timer_fired(struct watch_keeper *keeper);
+enum watch_keeper_action watch_keeper_on_ended(struct watch_keeper *keeper);
+enum watch_keeper_action watch_keeper_on_timer(struct watch_keeper *keeper);
 /** A probe of the service failed; another one follows. */
-void watch_keeper_probe_failed(struct watch_keeper *keeper);
+void watch_keeper_on_probe_failed(struct watch_keeper *keeper);
 /**
  * An answer of the service has begun to come. `is_silent`: nothing of an answer
  * is coming to the watch that runs, which may have been lost unnoticed.
  */
-enum watch_keeper_action watch_keeper_answered(struct watch_keeper *keeper,
-					       bool is_silent);
+enum watch_keeper_action watch_keeper_on_answer(struct watch_keeper *keeper,
+						bool is_silent);
 /** For log lines; static. */
 const char *watch_keeper_state_name(const struct watch_keeper *keeper);
 
--- a/policy/watch_pace.c
+++ b/policy/watch_pace.c
@@ -11,14 +11,15 @@
 /* A call that is drawn to be short still waits for this part. */
 #define PART_LEAST 0.05
 
-int64_t watch_pace_wait_us(int64_t alone_us, uint32_t members)
+int64_t watch_timeout_fleet_us(int64_t alone_us, uint32_t members)
 {
 	double times = CLAMP(PER_MEMBER * members, 1.0, MOST);
 
 	return (int64_t)(times * (double)alone_us);
 }
 
-int64_t watch_pace_next_us(const struct watch_pace_call *call, double drawn)
+int64_t watch_timeout_next_us(const struct watch_timeout_call *call,
+			      double drawn)
 {
 	double part = PART_LEAST + (1.0 - PART_LEAST) * drawn;
 
--- a/policy/watch_pace.h
+++ b/policy/watch_pace.h
@@ -21,17 +21,18 @@
 
 /** `alone_us`: what an entry that hears nobody waits; `members`: with itself.
  */
-int64_t watch_pace_wait_us(int64_t alone_us, uint32_t members);
+int64_t watch_timeout_fleet_us(int64_t alone_us, uint32_t members);
 
 /** A call that is about to wait. */
-struct watch_pace_call {
-	int64_t wait_us;   /**< by watch_pace_wait_us() */
+struct watch_timeout_call {
+	int64_t wait_us;   /**< by watch_timeout_fleet_us() */
 	int64_t before_us; /**< the same at the call before; 0: none was */
 	bool told;	   /**< that one told a change: others' did, too */
 	bool is_fleet;	   /**< others notice what we do not */
 };
 
 /** How long it waits; `drawn`: from 0 to 1, by chance. */
-int64_t watch_pace_next_us(const struct watch_pace_call *call, double drawn);
+int64_t watch_timeout_next_us(const struct watch_timeout_call *call,
+			      double drawn);
 
 #endif
--- a/tests/direct_policy_test.cc
+++ b/tests/direct_policy_test.cc
@@ -28,9 +28,9 @@
 	}
 };
 
-verdict_state fresh(bool repeatable)
+retry_state fresh(bool repeatable)
 {
-	verdict_state state = {};
+	retry_state state = {};
 
 	state.repeatable = repeatable;
 	state.runs = 1;
@@ -45,10 +45,10 @@
 TEST(Verdict, KeepsItsTwoPromisesInEveryState)
 {
 	for (int bits = 0; bits < 128; bits++)
-		for (int event = VERDICT_NOT_SENT; event <= VERDICT_INPUT_GONE;
-		     event++) {
+		for (int event = RETRY_EVENT_NOT_SENT;
+		     event <= RETRY_EVENT_INPUT_LOST; event++) {
 			Budget budget;
-			verdict_state state = fresh(bits & 1);
+			retry_state state = fresh(bits & 1);
 
 			state.resumes = (bits & 2) && state.repeatable;
 			state.begun = bits & 4;
@@ -56,26 +56,27 @@
 			state.has_time = bits & 16;
 			state.moves = bits & 32 ? 9 : 1;
 			budget.has = bits & 64;
-			auto step = verdict_next(&state, (verdict_event)event,
-						 Budget::take, &budget);
-			bool repeats =
-				step == VERDICT_AGAIN || step == VERDICT_RESUME;
-			bool ran = event == VERDICT_BROKEN ||
-				   event == VERDICT_ERROR;
+			auto step = retry_next_step(&state, (retry_event)event,
+						    Budget::take, &budget);
+			bool repeats = step == RETRY_STEP_RETRY ||
+				       step == RETRY_STEP_RESUME;
+			bool ran = event == RETRY_EVENT_BROKEN ||
+				   event == RETRY_EVENT_ERROR;
 
 			if (ran && repeats) {
 				EXPECT_TRUE(state.repeatable);
 				EXPECT_EQ(budget.asked, 1);
 			}
-			if (step == VERDICT_REFUSE) {
+			if (step == RETRY_STEP_REFUSE) {
 				EXPECT_FALSE(ran || state.may_have_run);
 				EXPECT_FALSE(state.begun);
 			}
-			if (state.begun && event != VERDICT_ANSWERED) {
-				EXPECT_TRUE(step == VERDICT_RESUME ||
-					    step == VERDICT_CUT ||
-					    step == VERDICT_REMAKE ||
-					    step == VERDICT_PASS);
+			if (state.begun && event != RETRY_EVENT_ANSWERED) {
+				EXPECT_TRUE(
+					step == RETRY_STEP_RESUME ||
+					step == RETRY_STEP_ABORT ||
+					step == RETRY_STEP_RECOMPUTE_INPUTS ||
+					step == RETRY_STEP_FORWARD);
 			}
 			EXPECT_LE(budget.asked, 1);
 		}
@@ -84,10 +85,11 @@
 TEST(Verdict, WhatNeverLeftCostsNoBudget)
 {
 	Budget budget;
-	verdict_state state = fresh(false);
+	retry_state state = fresh(false);
 
-	EXPECT_EQ(verdict_next(&state, VERDICT_NOT_SENT, Budget::take, &budget),
-		  VERDICT_AGAIN);
+	EXPECT_EQ(retry_next_step(&state, RETRY_EVENT_NOT_SENT, Budget::take,
+				  &budget),
+		  RETRY_STEP_RETRY);
 	EXPECT_EQ(budget.asked, 0);
 }
 
@@ -96,18 +98,18 @@
 TEST(Retries, KeepTheBoundInEveryWindow)
 {
 	TestClock clock;
-	retries_options options = { &clock.clock, 0.2, 3, 0 };
-	retries *budget = retries_create(&options);
+	retry_budget_options options = { &clock.clock, 0.2, 3, 0 };
+	retry_budget *budget = retry_budget_create(&options);
 	std::vector<int64_t> requests;
 	std::vector<int64_t> taken;
 
 	for (int i = 0; i < 6000; i++) {
 		clock.now_us += 5000;
 		if (i % 3 == 0 && (i / 600) % 2 == 0) {
-			retries_saw_request(budget, "s");
+			retry_budget_add_request(budget, "s");
 			requests.push_back(clock.now_us);
 		}
-		if (retries_take(budget, "s"))
+		if (retry_budget_take(budget, "s"))
 			taken.push_back(clock.now_us);
 	}
 	ASSERT_GT(taken.size(), 50u);
@@ -121,7 +123,7 @@
 			seen += at > end - 10000000 && at <= end;
 		EXPECT_LE(repeats, 0.2 * seen + 3);
 	}
-	retries_destroy(budget);
+	retry_budget_destroy(budget);
 }
 
 /* ---- dispatchers ---- */
@@ -259,30 +261,35 @@
 /* A burst is over: pieces took long a moment ago, and nothing waits. */
 TEST(Admission, AnEmptyQueueIsNotRefusedForWhatPiecesTook)
 {
-	admission_memory memory = {};
+	admission_piece_time memory = {};
 	admission_request request = {};
 
-	admission_learn(&memory, 2400000, 1000000);
+	admission_record_piece_time(&memory, 2400000, 1000000);
 	request.target_us = 1100000;
-	request.estimate_us = admission_stage_us(&memory, 300000, 1200000);
+	request.estimate_us =
+		admission_estimate_stage_us(&memory, 300000, 1200000);
 	EXPECT_EQ(request.estimate_us, 600000);
-	EXPECT_EQ(admission_refuse_us(&request), 0);
+	EXPECT_EQ(admission_retry_after_us(&request), 0);
 }
 
 /* A burst begins: what is on its way to the queue shows in what pieces take
  * before it shows in the queue. */
 TEST(Admission, WhatPiecesTookCountsUpToTwiceTheQueue)
 {
-	admission_memory memory = {};
-
-	admission_learn(&memory, 500000, 1000000);
-	EXPECT_EQ(admission_stage_us(&memory, 300000, 1900000), 500000);
-	EXPECT_EQ(admission_stage_us(&memory, 200000, 1900000), 400000);
-	EXPECT_EQ(admission_stage_us(&memory, 700000, 1900000), 700000);
-	EXPECT_EQ(admission_stage_us(&memory, 300000, 2100000), 300000);
-	admission_learn(&memory, 900000, 1100000);
+	admission_piece_time memory = {};
+
+	admission_record_piece_time(&memory, 500000, 1000000);
+	EXPECT_EQ(admission_estimate_stage_us(&memory, 300000, 1900000),
+		  500000);
+	EXPECT_EQ(admission_estimate_stage_us(&memory, 200000, 1900000),
+		  400000);
+	EXPECT_EQ(admission_estimate_stage_us(&memory, 700000, 1900000),
+		  700000);
+	EXPECT_EQ(admission_estimate_stage_us(&memory, 300000, 2100000),
+		  300000);
+	admission_record_piece_time(&memory, 900000, 1100000);
 	EXPECT_EQ(memory.took_us, 600000);
-	admission_learn(&memory, 100000, 3000000);
+	admission_record_piece_time(&memory, 100000, 3000000);
 	EXPECT_EQ(memory.took_us, 100000);
 }
 
@@ -295,7 +302,7 @@
 	request.estimate_us = 1000001;
 	for (int i = 0; i < 100; i++) {
 		request.hash = lp_hash_str(std::to_string(i).c_str());
-		int64_t wait_us = admission_refuse_us(&request);
+		int64_t wait_us = admission_retry_after_us(&request);
 
 		EXPECT_GE(wait_us, 250000);
 		EXPECT_LT(wait_us, 1750000);
@@ -303,10 +310,10 @@
 	}
 	EXPECT_GE(waits.size(), 14u);
 	request.estimate_us = 9000000;
-	EXPECT_GE(admission_refuse_us(&request), 1500000);
-	EXPECT_LT(admission_refuse_us(&request), 3000000);
+	EXPECT_GE(admission_retry_after_us(&request), 1500000);
+	EXPECT_LT(admission_retry_after_us(&request), 3000000);
 	request.target_us = 0;
-	EXPECT_EQ(admission_refuse_us(&request), 0);
+	EXPECT_EQ(admission_retry_after_us(&request), 0);
 }
 
 /* ---- patience ---- */
@@ -947,7 +954,7 @@
  * mean over many phases; whoever begins it tells the others. */
 int64_t noticed_after_us(int64_t alone_us, uint32_t members)
 {
-	const int64_t wait_us = watch_pace_wait_us(alone_us, members);
+	const int64_t wait_us = watch_timeout_fleet_us(alone_us, members);
 	const int rounds = 2000;
 	std::mt19937 random(1);
 	std::uniform_int_distribution<int64_t> left(0, wait_us);
@@ -973,15 +980,16 @@
 	int64_t first_us = INT64_MAX;
 
 	for (uint32_t i = 0; i < members; i++) {
-		watch_pace_call call = { alone_us, 0, true, false };
+		watch_timeout_call call = { alone_us, 0, true, false };
 		int64_t at_us = 0;
 
 		/* Members are met during the first call. */
 		while (at_us <= lost_us) {
-			at_us += watch_pace_next_us(&call, drawn(random));
+			at_us += watch_timeout_next_us(&call, drawn(random));
 			call.told = false;
 			call.before_us = call.wait_us;
-			call.wait_us = watch_pace_wait_us(alone_us, members);
+			call.wait_us =
+				watch_timeout_fleet_us(alone_us, members);
 			call.is_fleet = call.wait_us > alone_us;
 		}
 		first_us = std::min(first_us, at_us);
@@ -1009,11 +1017,11 @@
 	const int64_t alone_us = 1500000;
 	const int64_t alone_noticed_us = noticed_after_us(alone_us, 1);
 
-	EXPECT_EQ(watch_pace_wait_us(alone_us, 1), alone_us);
+	EXPECT_EQ(watch_timeout_fleet_us(alone_us, 1), alone_us);
 	for (uint32_t members : { 2u, 3u, 5u, 27u, 300u })
 		EXPECT_LT(noticed_after_us(alone_us, members), alone_noticed_us)
 			<< members;
-	EXPECT_EQ(watch_pace_wait_us(alone_us, 27), 3 * alone_us);
+	EXPECT_EQ(watch_timeout_fleet_us(alone_us, 27), 3 * alone_us);
 }
 
 } // namespace
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -42,7 +42,7 @@
 	}
 	void probe(const char *who = "balancer")
 	{
-		drain_probed(it, who);
+		drain_record_probe(it, who);
 	}
 	void begin()
 	{
@@ -50,7 +50,7 @@
 	}
 	drain_state look() const
 	{
-		return drain_look(it);
+		return drain_get_state(it);
 	}
 };
 
@@ -62,7 +62,7 @@
 
 	entry.pass(60000);
 	entry.probe();
-	EXPECT_EQ(entry.look(), DRAIN_NOT_LEAVING);
+	EXPECT_EQ(entry.look(), DRAIN_NOT_DRAINING);
 	entry.begin();
 	entry.pass(50);
 	entry.probe();
--- a/tests/watch_keeper_test.cc
+++ b/tests/watch_keeper_test.cc
@@ -40,21 +40,21 @@
 	void end()
 	{
 		watching = false;
-		act(watch_keeper_ended(&keeper));
+		act(watch_keeper_on_ended(&keeper));
 	}
 	void fire()
 	{
 		timer = false;
-		act(watch_keeper_timer_fired(&keeper));
+		act(watch_keeper_on_timer(&keeper));
 	}
 	void probe_fails()
 	{
-		watch_keeper_probe_failed(&keeper);
+		watch_keeper_on_probe_failed(&keeper);
 		check();
 	}
 	void answers(bool silent)
 	{
-		act(watch_keeper_answered(&keeper, silent));
+		act(watch_keeper_on_answer(&keeper, silent));
 	}
 };
 
