--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -18,8 +18,8 @@
 #include "policy/patience.h"
 #include "policy/pieces.h"
 #include "policy/remaining.h"
-#include "policy/retries.h"
-#include "policy/verdict.h"
+#include "policy/retry.h"
+#include "policy/retry_budget.h"
 
 /** Part of an engine's memory that is believed to hold prompts. */
 #define DIRECT_MEMORY_SHARE 0.8
--- a/policy/verdict.c
+++ b/policy/retry.c
@@ -1,4 +1,4 @@
-#include "policy/verdict.h"
+#include "policy/retry.h"
 
 /* Upstreams that one request is moved over when none has run it. */
 #define MOVES_MAX 4
--- a/policy/verdict.h
+++ b/policy/retry.h
@@ -6,8 +6,8 @@
  * certain "not run". And a refusal that says "not run" is given only if
  * nothing that was sent can have run.
  */
-#ifndef VERDICT_H
-#define VERDICT_H
+#ifndef RETRY_H
+#define RETRY_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/policy/retries.c
+++ b/policy/retry_budget.c
@@ -1,4 +1,4 @@
-#include "policy/retries.h"
+#include "policy/retry_budget.h"
 
 #include <glib.h>
 
--- a/policy/retries.h
+++ b/policy/retry_budget.h
@@ -5,8 +5,8 @@
  * window. Entries do not ask each other; each keeps to its own requests and
  * to a share of the slack.
  */
-#ifndef RETRIES_H
-#define RETRIES_H
+#ifndef RETRY_BUDGET_H
+#define RETRY_BUDGET_H
 
 #include "base/lp_clock.h"
 
--- a/policy/watch_pace.c
+++ b/policy/watch_timeout.c
@@ -1,4 +1,4 @@
-#include "policy/watch_pace.h"
+#include "policy/watch_timeout.h"
 
 #include <glib.h>
 
--- a/policy/watch_pace.h
+++ b/policy/watch_timeout.h
@@ -13,8 +13,8 @@
  * a change is told to all. So the first call after that waits for a part of the
  * time that each entry draws.
  */
-#ifndef WATCH_PACE_H
-#define WATCH_PACE_H
+#ifndef WATCH_TIMEOUT_H
+#define WATCH_TIMEOUT_H
 
 #include <stdbool.h>
 #include <stdint.h>
