--- a/agent/agent.c
+++ b/agent/agent.c
@@ -388,8 +388,8 @@
 	lp_log(LP_LOG_INFO, "agent", NULL,
 	       "ends %" G_GINT64_FORMAT
 	       " ms after leaving (%s): entries %u, told %u, informed %u",
-	       view.leaving_for_us / LP_US_PER_MS, drain_state_name(state),
-	       view.probers, view.told, view.informed);
+	       view.draining_for_us / LP_US_PER_MS, drain_state_name(state),
+	       view.probers, view.notified, view.informed);
 }
 
 /* A call that is on its way from an entry that has not heard is refused, as
@@ -463,8 +463,8 @@
 
 	return drain_create(&(struct drain_options){
 		.clock = node_clock(agent->node),
-		.interval_us = HELLO_SILENT_US,
-		.most_us = (int64_t)(silent_ms * LP_US_PER_MS),
+		.probe_interval_max_us = HELLO_SILENT_US,
+		.max_us = (int64_t)(silent_ms * LP_US_PER_MS),
 	});
 }
 
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -180,12 +180,12 @@
 			  !is_suspect(request);
 	struct retry_state state = {
 		.repeatable = repeatable,
-		.resumes = request->route->resumes,
-		.begun = request->begun,
+		.resumable = request->route->resumes,
+		.response_started = request->begun,
 		.may_have_run = request->may_have_run,
-		.runs = request->runs + 1,
-		.runs_max = MAX(request->route->attempts_max, 1),
-		.moves = request->moves,
+		.executions = request->runs + 1,
+		.executions_max = MAX(request->route->attempts_max, 1),
+		.attempts = request->moves,
 		.has_time = direct_request_now_us(request) + TRY_MIN_US <
 			    request->give_up_us,
 	};
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -227,9 +227,9 @@
 	       "%u probers, %u told, %u informed; first told after "
 	       "%" G_GINT64_FORMAT " ms, last probe %" G_GINT64_FORMAT
 	       " ms ago",
-	       view.leaving_for_us / LP_US_PER_MS, drain_state_name(state),
-	       view.probers, view.told, view.informed,
-	       age_ms(view.told_first_us), age_ms(view.probed_age_us));
+	       view.draining_for_us / LP_US_PER_MS, drain_state_name(state),
+	       view.probers, view.notified, view.informed,
+	       age_ms(view.first_notified_us), age_ms(view.last_probe_age_us));
 }
 
 static void check_leaving(struct entry *entry)
@@ -383,11 +383,13 @@
 
 	return drain_create(&(struct drain_options){
 		.clock = node_clock(entry->node),
-		.least_us = settings->drain_wait_ms * LP_US_PER_MS,
+		.min_us = settings->drain_wait_ms * LP_US_PER_MS,
 		.settle_us = settings->drain_wait_ms * LP_US_PER_MS,
-		.interval_us = settings->probe_interval_ms * LP_US_PER_MS,
-		.first_us = settings->probe_interval_ms * LP_US_PER_MS,
-		.most_us = listen_at_most_us(settings),
+		.probe_interval_max_us =
+			settings->probe_interval_ms * LP_US_PER_MS,
+		.first_probe_max_us =
+			settings->probe_interval_ms * LP_US_PER_MS,
+		.max_us = listen_at_most_us(settings),
 	});
 }
 
--- a/policy/admission.c
+++ b/policy/admission.c
@@ -21,17 +21,17 @@
 
 static bool is_fresh(const struct admission_piece_time *memory, int64_t now_us)
 {
-	return memory->at_us && now_us - memory->at_us <= LEARNT_US;
+	return memory->updated_us && now_us - memory->updated_us <= LEARNT_US;
 }
 
 void admission_record_piece_time(struct admission_piece_time *memory,
 				 int64_t took_us, int64_t now_us)
 {
 	if (is_fresh(memory, now_us))
-		memory->took_us += (took_us - memory->took_us) / LEARN_PARTS;
+		memory->mean_us += (took_us - memory->mean_us) / LEARN_PARTS;
 	else
-		memory->took_us = took_us;
-	memory->at_us = now_us;
+		memory->mean_us = took_us;
+	memory->updated_us = now_us;
 }
 
 int64_t admission_estimate_stage_us(const struct admission_piece_time *memory,
@@ -40,7 +40,7 @@
 	if (!is_fresh(memory, now_us))
 		return queue_us;
 	return MAX(queue_us,
-		   MIN(memory->took_us, LEARNT_QUEUES_MAX * queue_us));
+		   MIN(memory->mean_us, LEARNT_QUEUES_MAX * queue_us));
 }
 
 int64_t admission_retry_after_us(const struct admission_request *request)
--- a/policy/admission.h
+++ b/policy/admission.h
@@ -13,8 +13,8 @@
 
 /** How long the pieces of one rank took lately; all zero: nothing learnt. */
 struct admission_piece_time {
-	int64_t took_us; /**< fading mean */
-	int64_t at_us;	 /**< when it was heard last */
+	int64_t mean_us;    /**< fading mean */
+	int64_t updated_us; /**< when it was heard last */
 };
 
 /** Pieces that were asked for in time took so long. */
--- a/policy/drain.c
+++ b/policy/drain.c
@@ -103,7 +103,7 @@
 static bool has_say(const struct drain *drain, const struct prober *prober)
 {
 	return prober->probed_us >=
-	       drain->begun_us - drain->options.interval_us;
+	       drain->begun_us - drain->options.probe_interval_max_us;
 }
 
 static bool is_informed(const struct prober *prober)
@@ -120,8 +120,8 @@
 /* It may not have been found by its balancer yet. */
 static bool is_new(const struct drain *drain)
 {
-	return !drain->count &&
-	       now_us(drain) - drain->created_us < drain->options.first_us;
+	return !drain->count && now_us(drain) - drain->created_us <
+					drain->options.first_probe_max_us;
 }
 
 /* What the probers have been told, whatever the time. */
@@ -150,10 +150,10 @@
 
 	if (!drain->begun)
 		return DRAIN_NOT_DRAINING;
-	if (since_us < drain->options.least_us)
+	if (since_us < drain->options.min_us)
 		return DRAIN_WAITING;
 	state = judge(drain);
-	if (state == DRAIN_WAITING && since_us >= drain->options.most_us)
+	if (state == DRAIN_WAITING && since_us >= drain->options.max_us)
 		return DRAIN_TIMEOUT;
 	return state;
 }
@@ -172,9 +172,10 @@
 	int64_t probed_us = INT64_MIN;
 	int64_t told_us = INT64_MAX;
 
-	*out = (struct drain_view){ .probed_age_us = -1, .told_first_us = -1 };
+	*out = (struct drain_view){ .last_probe_age_us = -1,
+				    .first_notified_us = -1 };
 	if (drain->begun)
-		out->leaving_for_us = now_us(drain) - drain->begun_us;
+		out->draining_for_us = now_us(drain) - drain->begun_us;
 	for (uint32_t i = 0; i < drain->count; i++) {
 		const struct prober *prober = &drain->probers[i];
 
@@ -185,11 +186,11 @@
 		out->informed += is_informed(prober);
 		if (!prober->answers)
 			continue;
-		out->told++;
+		out->notified++;
 		told_us = MIN(told_us, prober->told_us);
 	}
 	if (drain->count)
-		out->probed_age_us = now_us(drain) - probed_us;
-	if (out->told)
-		out->told_first_us = told_us - drain->begun_us;
+		out->last_probe_age_us = now_us(drain) - probed_us;
+	if (out->notified)
+		out->first_notified_us = told_us - drain->begun_us;
 }
--- a/policy/drain.h
+++ b/policy/drain.h
@@ -28,11 +28,13 @@
 
 struct drain_options {
 	const struct lp_clock *clock;
-	int64_t least_us;    /**< listen for so long after leaving */
-	int64_t settle_us;   /**< and after each prober was told first */
-	int64_t interval_us; /**< longest time between probes of a prober */
-	int64_t first_us;    /**< the first probe comes within this life time */
-	int64_t most_us;     /**< after leaving: stop listening in any case */
+	int64_t min_us;	   /**< listen for so long after leaving */
+	int64_t settle_us; /**< and after each prober was told first */
+	int64_t probe_interval_max_us; /**< longest time between probes of a
+					  prober */
+	int64_t first_probe_max_us; /**< the first probe comes within this life
+				       time */
+	int64_t max_us; /**< after leaving: stop listening in any case */
 };
 
 enum drain_state {
@@ -45,12 +47,12 @@
 
 /** What a decision went by, for log lines. Ages are -1 for "never". */
 struct drain_view {
-	int64_t leaving_for_us;
-	uint32_t probers;      /**< that have a say */
-	uint32_t told;	       /**< of these */
-	uint32_t informed;     /**< of these */
-	int64_t probed_age_us; /**< the last probe of anyone */
-	int64_t told_first_us; /**< after leaving, whoever was told first */
+	int64_t draining_for_us;
+	uint32_t probers;	   /**< that have a say */
+	uint32_t notified;	   /**< of these */
+	uint32_t informed;	   /**< of these */
+	int64_t last_probe_age_us; /**< the last probe of anyone */
+	int64_t first_notified_us; /**< after leaving, whoever was told first */
 };
 
 /** The process's life begins now. */
--- a/policy/retry.c
+++ b/policy/retry.c
@@ -6,7 +6,7 @@
 static enum retry_step give_up(const struct retry_state *state,
 			       bool may_have_run)
 {
-	if (state->begun)
+	if (state->response_started)
 		return RETRY_STEP_ABORT;
 	return may_have_run ? RETRY_STEP_FAIL : RETRY_STEP_REFUSE;
 }
@@ -16,21 +16,21 @@
 				     bool (*take)(void *userdata),
 				     void *userdata)
 {
-	if (state->moves >= MOVES_MAX || !state->has_time)
+	if (state->attempts >= MOVES_MAX || !state->has_time)
 		return give_up(state, state->may_have_run);
 	/* What never left us is no arrival and costs no budget. */
 	if (event != RETRY_EVENT_NOT_SENT && !take(userdata))
 		return give_up(state, state->may_have_run);
 	if (event == RETRY_EVENT_INPUT_LOST)
 		return RETRY_STEP_RECOMPUTE_INPUTS;
-	return state->begun ? RETRY_STEP_RESUME : RETRY_STEP_RETRY;
+	return state->response_started ? RETRY_STEP_RESUME : RETRY_STEP_RETRY;
 }
 
 static bool may_repeat(const struct retry_state *state,
 		       bool (*take)(void *userdata), void *userdata)
 {
 	if (!state->repeatable || !state->has_time ||
-	    state->runs >= state->runs_max)
+	    state->executions >= state->executions_max)
 		return false;
 	return take(userdata);
 }
@@ -47,16 +47,17 @@
 	case RETRY_EVENT_INPUT_LOST:
 		return after_not_run(state, event, take, userdata);
 	case RETRY_EVENT_ERROR:
-		if (state->begun) /* no place is left for another answer */
+		if (state->response_started) /* no place is left for another
+						answer */
 			break;
 		return may_repeat(state, take, userdata) ? RETRY_STEP_RETRY
 							 : RETRY_STEP_FORWARD;
 	case RETRY_EVENT_BROKEN:
 		break;
 	}
-	if (state->begun && !state->resumes)
+	if (state->response_started && !state->resumable)
 		return RETRY_STEP_ABORT;
 	if (!may_repeat(state, take, userdata))
 		return give_up(state, true);
-	return state->begun ? RETRY_STEP_RESUME : RETRY_STEP_RETRY;
+	return state->response_started ? RETRY_STEP_RESUME : RETRY_STEP_RETRY;
 }
--- a/policy/retry.h
+++ b/policy/retry.h
@@ -35,14 +35,16 @@
 };
 
 struct retry_state {
-	bool repeatable;   /**< may run more than once */
-	bool resumes;	   /**< a stream that may go on elsewhere */
-	bool begun;	   /**< a part of the answer has reached the caller */
-	bool may_have_run; /**< by what was sent before this event */
-	uint32_t runs;	   /**< sendings that may have run, this one included */
-	uint32_t runs_max;
-	uint32_t moves; /**< sendings so far */
-	bool has_time;	/**< a further try can still be of use */
+	bool repeatable;       /**< may run more than once */
+	bool resumable;	       /**< a stream that may go on elsewhere */
+	bool response_started; /**< a part of the answer has reached the caller
+				*/
+	bool may_have_run;     /**< by what was sent before this event */
+	uint32_t executions; /**< sendings that may have run, this one included
+			      */
+	uint32_t executions_max;
+	uint32_t attempts; /**< sendings so far */
+	bool has_time;	   /**< a further try can still be of use */
 };
 
 /**
--- a/policy/watch_timeout.c
+++ b/policy/watch_timeout.c
@@ -24,7 +24,7 @@
 	double part = PART_LEAST + (1.0 - PART_LEAST) * drawn;
 
 	if (!call->is_fleet ||
-	    (!call->told && call->wait_us == call->before_us))
+	    (!call->had_change && call->wait_us == call->previous_wait_us))
 		return call->wait_us;
 	return (int64_t)(part * (double)call->wait_us);
 }
--- a/policy/watch_timeout.h
+++ b/policy/watch_timeout.h
@@ -25,10 +25,11 @@
 
 /** A call that is about to wait. */
 struct watch_timeout_call {
-	int64_t wait_us;   /**< by watch_timeout_fleet_us() */
-	int64_t before_us; /**< the same at the call before; 0: none was */
-	bool told;	   /**< that one told a change: others' did, too */
-	bool is_fleet;	   /**< others notice what we do not */
+	int64_t wait_us;	  /**< by watch_timeout_fleet_us() */
+	int64_t previous_wait_us; /**< the same at the call before; 0: none was
+				   */
+	bool had_change; /**< that one told a change: others' did, too */
+	bool is_fleet;	 /**< others notice what we do not */
 };
 
 /** How long it waits; `drawn`: from 0 to 1, by chance. */
--- a/tests/direct_policy_test.cc
+++ b/tests/direct_policy_test.cc
@@ -33,9 +33,9 @@
 	retry_state state = {};
 
 	state.repeatable = repeatable;
-	state.runs = 1;
-	state.runs_max = 2;
-	state.moves = 1;
+	state.executions = 1;
+	state.executions_max = 2;
+	state.attempts = 1;
 	state.has_time = true;
 	return state;
 }
@@ -50,11 +50,11 @@
 			Budget budget;
 			retry_state state = fresh(bits & 1);
 
-			state.resumes = (bits & 2) && state.repeatable;
-			state.begun = bits & 4;
+			state.resumable = (bits & 2) && state.repeatable;
+			state.response_started = bits & 4;
 			state.may_have_run = bits & 8;
 			state.has_time = bits & 16;
-			state.moves = bits & 32 ? 9 : 1;
+			state.attempts = bits & 32 ? 9 : 1;
 			budget.has = bits & 64;
 			auto step = retry_next_step(&state, (retry_event)event,
 						    Budget::take, &budget);
@@ -69,9 +69,10 @@
 			}
 			if (step == RETRY_STEP_REFUSE) {
 				EXPECT_FALSE(ran || state.may_have_run);
-				EXPECT_FALSE(state.begun);
+				EXPECT_FALSE(state.response_started);
 			}
-			if (state.begun && event != RETRY_EVENT_ANSWERED) {
+			if (state.response_started &&
+			    event != RETRY_EVENT_ANSWERED) {
 				EXPECT_TRUE(
 					step == RETRY_STEP_RESUME ||
 					step == RETRY_STEP_ABORT ||
@@ -288,9 +289,9 @@
 	EXPECT_EQ(admission_estimate_stage_us(&memory, 300000, 2100000),
 		  300000);
 	admission_record_piece_time(&memory, 900000, 1100000);
-	EXPECT_EQ(memory.took_us, 600000);
+	EXPECT_EQ(memory.mean_us, 600000);
 	admission_record_piece_time(&memory, 100000, 3000000);
-	EXPECT_EQ(memory.took_us, 100000);
+	EXPECT_EQ(memory.mean_us, 100000);
 }
 
 TEST(Admission, RefusedCallersComeBackApartAndNotTooLate)
@@ -986,8 +987,8 @@
 		/* Members are met during the first call. */
 		while (at_us <= lost_us) {
 			at_us += watch_timeout_next_us(&call, drawn(random));
-			call.told = false;
-			call.before_us = call.wait_us;
+			call.had_change = false;
+			call.previous_wait_us = call.wait_us;
 			call.wait_us =
 				watch_timeout_fleet_us(alone_us, members);
 			call.is_fleet = call.wait_us > alone_us;
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -203,18 +203,18 @@
 	entry.begin();
 	drain_get_view(entry.it, &view);
 	EXPECT_EQ(view.probers, 0u);
-	EXPECT_EQ(view.probed_age_us, -1);
-	EXPECT_EQ(view.told_first_us, -1);
+	EXPECT_EQ(view.last_probe_age_us, -1);
+	EXPECT_EQ(view.first_notified_us, -1);
 	entry.pass(20);
 	entry.probe();
 	entry.pass(30);
 	drain_get_view(entry.it, &view);
-	EXPECT_EQ(view.leaving_for_us, 50 * LP_US_PER_MS);
+	EXPECT_EQ(view.draining_for_us, 50 * LP_US_PER_MS);
 	EXPECT_EQ(view.probers, 1u);
-	EXPECT_EQ(view.told, 1u);
+	EXPECT_EQ(view.notified, 1u);
 	EXPECT_EQ(view.informed, 0u);
-	EXPECT_EQ(view.probed_age_us, 30 * LP_US_PER_MS);
-	EXPECT_EQ(view.told_first_us, 20 * LP_US_PER_MS);
+	EXPECT_EQ(view.last_probe_age_us, 30 * LP_US_PER_MS);
+	EXPECT_EQ(view.first_notified_us, 20 * LP_US_PER_MS);
 }
 
 /* Any order of probes: a listener that may close has told every prober that
