--- a/policy/drain.c
+++ b/policy/drain.c
@@ -3,24 +3,26 @@
 #include <glib.h>
 #include <string.h>
 
-/* Entries of an agent, or balancers and monitors of an entry; of more, the one
- * that was silent longest is forgotten. */
+/* Probers are the entries that call an agent, or the balancers and monitors of
+ * an entry. Beyond this number the one that has been silent longest is dropped.
+ */
 #define PROBERS_MAX 256
-/* "Not ready" answers after which a prober has read one: it probed again. */
+/* "Not ready" answers given to a prober after which it has read one: it has
+ * probed again. */
 #define ANSWERS_TO_INFORM 2
 
 struct prober {
 	char *name;
-	int64_t probed_us; /* last */
-	int64_t told_us;   /* first "not ready" answer */
-	uint32_t answers;  /* "not ready" */
+	int64_t last_probe_us;
+	int64_t first_notified_us;
+	uint32_t not_ready_answers;
 };
 
 struct drain {
 	struct drain_options options;
 	int64_t created_us;
-	int64_t begun_us;
-	bool begun;
+	int64_t started_us;
+	bool started;
 	struct prober probers[PROBERS_MAX];
 	uint32_t count;
 };
@@ -50,13 +52,13 @@
 
 void drain_begin(struct drain *drain)
 {
-	if (drain->begun)
+	if (drain->started)
 		return;
-	drain->begun = true;
-	drain->begun_us = now_us(drain);
+	drain->started = true;
+	drain->started_us = now_us(drain);
 }
 
-static struct prober *find(struct drain *drain, const char *name)
+static struct prober *find_prober(struct drain *drain, const char *name)
 {
 	for (uint32_t i = 0; i < drain->count; i++)
 		if (!strcmp(drain->probers[i].name, name))
@@ -64,21 +66,21 @@
 	return NULL;
 }
 
-static struct prober *most_silent(struct drain *drain)
+static struct prober *longest_silent_prober(struct drain *drain)
 {
 	struct prober *found = &drain->probers[0];
 
 	for (uint32_t i = 1; i < drain->count; i++)
-		if (drain->probers[i].probed_us < found->probed_us)
+		if (drain->probers[i].last_probe_us < found->last_probe_us)
 			found = &drain->probers[i];
 	return found;
 }
 
-static struct prober *add(struct drain *drain, const char *name)
+static struct prober *add_prober(struct drain *drain, const char *name)
 {
 	struct prober *prober = drain->count < PROBERS_MAX
 					? &drain->probers[drain->count++]
-					: most_silent(drain);
+					: longest_silent_prober(drain);
 
 	g_free(prober->name);
 	*prober = (struct prober){ .name = g_strdup(name) };
@@ -87,52 +89,55 @@
 
 void drain_record_probe(struct drain *drain, const char *name)
 {
-	struct prober *prober = find(drain, name);
+	struct prober *prober = find_prober(drain, name);
 
 	if (!prober)
-		prober = add(drain, name);
-	prober->probed_us = now_us(drain);
-	if (!drain->begun)
+		prober = add_prober(drain, name);
+	prober->last_probe_us = now_us(drain);
+	if (!drain->started)
 		return;
-	if (!prober->answers)
-		prober->told_us = prober->probed_us;
-	prober->answers++;
+	if (!prober->not_ready_answers)
+		prober->first_notified_us = prober->last_probe_us;
+	prober->not_ready_answers++;
 }
 
-/* It was probing when the process began to leave, or has begun since. */
-static bool has_say(const struct drain *drain, const struct prober *prober)
+/* Whether the prober was probing when draining started, or has started since.
+ */
+static bool is_active(const struct drain *drain, const struct prober *prober)
 {
-	return prober->probed_us >=
-	       drain->begun_us - drain->options.probe_interval_max_us;
+	return prober->last_probe_us >=
+	       drain->started_us - drain->options.probe_interval_max_us;
 }
 
 static bool is_informed(const struct prober *prober)
 {
-	return prober->answers >= ANSWERS_TO_INFORM;
+	return prober->not_ready_answers >= ANSWERS_TO_INFORM;
 }
 
 static bool has_settled(const struct drain *drain, const struct prober *prober)
 {
 	return is_informed(prober) &&
-	       now_us(drain) - prober->told_us >= drain->options.settle_us;
+	       now_us(drain) - prober->first_notified_us >=
+		       drain->options.settle_us;
 }
 
-/* It may not have been found by its balancer yet. */
-static bool is_new(const struct drain *drain)
+/* Whether the process is so young that its balancer may not have probed it yet.
+ */
+static bool awaits_first_probe(const struct drain *drain)
 {
 	return !drain->count && now_us(drain) - drain->created_us <
 					drain->options.first_probe_max_us;
 }
 
-/* What the probers have been told, whatever the time. */
-static enum drain_state judge(const struct drain *drain)
+/* The state by the answers given to probers, apart from time limits. */
+static enum drain_state state_of_probers(const struct drain *drain)
 {
 	uint32_t probers = 0;
 
 	for (uint32_t i = 0; i < drain->count; i++) {
 		const struct prober *prober = &drain->probers[i];
 
-		if (!has_say(drain, prober))
+		if (!is_active(drain, prober))
 			continue;
 		if (!has_settled(drain, prober))
 			return DRAIN_WAITING;
@@ -140,20 +145,20 @@
 	}
 	if (probers)
 		return DRAIN_INFORMED;
-	return is_new(drain) ? DRAIN_WAITING : DRAIN_UNPROBED;
+	return awaits_first_probe(drain) ? DRAIN_WAITING : DRAIN_UNPROBED;
 }
 
 enum drain_state drain_get_state(const struct drain *drain)
 {
-	int64_t since_us = now_us(drain) - drain->begun_us;
+	int64_t draining_us = now_us(drain) - drain->started_us;
 	enum drain_state state;
 
-	if (!drain->begun)
+	if (!drain->started)
 		return DRAIN_NOT_DRAINING;
-	if (since_us < drain->options.min_us)
+	if (draining_us < drain->options.min_us)
 		return DRAIN_WAITING;
-	state = judge(drain);
-	if (state == DRAIN_WAITING && since_us >= drain->options.max_us)
+	state = state_of_probers(drain);
+	if (state == DRAIN_WAITING && draining_us >= drain->options.max_us)
 		return DRAIN_TIMEOUT;
 	return state;
 }
@@ -169,28 +174,29 @@
 
 void drain_get_view(const struct drain *drain, struct drain_view *out)
 {
-	int64_t probed_us = INT64_MIN;
-	int64_t told_us = INT64_MAX;
+	int64_t last_probe_us = INT64_MIN;
+	int64_t first_notified_us = INT64_MAX;
 
 	*out = (struct drain_view){ .last_probe_age_us = -1,
 				    .first_notified_us = -1 };
-	if (drain->begun)
-		out->draining_for_us = now_us(drain) - drain->begun_us;
+	if (drain->started)
+		out->draining_for_us = now_us(drain) - drain->started_us;
 	for (uint32_t i = 0; i < drain->count; i++) {
 		const struct prober *prober = &drain->probers[i];
 
-		probed_us = MAX(probed_us, prober->probed_us);
-		if (!has_say(drain, prober))
+		last_probe_us = MAX(last_probe_us, prober->last_probe_us);
+		if (!is_active(drain, prober))
 			continue;
 		out->probers++;
 		out->informed += is_informed(prober);
-		if (!prober->answers)
+		if (!prober->not_ready_answers)
 			continue;
 		out->notified++;
-		told_us = MIN(told_us, prober->told_us);
+		first_notified_us =
+			MIN(first_notified_us, prober->first_notified_us);
 	}
 	if (drain->count)
-		out->last_probe_age_us = now_us(drain) - probed_us;
+		out->last_probe_age_us = now_us(drain) - last_probe_us;
 	if (out->notified)
-		out->first_notified_us = told_us - drain->begun_us;
+		out->first_notified_us = first_notified_us - drain->started_us;
 }
