--- a/policy/retry.h
+++ b/policy/retry.h
@@ -1,10 +1,12 @@
 /**
- * What follows when a request that was sent to an upstream ends there: pass
- * the answer on, try again, resume, refuse, fail or cut.
+ * Retry policy: the next step after an attempt to run a request at an upstream
+ * has ended.
  *
- * Keeps two promises. What may run at most once is sent again only after a
- * certain "not run". And a refusal that says "not run" is given only if
- * nothing that was sent can have run.
+ * It guarantees two things. A request that may run at most once is sent again
+ * only if it is certain that it has not run. And the caller gets a refusal,
+ * which says "not run", only if no attempt can have run.
+ *
+ * The functions keep no state.
  */
 #ifndef RETRY_H
 #define RETRY_H
@@ -12,47 +14,49 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** How one sending ended. */
+/** How an attempt ended. */
 enum retry_event {
-	RETRY_EVENT_NOT_SENT, /**< no byte left: it cannot have run */
-	RETRY_EVENT_NOT_RUN,  /**< the upstream says so */
-	RETRY_EVENT_ANSWERED, /**< a whole answer that is no failure */
-	RETRY_EVENT_ERROR,    /**< a whole answer: the upstream failed */
-	RETRY_EVENT_BROKEN,   /**< cut, garbled or given up: it may have run */
-	RETRY_EVENT_INPUT_LOST, /**< not run: results of stages are gone */
+	RETRY_EVENT_NOT_SENT, /**< no byte was sent: it cannot have run */
+	RETRY_EVENT_NOT_RUN,  /**< the upstream answered "not run" */
+	RETRY_EVENT_ANSWERED, /**< a complete answer, no failure */
+	RETRY_EVENT_ERROR,    /**< a complete answer: the upstream failed */
+	/** The answer was cut, garbled or abandoned: it may have run. */
+	RETRY_EVENT_BROKEN,
+	RETRY_EVENT_INPUT_LOST, /**< not run: results of stages are lost */
 };
 
 enum retry_step {
-	RETRY_STEP_FORWARD, /**< the upstream's answer is the answer */
+	RETRY_STEP_FORWARD, /**< pass the upstream's answer on */
 	RETRY_STEP_RETRY,   /**< send to another upstream */
-	RETRY_STEP_RESUME,  /**< send to another, from where the stream broke */
-	RETRY_STEP_RECOMPUTE_INPUTS, /**< make the lost results again, then send
-				      */
-	RETRY_STEP_REFUSE,	     /**< answer "not run" */
-	RETRY_STEP_FAIL,	     /**< answer that it may have run */
-	RETRY_STEP_ABORT, /**< end a begun answer so that it is seen to be cut
-			   */
+	/** Send to another upstream, from where the stream broke off. */
+	RETRY_STEP_RESUME,
+	/** Recompute the lost results of stages, then send again. */
+	RETRY_STEP_RECOMPUTE_INPUTS,
+	RETRY_STEP_REFUSE, /**< answer "not run" */
+	RETRY_STEP_FAIL,   /**< answer that it may have run */
+	/** End a started answer so that the caller sees it is incomplete. */
+	RETRY_STEP_ABORT,
 };
 
 struct retry_state {
-	bool repeatable;       /**< may run more than once */
-	bool resumable;	       /**< a stream that may go on elsewhere */
-	bool response_started; /**< a part of the answer has reached the caller
-				*/
-	bool may_have_run;     /**< by what was sent before this event */
-	uint32_t executions; /**< sendings that may have run, this one included
-			      */
+	bool repeatable; /**< may run more than once */
+	bool resumable;	 /**< a stream that another upstream can continue */
+	bool response_started; /**< a part was sent to the caller */
+	bool may_have_run;     /**< an earlier attempt may have run */
+	/** Attempts that may have run, this one included. */
+	uint32_t executions;
 	uint32_t executions_max;
-	uint32_t attempts; /**< sendings so far */
-	bool has_time;	   /**< a further try can still be of use */
+	uint32_t attempts; /**< so far */
+	bool has_time;	   /**< the deadline allows a further attempt */
 };
 
 /**
- * `take` asks the retry budget, once and only if a repeat is wanted that
- * costs it.
+ * `take_budget` takes one retry out of the budget and returns whether there was
+ * one; it is called at most once, and only for a retry that costs budget.
  */
 enum retry_step retry_next_step(const struct retry_state *state,
 				enum retry_event event,
-				bool (*take)(void *userdata), void *userdata);
+				bool (*take_budget)(void *userdata),
+				void *userdata);
 
 #endif
