--- a/policy/retry_budget.c
+++ b/policy/retry_budget.c
@@ -2,24 +2,25 @@
 
 #include <glib.h>
 
-/* Parts of a window that are counted apart. */
-#define PARTS 10
+/* Slots of a window, each with counts of its own. */
+#define WINDOW_SLOTS 10
 #define DEFAULT_WINDOW_US (10 * LP_US_PER_S)
 
-struct part {
-	int64_t number; /* of the part since the clock's origin */
+struct slot {
+	int64_t number; /* slots since the clock's origin */
 	uint32_t requests;
-	uint32_t repeats;
+	uint32_t retries;
 };
 
-/* One more part than the window has: the bound is on any window. */
-struct account {
-	struct part parts[PARTS + 1];
+/* Counts of one service. One slot more than a window has, as the bound holds in
+ * any window, not only in those that begin with a slot. */
+struct usage {
+	struct slot slots[WINDOW_SLOTS + 1];
 };
 
 struct retry_budget {
 	struct retry_budget_options options;
-	GHashTable *accounts; /* service -> struct account */
+	GHashTable *usages; /* service -> struct usage */
 };
 
 struct retry_budget *
@@ -30,7 +31,7 @@
 	retry_budget->options = *options;
 	if (!retry_budget->options.window_us)
 		retry_budget->options.window_us = DEFAULT_WINDOW_US;
-	retry_budget->accounts =
+	retry_budget->usages =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return retry_budget;
 }
@@ -39,7 +40,7 @@
 {
 	if (!retry_budget)
 		return;
-	g_hash_table_unref(retry_budget->accounts);
+	g_hash_table_unref(retry_budget->usages);
 	g_free(retry_budget);
 }
 
@@ -50,64 +51,63 @@
 	retry_budget->options.slack = slack;
 }
 
-static int64_t part_number(const struct retry_budget *retry_budget)
+static int64_t slot_number(const struct retry_budget *retry_budget)
 {
 	return lp_now_us(retry_budget->options.clock) /
-	       (retry_budget->options.window_us / PARTS);
+	       (retry_budget->options.window_us / WINDOW_SLOTS);
 }
 
-static struct account *account_of(struct retry_budget *retry_budget,
-				  const char *service)
+static struct usage *usage_of(struct retry_budget *retry_budget,
+			      const char *service)
 {
-	struct account *account =
-		g_hash_table_lookup(retry_budget->accounts, service);
+	struct usage *usage =
+		g_hash_table_lookup(retry_budget->usages, service);
 
-	if (!account) {
-		account = g_new0(struct account, 1);
-		g_hash_table_insert(retry_budget->accounts, g_strdup(service),
-				    account);
+	if (!usage) {
+		usage = g_new0(struct usage, 1);
+		g_hash_table_insert(retry_budget->usages, g_strdup(service),
+				    usage);
 	}
-	return account;
+	return usage;
 }
 
-static struct part *current_part(struct retry_budget *retry_budget,
-				 struct account *account)
+static struct slot *current_slot(struct retry_budget *retry_budget,
+				 struct usage *usage)
 {
-	int64_t number = part_number(retry_budget);
-	struct part *part = &account->parts[number % (PARTS + 1)];
+	int64_t number = slot_number(retry_budget);
+	struct slot *slot = &usage->slots[number % (WINDOW_SLOTS + 1)];
 
-	if (part->number != number)
-		*part = (struct part){ .number = number };
-	return part;
+	if (slot->number != number)
+		*slot = (struct slot){ .number = number };
+	return slot;
 }
 
 void retry_budget_add_request(struct retry_budget *retry_budget,
 			      const char *service)
 {
-	current_part(retry_budget, account_of(retry_budget, service))
-		->requests++;
+	current_slot(retry_budget, usage_of(retry_budget, service))->requests++;
 }
 
 bool retry_budget_take(struct retry_budget *retry_budget, const char *service)
 {
-	struct account *account = account_of(retry_budget, service);
-	struct part *now = current_part(retry_budget, account);
+	struct usage *usage = usage_of(retry_budget, service);
+	struct slot *current = current_slot(retry_budget, usage);
 	uint32_t requests = 0;
-	uint32_t repeats = 0;
+	uint32_t retries = 0;
 
-	for (uint32_t i = 0; i <= PARTS; i++) {
-		const struct part *part = &account->parts[i];
+	for (uint32_t i = 0; i <= WINDOW_SLOTS; i++) {
+		const struct slot *slot = &usage->slots[i];
 
-		if (part->number < now->number - PARTS)
+		if (slot->number < current->number - WINDOW_SLOTS)
 			continue;
-		repeats += part->repeats;
-		/* The oldest part may lie outside of the window. */
-		if (part->number > now->number - PARTS)
-			requests += part->requests;
+		retries += slot->retries;
+		/* Requests of the oldest slot may lie outside of the window. */
+		if (slot->number > current->number - WINDOW_SLOTS)
+			requests += slot->requests;
 	}
-	if (repeats + 1 > retry_budget->options.ratio * requests +
+	if (retries + 1 > retry_budget->options.ratio * requests +
 				  retry_budget->options.slack)
 		return false;
-	now->repeats++;
+	current->retries++;
 	return true;
 }
