--- a/policy/admission.c
+++ b/policy/admission.c
@@ -5,50 +5,54 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/* What pieces took tells of the next ones for about four calls; the newest
- * counts a quarter. */
-#define LEARNT_US (1 * LP_US_PER_S)
-#define LEARN_PARTS 4
-/* What was learnt counts up to so many times the queue's estimate. */
-#define LEARNT_QUEUES_MAX 2
-
-/* A full queue empties within about a call. */
-#define WAIT_MIN_US (250 * LP_US_PER_MS)
-/* The longest that a caller is told to stay away: bursts last some seconds. */
-#define WAIT_MAX_US (1500 * LP_US_PER_MS)
-/* Those that a burst brought together come back apart. */
-#define WAIT_SPREAD_US (1500 * LP_US_PER_MS)
-
-static bool is_fresh(const struct admission_piece_time *memory, int64_t now_us)
+/* Measured piece times predict those of the next ones for about four calls; the
+ * newest one has a weight of a quarter. */
+#define PIECE_TIME_TTL_US (1 * LP_US_PER_S)
+#define SMOOTHING_DIVISOR 4
+/* Measured times count up to this many times the queue's estimate. */
+#define QUEUE_FACTOR_MAX 2
+
+/* A full queue is emptied within about one call. */
+#define RETRY_AFTER_MIN_US (250 * LP_US_PER_MS)
+/* Longest retry delay before the spread: bursts last some seconds. */
+#define RETRY_AFTER_MAX_US (1500 * LP_US_PER_MS)
+/* Spreads the retries of callers that were refused in the same burst. */
+#define RETRY_AFTER_SPREAD_US (1500 * LP_US_PER_MS)
+
+static bool is_fresh(const struct admission_piece_time *piece_time,
+		     int64_t now_us)
 {
-	return memory->updated_us && now_us - memory->updated_us <= LEARNT_US;
+	return piece_time->updated_us &&
+	       now_us - piece_time->updated_us <= PIECE_TIME_TTL_US;
 }
 
-void admission_record_piece_time(struct admission_piece_time *memory,
+void admission_record_piece_time(struct admission_piece_time *piece_time,
 				 int64_t took_us, int64_t now_us)
 {
-	if (is_fresh(memory, now_us))
-		memory->mean_us += (took_us - memory->mean_us) / LEARN_PARTS;
+	if (is_fresh(piece_time, now_us))
+		piece_time->mean_us +=
+			(took_us - piece_time->mean_us) / SMOOTHING_DIVISOR;
 	else
-		memory->mean_us = took_us;
-	memory->updated_us = now_us;
+		piece_time->mean_us = took_us;
+	piece_time->updated_us = now_us;
 }
 
-int64_t admission_estimate_stage_us(const struct admission_piece_time *memory,
-				    int64_t queue_us, int64_t now_us)
+int64_t
+admission_estimate_stage_us(const struct admission_piece_time *piece_time,
+			    int64_t queue_us, int64_t now_us)
 {
-	if (!is_fresh(memory, now_us))
+	if (!is_fresh(piece_time, now_us))
 		return queue_us;
 	return MAX(queue_us,
-		   MIN(memory->mean_us, LEARNT_QUEUES_MAX * queue_us));
+		   MIN(piece_time->mean_us, QUEUE_FACTOR_MAX * queue_us));
 }
 
 int64_t admission_retry_after_us(const struct admission_request *request)
 {
-	int64_t over_us = request->estimate_us - request->target_us;
+	int64_t excess_us = request->estimate_us - request->target_us;
 
-	if (!request->target_us || over_us <= 0)
+	if (!request->target_us || excess_us <= 0)
 		return 0;
-	return CLAMP(over_us, WAIT_MIN_US, WAIT_MAX_US) +
-	       (int64_t)(request->hash % WAIT_SPREAD_US);
+	return CLAMP(excess_us, RETRY_AFTER_MIN_US, RETRY_AFTER_MAX_US) +
+	       (int64_t)(request->hash % RETRY_AFTER_SPREAD_US);
 }
--- a/policy/admission.h
+++ b/policy/admission.h
@@ -1,43 +1,49 @@
 /**
- * Whether a request that needs pieces of stages is let in, and when a caller
- * that is refused comes back.
+ * Admission control for requests that need pieces of stages: which of them are
+ * refused, and after what time their callers are to retry.
  *
- * Answers the burst: more requests come for some seconds than stages can serve
- * in time. Each that is let in makes the others wait, so one that would be
- * late is refused at once, before any work is done for it.
+ * Guards against bursts in which more requests arrive for some seconds than
+ * stages can serve in time. Each admitted request delays the others, so one
+ * that would be late is refused at once, before any work is done for it.
+ *
+ * The caller owns the measured times; there is no other state. All times are in
+ * microseconds.
  */
 #ifndef ADMISSION_H
 #define ADMISSION_H
 
 #include <stdint.h>
 
-/** How long the pieces of one rank took lately; all zero: nothing learnt. */
+/** Measured time of the pieces of one priority class; all zero: none. */
 struct admission_piece_time {
-	int64_t mean_us;    /**< fading mean */
-	int64_t updated_us; /**< when it was heard last */
+	int64_t mean_us;    /**< moving average */
+	int64_t updated_us; /**< last measurement */
 };
 
-/** Pieces that were asked for in time took so long. */
-void admission_record_piece_time(struct admission_piece_time *memory,
+/** Records the time from submission to completion of pieces that were submitted
+ * before their request was late. */
+void admission_record_piece_time(struct admission_piece_time *piece_time,
 				 int64_t took_us, int64_t now_us);
 /**
- * Time until a piece that comes now would be made, by the queue's own estimate
- * and by what pieces took lately.
+ * Expected time until a piece that is submitted now would be completed, from
+ * the queue's estimate and the measured times.
  *
- * The queue counts what waits now; what is on its way to it does not show. What
- * was learnt does, but outlasts the queue, and an empty queue would still
- * refuse: it counts up to twice the queue's estimate.
+ * The queue's estimate does not include pieces that are on their way to it.
+ * Measured times do, but they outlast the queue, so that requests would still
+ * be refused when it is empty: they count up to twice the queue's estimate.
  */
-int64_t admission_estimate_stage_us(const struct admission_piece_time *memory,
-				    int64_t queue_us, int64_t now_us);
+int64_t
+admission_estimate_stage_us(const struct admission_piece_time *piece_time,
+			    int64_t queue_us, int64_t now_us);
 
 struct admission_request {
-	int64_t estimate_us; /**< until its first event, if it is let in now */
-	int64_t target_us;   /**< on time within this; 0: no matter */
-	uint64_t hash;	     /**< of its id: spreads callers out */
+	int64_t estimate_us; /**< time to its first event, if admitted now */
+	int64_t target_us;   /**< latest time to it; 0: none */
+	uint64_t hash;	     /**< of its id: spreads retries */
 };
 
-/** 0: it is let in; else refuse it, its caller comes back after so long. */
+/** 0: the request is admitted; else it is refused, and its caller is to retry
+ * after this time. */
 int64_t admission_retry_after_us(const struct admission_request *request);
 
 #endif
