--- a/policy/watch_keeper.c
+++ b/policy/watch_keeper.c
@@ -1,7 +1,7 @@
 #include "policy/watch_keeper.h"
 
-/* A watch that lasted so long was served. */
-#define SERVED_US (1 * LP_US_PER_S)
+/* A watch that lasted longer resets the count of failures. */
+#define STABLE_WATCH_US (1 * LP_US_PER_S)
 
 static enum watch_keeper_action start(struct watch_keeper *keeper)
 {
@@ -19,7 +19,7 @@
 
 enum watch_keeper_action watch_keeper_on_ended(struct watch_keeper *keeper)
 {
-	if (lp_now_us(keeper->clock) - keeper->started_us > SERVED_US)
+	if (lp_now_us(keeper->clock) - keeper->started_us > STABLE_WATCH_US)
 		keeper->failures = 0;
 	keeper->failures++;
 	if (keeper->unreachable) {
