--- a/policy/watch_timeout.h
+++ b/policy/watch_timeout.h
@@ -1,17 +1,19 @@
 /**
- * How long a call that waits for a change of the configuration may wait.
+ * Timeout of the long-poll calls by which entries watch the configuration.
  *
- * The longer it waits the fewer calls are paid for, and the later an entry
- * alone notices that its call has been lost or forgotten: then it has to begin
- * anew within the time in which a change must be in force. Entries that hear
- * each other tell each other of a change: whoever begins a call next tells the
- * others. So what each waits may grow with the members, as long as their calls
- * begin at times of their own, and one of them still begins a call as often as
- * one alone would, or more often.
+ * A longer timeout means fewer calls to pay for, but an entry notices later
+ * that its call was lost or forgotten by the service: it must start a new one
+ * within the time in which a change has to be in force. Entries that are in
+ * contact report changes to each other, so it is enough if any of them starts a
+ * new call in time. Hence the timeout may grow with the number of members, as
+ * long as their calls start at different times: then the fleet starts calls at
+ * least as often as a single entry would.
  *
- * By themselves they would not: all begin when the fleet starts, and again when
- * a change is told to all. So the first call after that waits for a part of the
- * time that each entry draws.
+ * Calls would otherwise start together, when the fleet starts and whenever a
+ * change is reported to all of them. So the first call after that gets a random
+ * fraction of the timeout.
+ *
+ * The functions keep no state; times are in microseconds.
  */
 #ifndef WATCH_TIMEOUT_H
 #define WATCH_TIMEOUT_H
@@ -19,21 +21,21 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** `alone_us`: what an entry that hears nobody waits; `members`: with itself.
- */
-int64_t watch_timeout_fleet_us(int64_t alone_us, uint32_t members);
+/** The timeout of an entry in a fleet of `members`, itself included.
+ * `single_us`: timeout of an entry without contact to others. */
+int64_t watch_timeout_fleet_us(int64_t single_us, uint32_t members);
 
-/** A call that is about to wait. */
+/** A call that is about to start. */
 struct watch_timeout_call {
 	int64_t wait_us;	  /**< by watch_timeout_fleet_us() */
-	int64_t previous_wait_us; /**< the same at the call before; 0: none was
-				   */
-	bool had_change; /**< that one told a change: others' did, too */
-	bool is_fleet;	 /**< others notice what we do not */
+	int64_t previous_wait_us; /**< of the previous call; 0: none */
+	/** The previous call returned a change, and so did those of others. */
+	bool had_change;
+	bool is_fleet; /**< other entries report changes to this one */
 };
 
-/** How long it waits; `drawn`: from 0 to 1, by chance. */
+/** The timeout of the call; `random`: uniform from 0 to 1. */
 int64_t watch_timeout_next_us(const struct watch_timeout_call *call,
-			      double drawn);
+			      double random);
 
 #endif
