--- a/tests/direct_policy_test.cc
+++ b/tests/direct_policy_test.cc
@@ -1,4 +1,5 @@
-/* Decisions of an entry that calls upstreams directly: no I/O, own time. */
+/* Unit tests of the policies of an entry that calls upstreams directly, without
+ * I/O and on a simulated clock. */
 #include "pool_rig.h"
 
 #include <gtest/gtest.h>
@@ -13,22 +14,22 @@
 namespace
 {
 
-/* ---- verdict ---- */
+/* ---- retry policy ---- */
 
 struct Budget {
-	bool has = true;
-	int asked = 0;
+	bool available = true;
+	int takes = 0;
 
 	static bool take(void *userdata)
 	{
 		auto *budget = static_cast<Budget *>(userdata);
 
-		budget->asked++;
-		return budget->has;
+		budget->takes++;
+		return budget->available;
 	}
 };
 
-retry_state fresh(bool repeatable)
+retry_state make_state(bool repeatable)
 {
 	retry_state state = {};
 
@@ -40,22 +41,22 @@
 	return state;
 }
 
-/* Over all states: what may run once is sent again only after "not run", and
- * "not run" is said only if nothing can have run. */
-TEST(Verdict, KeepsItsTwoPromisesInEveryState)
+/* Tries all states: a request that may run once is sent again only after "not
+ * run", and is refused as "not run" only if no attempt can have run. */
+TEST(Retry, AtMostOnceRunsAndRefusalsAreSafeInEveryState)
 {
 	for (int bits = 0; bits < 128; bits++)
 		for (int event = RETRY_EVENT_NOT_SENT;
 		     event <= RETRY_EVENT_INPUT_LOST; event++) {
 			Budget budget;
-			retry_state state = fresh(bits & 1);
+			retry_state state = make_state(bits & 1);
 
 			state.resumable = (bits & 2) && state.repeatable;
 			state.response_started = bits & 4;
 			state.may_have_run = bits & 8;
 			state.has_time = bits & 16;
 			state.attempts = bits & 32 ? 9 : 1;
-			budget.has = bits & 64;
+			budget.available = bits & 64;
 			auto step = retry_next_step(&state, (retry_event)event,
 						    Budget::take, &budget);
 			bool repeats = step == RETRY_STEP_RETRY ||
@@ -65,7 +66,7 @@
 
 			if (ran && repeats) {
 				EXPECT_TRUE(state.repeatable);
-				EXPECT_EQ(budget.asked, 1);
+				EXPECT_EQ(budget.takes, 1);
 			}
 			if (step == RETRY_STEP_REFUSE) {
 				EXPECT_FALSE(ran || state.may_have_run);
@@ -79,24 +80,24 @@
 					step == RETRY_STEP_RECOMPUTE_INPUTS ||
 					step == RETRY_STEP_FORWARD);
 			}
-			EXPECT_LE(budget.asked, 1);
+			EXPECT_LE(budget.takes, 1);
 		}
 }
 
-TEST(Verdict, WhatNeverLeftCostsNoBudget)
+TEST(Retry, UnsentAttemptCostsNoBudget)
 {
 	Budget budget;
-	retry_state state = fresh(false);
+	retry_state state = make_state(false);
 
 	EXPECT_EQ(retry_next_step(&state, RETRY_EVENT_NOT_SENT, Budget::take,
 				  &budget),
 		  RETRY_STEP_RETRY);
-	EXPECT_EQ(budget.asked, 0);
+	EXPECT_EQ(budget.takes, 0);
 }
 
-/* ---- retries ---- */
+/* ---- retry budget ---- */
 
-TEST(Retries, KeepTheBoundInEveryWindow)
+TEST(RetryBudget, RetriesStayWithinBoundInAnyWindow)
 {
 	TestClock clock;
 	retry_budget_options options = { &clock.clock, 0.2, 3, 0 };
@@ -129,8 +130,9 @@
 
 /* ---- dispatchers ---- */
 
-std::vector<dispatchers_task> tasks_of(std::vector<uint64_t> hashes,
-				       std::vector<dispatchers_member> members)
+std::vector<dispatchers_task>
+assign_tasks(std::vector<uint64_t> hashes,
+	     std::vector<dispatchers_member> members)
 {
 	std::vector<dispatchers_task> tasks;
 
@@ -141,16 +143,16 @@
 	return tasks;
 }
 
-/* Entries list members and services in any order. */
-TEST(Dispatchers, AreTheSameToAllWhoKnowTheSame)
+/* Entries list members and services in different orders. */
+TEST(Dispatchers, AssignmentIsIndependentOfOrder)
 {
 	std::vector<dispatchers_member> members = {
 		{ 11, 500 }, { 12, 500 }, { 13, 90 }, { 14, 400 }, { 15, 0 }
 	};
-	auto one = tasks_of({ 1, 2, 3 }, members);
+	auto one = assign_tasks({ 1, 2, 3 }, members);
 
 	std::reverse(members.begin(), members.end());
-	auto two = tasks_of({ 3, 1, 2 }, members);
+	auto two = assign_tasks({ 3, 1, 2 }, members);
 
 	for (int i = 0; i < 3; i++) {
 		EXPECT_EQ(one[i].hash, two[i].hash);
@@ -158,63 +160,67 @@
 	}
 }
 
-TEST(Dispatchers, AreStrongMembersOneServiceEachFirst)
+TEST(Dispatchers, StrongMembersGetOneServiceEachFirst)
 {
 	std::vector<dispatchers_member> members = {
 		{ 11, 500 }, { 12, 500 }, { 13, 90 }, { 14, 400 }, { 15, 0 }
 	};
 	std::map<uint64_t, int> held;
 
-	for (const auto &task : tasks_of({ 1, 2, 3, 4, 5, 6 }, members))
+	for (const auto &task : assign_tasks({ 1, 2, 3, 4, 5, 6 }, members))
 		held[task.dispatcher]++;
 	EXPECT_EQ(held,
 		  (std::map<uint64_t, int>{ { 11, 2 }, { 12, 2 }, { 14, 2 } }));
 }
 
-TEST(Dispatchers, AreFoundAsLongAsAnyoneTakesWork)
+TEST(Dispatchers, AnyMemberWithCapacityCanDispatch)
 {
-	EXPECT_EQ(tasks_of({ 1 }, { { 15, 0 }, { 13, 90 } })[0].dispatcher,
+	EXPECT_EQ(assign_tasks({ 1 }, { { 15, 0 }, { 13, 90 } })[0].dispatcher,
 		  13u);
-	EXPECT_EQ(tasks_of({ 1 }, { { 15, 0 } })[0].dispatcher, 0u);
-	EXPECT_EQ(tasks_of({ 1 }, {})[0].dispatcher, 0u);
+	EXPECT_EQ(assign_tasks({ 1 }, { { 15, 0 } })[0].dispatcher, 0u);
+	EXPECT_EQ(assign_tasks({ 1 }, {})[0].dispatcher, 0u);
 }
 
-/* One of three that is back from a restart hears both others at once. */
-TEST(Dispatchers, AreAskedOnceAllThatAreKnownWereHeard)
+/* An entry of a fleet of three that restarts gets answers of both others at
+ * once. */
+TEST(Dispatchers, DiscoveryEndsSoonAfterAllKnownMembersAnswered)
 {
 	const int64_t ms = 1000;
-	dispatchers_discovery alone = { 0, 0, false };
-	dispatchers_discovery met = { 0, 15 * ms, false };
-
-	EXPECT_EQ(dispatchers_discovery_left_us(&alone, 40 * ms), 60 * ms);
-	EXPECT_EQ(dispatchers_discovery_left_us(&alone, 100 * ms), 0);
-	EXPECT_EQ(dispatchers_discovery_left_us(&met, 114 * ms), 1 * ms);
-	EXPECT_EQ(dispatchers_discovery_left_us(&met, 115 * ms), 0);
+	dispatchers_discovery none_discovered = { 0, 0, false };
+	dispatchers_discovery discovered = { 0, 15 * ms, false };
+
+	EXPECT_EQ(dispatchers_discovery_left_us(&none_discovered, 40 * ms),
+		  60 * ms);
+	EXPECT_EQ(dispatchers_discovery_left_us(&none_discovered, 100 * ms), 0);
+	EXPECT_EQ(dispatchers_discovery_left_us(&discovered, 114 * ms), 1 * ms);
+	EXPECT_EQ(dispatchers_discovery_left_us(&discovered, 115 * ms), 0);
 }
 
-/* Thirty that start together turn up one after the other for 300 ms; some of
- * those that the settings name may be down. */
-TEST(Dispatchers, AreNotAskedWhileNewMembersTurnUp)
+/* Thirty entries that start together appear one by one during 300 ms; some of
+ * the configured members may be down. */
+TEST(Dispatchers, DiscoveryContinuesWhileNewMembersAppear)
 {
 	const int64_t ms = 1000;
-	dispatchers_discovery meeting = { 0, 0, true };
+	dispatchers_discovery discovery = { 0, 0, true };
 
-	EXPECT_EQ(dispatchers_discovery_left_us(&meeting, 349 * ms), 1 * ms);
+	EXPECT_EQ(dispatchers_discovery_left_us(&discovery, 349 * ms), 1 * ms);
 	for (int64_t at_us = 10 * ms; at_us <= 300 * ms; at_us += 10 * ms) {
 		int64_t later_us = at_us + 99 * ms;
 
-		meeting.last_discovered_us = at_us;
-		meeting.has_silent_members = false;
-		EXPECT_GT(dispatchers_discovery_left_us(&meeting, later_us), 0);
-		meeting.has_silent_members = true;
-		EXPECT_GT(dispatchers_discovery_left_us(&meeting, later_us), 0);
+		discovery.last_discovered_us = at_us;
+		discovery.has_silent_members = false;
+		EXPECT_GT(dispatchers_discovery_left_us(&discovery, later_us),
+			  0);
+		discovery.has_silent_members = true;
+		EXPECT_GT(dispatchers_discovery_left_us(&discovery, later_us),
+			  0);
 	}
-	EXPECT_EQ(dispatchers_discovery_left_us(&meeting, 400 * ms), 0);
-	meeting.last_discovered_us = 690 * ms;
-	EXPECT_EQ(dispatchers_discovery_left_us(&meeting, 700 * ms), 0);
+	EXPECT_EQ(dispatchers_discovery_left_us(&discovery, 400 * ms), 0);
+	discovery.last_discovered_us = 690 * ms;
+	EXPECT_EQ(dispatchers_discovery_left_us(&discovery, 700 * ms), 0);
 }
 
-TEST(Dispatchers, ShareALargeService)
+TEST(Dispatchers, LargeServiceIsSplitIntoShards)
 {
 	EXPECT_EQ(dispatchers_shard_count(0), 1u);
 	EXPECT_EQ(dispatchers_shard_count(32), 1u);
@@ -224,77 +230,81 @@
 
 /* ---- events ---- */
 
-std::string last_id_of(const std::string &text, size_t *whole = nullptr)
+std::string last_event_id(const std::string &text,
+			  size_t *complete_size = nullptr)
 {
 	char *id = nullptr;
 	size_t size = direct_events_whole(text.data(), text.size(), &id);
 	std::string out = id ? id : "none";
 
-	if (whole)
-		*whole = size;
+	if (complete_size)
+		*complete_size = size;
 	g_free(id);
 	return out;
 }
 
-/* Found by reading: an id was looked for anywhere in an event, so a stream
- * would have resumed after whatever its data said. */
-TEST(Events, OnlyALineOfItsOwnIsAnId)
+/* Guards against a fault found in review: the id was searched for anywhere in
+ * an event, so data containing "id:" would have set the point from which a
+ * stream resumes. */
+TEST(Events, IdIsOnlyReadFromItsOwnLine)
 {
-	EXPECT_EQ(last_id_of("data: id: 9\nid: 2\n\n"), "2");
-	EXPECT_EQ(last_id_of("id:7\ndata: x\nid x\n\n"), "7");
-	EXPECT_EQ(last_id_of("data: id: 9\n\n"), "none");
-	EXPECT_EQ(last_id_of("id: 1\n\nid: 2\r\ndata: y\n\n"), "2");
+	EXPECT_EQ(last_event_id("data: id: 9\nid: 2\n\n"), "2");
+	EXPECT_EQ(last_event_id("id:7\ndata: x\nid x\n\n"), "7");
+	EXPECT_EQ(last_event_id("data: id: 9\n\n"), "none");
+	EXPECT_EQ(last_event_id("id: 1\n\nid: 2\r\ndata: y\n\n"), "2");
 }
 
-TEST(Events, WhatIsNotWholeDoesNotCount)
+TEST(Events, IncompleteEventIsIgnored)
 {
-	size_t whole = 0;
+	size_t complete_size = 0;
 
-	EXPECT_EQ(last_id_of("id: 1\ndata: a\n\nid: 2\ndata: b\n", &whole),
+	EXPECT_EQ(last_event_id("id: 1\ndata: a\n\nid: 2\ndata: b\n",
+				&complete_size),
 		  "1");
-	EXPECT_EQ(whole, 15u);
-	EXPECT_EQ(last_id_of("id: 3", &whole), "none");
-	EXPECT_EQ(whole, 0u);
+	EXPECT_EQ(complete_size, 15u);
+	EXPECT_EQ(last_event_id("id: 3", &complete_size), "none");
+	EXPECT_EQ(complete_size, 0u);
 }
 
 /* ---- admission ---- */
 
-/* A burst is over: pieces took long a moment ago, and nothing waits. */
-TEST(Admission, AnEmptyQueueIsNotRefusedForWhatPiecesTook)
+/* After a burst, the measured piece times are still long but the queue is
+ * empty. */
+TEST(Admission, OldPieceTimesDoNotRefuseForEmptyQueue)
 {
-	admission_piece_time memory = {};
+	admission_piece_time piece_time = {};
 	admission_request request = {};
 
-	admission_record_piece_time(&memory, 2400000, 1000000);
+	admission_record_piece_time(&piece_time, 2400000, 1000000);
 	request.target_us = 1100000;
 	request.estimate_us =
-		admission_estimate_stage_us(&memory, 300000, 1200000);
+		admission_estimate_stage_us(&piece_time, 300000, 1200000);
 	EXPECT_EQ(request.estimate_us, 600000);
 	EXPECT_EQ(admission_retry_after_us(&request), 0);
 }
 
-/* A burst begins: what is on its way to the queue shows in what pieces take
- * before it shows in the queue. */
-TEST(Admission, WhatPiecesTookCountsUpToTwiceTheQueue)
+/* At the start of a burst, pieces on their way to the queue increase the
+ * measured times before they increase the queue's estimate. */
+TEST(Admission, PieceTimesCountUpToTwiceTheQueueEstimate)
 {
-	admission_piece_time memory = {};
+	admission_piece_time piece_time = {};
 
-	admission_record_piece_time(&memory, 500000, 1000000);
-	EXPECT_EQ(admission_estimate_stage_us(&memory, 300000, 1900000),
+	admission_record_piece_time(&piece_time, 500000, 1000000);
+	EXPECT_EQ(admission_estimate_stage_us(&piece_time, 300000, 1900000),
 		  500000);
-	EXPECT_EQ(admission_estimate_stage_us(&memory, 200000, 1900000),
+	EXPECT_EQ(admission_estimate_stage_us(&piece_time, 200000, 1900000),
 		  400000);
-	EXPECT_EQ(admission_estimate_stage_us(&memory, 700000, 1900000),
+	EXPECT_EQ(admission_estimate_stage_us(&piece_time, 700000, 1900000),
 		  700000);
-	EXPECT_EQ(admission_estimate_stage_us(&memory, 300000, 2100000),
+	EXPECT_EQ(admission_estimate_stage_us(&piece_time, 300000, 2100000),
 		  300000);
-	admission_record_piece_time(&memory, 900000, 1100000);
-	EXPECT_EQ(memory.mean_us, 600000);
-	admission_record_piece_time(&memory, 100000, 3000000);
-	EXPECT_EQ(memory.mean_us, 100000);
+	admission_record_piece_time(&piece_time, 900000, 1100000);
+	EXPECT_EQ(piece_time.mean_us, 600000);
+	admission_record_piece_time(&piece_time, 100000, 3000000);
+	EXPECT_EQ(piece_time.mean_us, 100000);
 }
 
-TEST(Admission, RefusedCallersComeBackApartAndNotTooLate)
+TEST(Admission, RetryAfterIsSpreadAndBounded)
 {
 	std::set<int64_t> waits;
 	admission_request request = {};
@@ -317,28 +327,30 @@
 	EXPECT_EQ(admission_retry_after_us(&request), 0);
 }
 
-/* ---- patience ---- */
+/* ---- elapsed client wait ---- */
 
-/* A burst: callers give 6 s, those that were refused come back with less. */
-TEST(Patience, WhoComesBackHasWaited)
+/* In a burst, callers have a deadline of 6 s; refused ones retry with what is
+ * left of it. */
+TEST(ElapsedClientWait, RetryIsRecognisedByShorterDeadline)
 {
 	patience callers = {};
 
 	for (int i = 0; i < 8; i++)
 		EXPECT_EQ(patience_waited_us(&callers, 6000000 - i * 2000), 0);
-	/* Told in steps of 20 ms. */
+	/* Deadlines are counted in steps of 20 ms. */
 	EXPECT_NEAR((double)patience_waited_us(&callers, 4500000), 1500000.0,
 		    40000.0);
 	EXPECT_EQ(patience_waited_us(&callers, 5992000), 0);
-	/* Many come back, each with what it has left. */
+	/* Many callers retry, each with a different remaining time. */
 	for (int i = 0; i < 40; i++)
 		EXPECT_NEAR((double)patience_waited_us(&callers,
 						       3000000 + i * 60000),
 			    3000000.0 - i * 60000, 40000.0);
 }
 
-/* Callers of two kinds: the shorter time is not what is left of the longer. */
-TEST(Patience, AUsualTimeIsAFirstTry)
+/* Callers with two usual deadlines: the shorter one is not the rest of the
+ * longer one. */
+TEST(ElapsedClientWait, CommonDeadlineIsAFirstTry)
 {
 	patience callers = {};
 
@@ -352,7 +364,7 @@
 	EXPECT_EQ(patience_waited_us(&callers, 3000000), 3000000);
 }
 
-TEST(Patience, NothingIsConcludedOfTimesThatAllDiffer)
+TEST(ElapsedClientWait, DistinctDeadlinesAllowNoConclusion)
 {
 	patience callers = {};
 
@@ -365,7 +377,7 @@
 
 /* ---- pool ---- */
 
-TEST(Pool, LeavesOutWhoIsLeavingTriedOrFailing)
+TEST(Pool, SkipsDrainingTriedAndFailingUpstreams)
 {
 	Pool pool;
 
@@ -379,11 +391,11 @@
 	pool_update(pool.it, pool.entries.data(), 2);
 	pool_learn(pool.it, pool_find(pool.it, "two"), POOL_UNREACHABLE, 0, 0);
 	EXPECT_STREQ(pool.pick()->entry.id, "one");
-	/* One that is set aside is better than none. */
+	/* An ejected upstream is better than none. */
 	EXPECT_STREQ(pool.pick({}, { "one" })->entry.id, "two");
 }
 
-TEST(Pool, ForgetsFailuresWithTime)
+TEST(Pool, SlownessFadesWithTime)
 {
 	Pool pool;
 
@@ -397,7 +409,7 @@
 	EXPECT_STREQ(pool.pick()->entry.id, "one");
 }
 
-TEST(Pool, KeepsAPrefixAtItsHomeUnlessThatIsFarBehind)
+TEST(Pool, PrefixStaysAtItsUpstreamUnlessOverloaded)
 {
 	Pool pool;
 	const std::vector<pool_part> prompt = { { 7, 9000 }, { 8, 500 } };
@@ -413,8 +425,8 @@
 	EXPECT_NE(pool.pick({ { 7, 9000 }, { 9, 400 } }), home);
 }
 
-/* Reading a prefix again costs less than an answer that is late. */
-TEST(Pool, LeavesAPrefixsHomeRatherThanBeLate)
+/* Recomputing a prefix costs less than a late answer. */
+TEST(Pool, PrefixMovesIfItsUpstreamWouldBeLate)
 {
 	Pool pool;
 	std::vector<pool_part> prompt = { { 7, 13000 }, { 8, 1000 } };
@@ -433,12 +445,12 @@
 	EXPECT_EQ(pool_pick(pool.it, &ask), home);
 	home->tokens_ahead = 40000; /* 670 ms */
 	EXPECT_NE(pool_pick(pool.it, &ask), home);
-	ask.target_us = 0; /* it is late in any case */
+	ask.target_us = 0; /* no latency target */
 	EXPECT_EQ(pool_pick(pool.it, &ask), home);
 }
 
-/* A large service has several placers, each with a share of the engines. */
-TEST(Pool, KeepsToItsShareOfTheUpstreams)
+/* A large service has several placers, each with a shard of the engines. */
+TEST(Pool, PicksOnlyFromItsShard)
 {
 	Pool pool;
 	pool_ask ask = {};
@@ -466,7 +478,7 @@
 	EXPECT_EQ(found, 5);
 }
 
-TEST(Pool, ForgetsTheOldestPartsBeyondAnEnginesMemory)
+TEST(Pool, EvictsOldestPrefixBlocksBeyondCapacity)
 {
 	Pool pool;
 	pool_upstream *engine;
@@ -493,7 +505,8 @@
 	uint32_t one = 1;
 	graph *it;
 
-	/* 0 by itself; 1 -> 2 -> the request takes in 0 and 2. */
+	/* Stage 0 has no dependencies, stage 2 depends on 1, and the request
+	 * takes in the results of 0 and 2. */
 	Graph(uint32_t a, uint32_t b, uint32_t c)
 	{
 		graph_stage stages[] = { { nullptr, 0, a },
@@ -538,7 +551,7 @@
 	}
 };
 
-TEST(GraphOfStages, GoesOnWhenAllInputsAreMade)
+TEST(StageGraph, StageIsReadyWhenAllInputsAreCompleted)
 {
 	Graph graph(1, 2, 1);
 
@@ -560,7 +573,7 @@
 		  (std::vector<std::string>{ "a0", "c0" }));
 }
 
-TEST(GraphOfStages, PassesOverAStageOfNoPieces)
+TEST(StageGraph, StageWithoutPiecesIsSkipped)
 {
 	Graph graph(0, 0, 1);
 
@@ -571,7 +584,7 @@
 	EXPECT_EQ(graph.inputs(3), (std::vector<std::string>{ "c0" }));
 }
 
-TEST(GraphOfStages, MakesAgainWhatIsLost)
+TEST(StageGraph, LostInputsAreMissingAgain)
 {
 	Graph graph(0, 1, 1);
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(graph_result));
@@ -588,9 +601,9 @@
 	g_array_unref(out);
 }
 
-/* Few large results of one stage, many small ones of another, in five domains:
- * the prompt goes where the bytes are. */
-TEST(GraphOfStages, KnowsWhereMostBytesLie)
+/* Few large results of one stage and many small ones of another lie in five
+ * domains: the domain with most bytes is found. */
+TEST(StageGraph, MainDomainHoldsMostBytes)
 {
 	const uint32_t one = 1;
 	const graph_stage stages[] = { { nullptr, 0, 2 },
@@ -607,13 +620,13 @@
 	EXPECT_EQ(bytes, 0);
 	for (uint32_t i = 0; i < 16; i++)
 		graph_complete_piece(it, 2, i, "s", 3, 6000);
-	for (uint32_t i = 0; i < 8; i++) /* only the stage after takes these */
+	for (uint32_t i = 0; i < 8; i++) /* taken in by stage 2 only */
 		graph_complete_piece(it, 1, i, "i", 4, 60000);
 	EXPECT_STREQ(graph_main_domain(it, domain_of, nullptr, &bytes), "c");
 	EXPECT_EQ(bytes, 96000);
 	graph_complete_piece(it, 0, 0, "l", 2, 3000000);
 	graph_complete_piece(it, 0, 1, "l", 0,
-			     3000000); /* its maker is not known */
+			     3000000); /* of an unknown producer */
 	EXPECT_STREQ(graph_main_domain(it, domain_of, nullptr, &bytes), "b");
 	EXPECT_EQ(bytes, 3000000);
 	graph_complete_piece(it, 0, 1, "l", 2, 3000000);
@@ -649,8 +662,8 @@
 	{
 		pieces_destroy(queue);
 	}
-	void ask(int request, int count, int64_t due_us, int32_t priority = 0,
-		 int64_t bytes = 0)
+	void add_pieces(int request, int count, int64_t due_us,
+			int32_t priority = 0, int64_t bytes = 0)
 	{
 		piece one = {};
 
@@ -664,8 +677,9 @@
 			pieces_add(queue, &one);
 		}
 	}
-	/* Requests of the next call in order, or empty. */
-	std::vector<int> next(pieces_call **call)
+	/* Starts the next call; returns the requests of its pieces in order, or
+	 * an empty list if there is no call. */
+	std::vector<int> start_call(pieces_call **call)
 	{
 		std::vector<int> out;
 
@@ -677,28 +691,28 @@
 				requests);
 		return out;
 	}
-	void end(pieces_call *call)
+	void end_call(pieces_call *call)
 	{
 		end_made(queue, call, &results);
 	}
-	/* A piece whose input lies in another domain; the upstream there is at
-	 * work for 400 ms. Its bytes weigh as 50 ms. */
-	void ask_far(int64_t due_us)
+	/* Adds a piece whose preferred domain is another one, where the only
+	 * upstream is busy for 400 ms. Its bytes are worth 50 ms of waiting. */
+	void add_with_preferred_domain(int64_t due_us)
 	{
-		piece far = {};
+		piece preferring = {};
 
 		add("near", "b");
 		pool_heard_busy(it, pool_find(it, "near"),
 				clock.now_us + 400000);
-		far.request = &requests[1];
-		far.due_us = clock.now_us + due_us;
-		far.expires_us = far.due_us + 5000000;
-		far.preferred_domain = "b";
-		far.preferred_bytes = 3100000;
-		pieces_add(queue, &far);
+		preferring.request = &requests[1];
+		preferring.due_us = clock.now_us + due_us;
+		preferring.expires_us = preferring.due_us + 5000000;
+		preferring.preferred_domain = "b";
+		preferring.preferred_bytes = 3100000;
+		pieces_add(queue, &preferring);
 	}
-	/* All upstreams that are asked say that nothing else is there. */
-	void tell_rooms(int64_t bytes)
+	/* Answers all memory queries with `bytes` of free memory. */
+	void report_memory(int64_t bytes)
 	{
 		while (pool_upstream *upstream =
 			       pieces_next_memory_query(queue))
@@ -706,8 +720,8 @@
 					       room_own_bytes(upstream->room),
 					       bytes, bytes);
 	}
-	/* A result is kept there. */
-	void keep(const char *id, const char *handle, int64_t bytes)
+	/* Adds a completed result at an upstream. */
+	void add_result(const char *id, const char *handle, int64_t bytes)
 	{
 		room *at = pool_find(it, id)->room;
 
@@ -716,7 +730,7 @@
 	}
 };
 
-TEST(PiecesQueue, GathersWhileACallIsUnderWay)
+TEST(PiecesQueue, PiecesAreBatchedDuringACall)
 {
 	Pieces rig;
 	pieces_call *call;
@@ -724,92 +738,94 @@
 
 	pool_heard_busy(rig.it, pool_find(rig.it, "two"),
 			rig.clock.now_us + 900000);
-	rig.ask(1, 1, 900000);
-	ASSERT_EQ(rig.next(&call), (std::vector<int>{ 1 }));
+	rig.add_pieces(1, 1, 900000);
+	ASSERT_EQ(rig.start_call(&call), (std::vector<int>{ 1 }));
 	EXPECT_STREQ(call->upstream->entry.id, "one");
-	rig.ask(2, 2, 900000);
-	rig.ask(3, 1, 800000);
-	ASSERT_TRUE(rig.next(&second).empty());
-	rig.end(call);
-	ASSERT_EQ(rig.next(&call), (std::vector<int>{ 3, 2, 2 }));
-	rig.end(call);
+	rig.add_pieces(2, 2, 900000);
+	rig.add_pieces(3, 1, 800000);
+	ASSERT_TRUE(rig.start_call(&second).empty());
+	rig.end_call(call);
+	ASSERT_EQ(rig.start_call(&call), (std::vector<int>{ 3, 2, 2 }));
+	rig.end_call(call);
 }
 
-TEST(PiecesQueue, ServesTheMoreUrgentAndWhatCanBeOnTimeFirst)
+TEST(PiecesQueue, OrdersByPriorityAndPutsLatePiecesLast)
 {
 	Pieces rig;
 	pieces_call *call;
 
-	rig.ask(1, 1, -1000);
-	rig.ask(2, 1, 500000, 2);
-	rig.ask(3, 1, 900000, 1);
-	ASSERT_EQ(rig.next(&call), (std::vector<int>{ 3, 2, 1 }));
-	rig.end(call);
+	rig.add_pieces(1, 1, -1000);
+	rig.add_pieces(2, 1, 500000, 2);
+	rig.add_pieces(3, 1, 900000, 1);
+	ASSERT_EQ(rig.start_call(&call), (std::vector<int>{ 3, 2, 1 }));
+	rig.end_call(call);
 }
 
-/* A part of a group would take up room and wait for the rest. */
-TEST(PiecesQueue, GroupsGoWholeAsFarAsRoomDecides)
+/* Results of an incomplete group would occupy memory while they wait for the
+ * rest. */
+TEST(PiecesQueue, GroupIsSentOnlyIfItsResultsFit)
 {
 	Pieces rig(1000);
 	pieces_call *call;
 
-	rig.ask(1, 4, 500000, 0, 200);
-	rig.ask(2, 4, 600000, 0, 200);
-	rig.ask(3, 1, 700000, 0, 200);
-	rig.tell_rooms(1000);
-	ASSERT_EQ(rig.next(&call), (std::vector<int>{ 1, 1, 1, 1, 3 }));
+	rig.add_pieces(1, 4, 500000, 0, 200);
+	rig.add_pieces(2, 4, 600000, 0, 200);
+	rig.add_pieces(3, 1, 700000, 0, 200);
+	rig.report_memory(1000);
+	ASSERT_EQ(rig.start_call(&call), (std::vector<int>{ 1, 1, 1, 1, 3 }));
 	EXPECT_EQ(room_own_bytes(call->upstream->room), 1000);
-	rig.end(call);
+	rig.end_call(call);
 }
 
-/* Whoever had a result made may end without giving it up. */
-TEST(PiecesQueue, WhatNobodyGaveUpCountsUntilItLapses)
+/* The owner of a result may terminate without freeing it. */
+TEST(PiecesQueue, UnfreedResultsCountUntilTheirTtl)
 {
 	Pieces rig(1000);
 	pieces_call *call;
 
-	rig.keep("one", "1/a", 900);
-	rig.keep("two", "2/a", 900);
-	rig.ask(1, 1, 500000, 0, 200);
-	rig.tell_rooms(100);
+	rig.add_result("one", "1/a", 900);
+	rig.add_result("two", "2/a", 900);
+	rig.add_pieces(1, 1, 500000, 0, 200);
+	rig.report_memory(100);
 	rig.clock.now_us += 3900000;
-	ASSERT_TRUE(rig.next(&call).empty());
+	ASSERT_TRUE(rig.start_call(&call).empty());
 	rig.clock.now_us += 200000;
-	ASSERT_EQ(rig.next(&call).size(), 1u);
-	rig.end(call);
+	ASSERT_EQ(rig.start_call(&call).size(), 1u);
+	rig.end_call(call);
 }
 
-TEST(PiecesQueue, WhatIsGivenUpHasRoomAtOnce)
+TEST(PiecesQueue, FreedResultsReleaseMemoryAtOnce)
 {
 	Pieces rig(1000);
 	pieces_call *call;
 
-	rig.keep("one", "1/a", 900);
-	rig.keep("two", "2/a", 900);
+	rig.add_result("one", "1/a", 900);
+	rig.add_result("two", "2/a", 900);
 	rig.clock.now_us += 1200000;
-	rig.keep("two", "2/b", 50);
-	rig.ask(1, 1, 500000, 0, 200);
-	rig.tell_rooms(50);
-	ASSERT_TRUE(rig.next(&call).empty());
+	rig.add_result("two", "2/b", 50);
+	rig.add_pieces(1, 1, 500000, 0, 200);
+	rig.report_memory(50);
+	ASSERT_TRUE(rig.start_call(&call).empty());
 	room_given_up(pool_find(rig.it, "two")->room, "2/a", 900);
 	EXPECT_EQ(room_taken_bytes(pool_find(rig.it, "two")->room), 50);
-	ASSERT_EQ(rig.next(&call).size(), 1u);
+	ASSERT_EQ(rig.start_call(&call).size(), 1u);
 	EXPECT_STREQ(call->upstream->entry.id, "two");
-	rig.end(call);
+	rig.end_call(call);
 }
 
-TEST(PiecesQueue, AnEndedRequestTakesItsPiecesAlong)
+TEST(PiecesQueue, DropRequestRemovesItsPieces)
 {
 	Pieces rig;
 	pieces_call *call;
 
-	rig.ask(1, 3, 500000);
+	rig.add_pieces(1, 3, 500000);
 	pieces_drop_request(rig.queue, &rig.requests[1]);
-	ASSERT_TRUE(rig.next(&call).empty());
+	ASSERT_TRUE(rig.start_call(&call).empty());
 	EXPECT_EQ(pieces_next_check_us(rig.queue), 0);
 }
 
-/* Every idle upstream gets what waits; nobody else calls it. */
+/* This queue is the only one to call its upstreams, so each idle one gets a
+ * call while pieces wait. */
 TEST(PiecesQueue, UsesAllIdleUpstreams)
 {
 	Pieces rig;
@@ -817,79 +833,79 @@
 	pieces_call *two;
 	pieces_call *three;
 
-	rig.ask(1, 8, 900000);
-	rig.ask(2, 1, 900000);
-	ASSERT_EQ(rig.next(&one).size(), 8u);
-	ASSERT_EQ(rig.next(&two), (std::vector<int>{ 2 }));
+	rig.add_pieces(1, 8, 900000);
+	rig.add_pieces(2, 1, 900000);
+	ASSERT_EQ(rig.start_call(&one).size(), 8u);
+	ASSERT_EQ(rig.start_call(&two), (std::vector<int>{ 2 }));
 	EXPECT_STRNE(one->upstream->entry.id, two->upstream->entry.id);
-	rig.ask(3, 1, 900000);
-	ASSERT_TRUE(rig.next(&three).empty());
-	rig.end(one);
-	rig.end(two);
+	rig.add_pieces(3, 1, 900000);
+	ASSERT_TRUE(rig.start_call(&three).empty());
+	rig.end_call(one);
+	rig.end_call(two);
 }
 
-TEST(PiecesQueue, WaitsForANearUpstreamAsLongAsThatIsWorth)
+TEST(PiecesQueue, WaitForPreferredDomainIsBoundedByTransferCost)
 {
 	Pieces rig;
 	pieces_call *call;
 
-	rig.ask_far(900000);
-	ASSERT_TRUE(rig.next(&call).empty());
+	rig.add_with_preferred_domain(900000);
+	ASSERT_TRUE(rig.start_call(&call).empty());
 	EXPECT_GT(pieces_next_check_us(rig.queue), 0);
 	rig.clock.now_us += 49000;
-	ASSERT_TRUE(rig.next(&call).empty());
+	ASSERT_TRUE(rig.start_call(&call).empty());
 	rig.clock.now_us += 2000;
-	ASSERT_EQ(rig.next(&call).size(), 1u);
-	rig.end(call);
+	ASSERT_EQ(rig.start_call(&call).size(), 1u);
+	rig.end_call(call);
 }
 
-/* Late already: it is no later for waiting. */
-TEST(PiecesQueue, WhatCameTooLateWaitsForANearUpstreamToo)
+/* A piece that was late when it was added loses nothing by waiting. */
+TEST(PiecesQueue, LatePieceWaitsForPreferredDomainToo)
 {
 	Pieces rig;
 	pieces_call *call;
 
-	rig.ask_far(-500000);
-	ASSERT_TRUE(rig.next(&call).empty());
+	rig.add_with_preferred_domain(-500000);
+	ASSERT_TRUE(rig.start_call(&call).empty());
 	rig.clock.now_us += 51000;
-	ASSERT_EQ(rig.next(&call).size(), 1u);
-	rig.end(call);
+	ASSERT_EQ(rig.start_call(&call).size(), 1u);
+	rig.end_call(call);
 }
 
-TEST(PiecesQueue, DoesNotWaitForANearUpstreamAtTheCostOfBeingLate)
+TEST(PiecesQueue, WaitForPreferredDomainEndsBeforeDueTime)
 {
 	Pieces rig;
 	pieces_call *call;
 
-	rig.ask_far(10000);
-	ASSERT_TRUE(rig.next(&call).empty());
+	rig.add_with_preferred_domain(10000);
+	ASSERT_TRUE(rig.start_call(&call).empty());
 	rig.clock.now_us += 10000;
-	ASSERT_EQ(rig.next(&call).size(), 1u);
-	rig.end(call);
+	ASSERT_EQ(rig.start_call(&call).size(), 1u);
+	rig.end_call(call);
 }
 
-/* Ten times slower, while the other one is at work for 160 ms. */
-TEST(PiecesQueue, LeavesASlowUpstreamIdleWhileOthersKeepUp)
+/* One upstream is ten times slower than the other, which is busy for 160 ms. */
+TEST(PiecesQueue, SlowUpstreamStaysIdleWhileOthersKeepUp)
 {
 	Pieces rig;
 	pieces_call *one;
 	pieces_call *two;
 
 	pool_find(rig.it, "two")->slowness = 10;
-	rig.ask(1, 1, 900000);
-	ASSERT_EQ(rig.next(&one).size(), 1u);
+	rig.add_pieces(1, 1, 900000);
+	ASSERT_EQ(rig.start_call(&one).size(), 1u);
 	EXPECT_STREQ(one->upstream->entry.id, "one");
-	rig.ask(2, 1, 900000);
-	ASSERT_TRUE(rig.next(&two).empty());
+	rig.add_pieces(2, 1, 900000);
+	ASSERT_TRUE(rig.start_call(&two).empty());
 	for (int i = 3; i < 20; i++)
-		rig.ask(i, 1, 900000);
-	ASSERT_EQ(rig.next(&two).size(), 8u);
+		rig.add_pieces(i, 1, 900000);
+	ASSERT_EQ(rig.start_call(&two).size(), 8u);
 	EXPECT_STREQ(two->upstream->entry.id, "two");
-	rig.end(one);
-	rig.end(two);
+	rig.end_call(one);
+	rig.end_call(two);
 }
 
-TEST(PiecesQueue, KeepsToItsPartsOfAService)
+TEST(PiecesQueue, UsesOnlyUpstreamsOfItsShards)
 {
 	Pieces rig;
 	uint64_t part = pool_find(rig.it, "one")->hash % 64;
@@ -897,19 +913,19 @@
 
 	ASSERT_NE(part, pool_find(rig.it, "two")->hash % 64);
 	pieces_set_shards(rig.queue, 64, UINT64_C(1) << part);
-	rig.ask(1, 1, 900000);
-	ASSERT_EQ(rig.next(&call).size(), 1u);
+	rig.add_pieces(1, 1, 900000);
+	ASSERT_EQ(rig.start_call(&call).size(), 1u);
 	EXPECT_STREQ(call->upstream->entry.id, "one");
-	rig.ask(2, 1, 900000);
+	rig.add_pieces(2, 1, 900000);
 	pieces_call *second;
 
-	ASSERT_TRUE(rig.next(&second).empty());
-	rig.end(call);
+	ASSERT_TRUE(rig.start_call(&second).empty());
+	rig.end_call(call);
 }
 
-/* ---- asking again ---- */
+/* ---- backoff ---- */
 
-TEST(Backoff, WaitsLongerAfterEachFailureUpToABound)
+TEST(Backoff, DelayGrowsWithFailuresUpToABound)
 {
 	const backoff it = { 400000, 1800000 };
 
@@ -922,9 +938,9 @@
 	EXPECT_EQ(backoff_wait_us(&it, 4, 1), 1260000);
 }
 
-/* Eighty entries, of which each is refused for eight seconds: calls in all, and
- * the most of them in a tenth of a second once they have parted. */
-TEST(Backoff, AFleetAsksLessOftenAndNotInStep)
+/* Eighty entries are refused for eight seconds: bounds all calls, and the calls
+ * in each tenth of a second once their retries have spread out. */
+TEST(Backoff, FleetRetriesAreFewerAndSpreadOut)
 {
 	const backoff it = { 400000, 1800000 };
 	uint32_t calls = 0;
@@ -949,13 +965,13 @@
 		EXPECT_LE(tenth.second, 20u) << tenth.first;
 }
 
-/* ---- the watch's pace ---- */
+/* ---- watch timeout ---- */
 
-/* All calls that wait are forgotten at once: when the first new one begins,
- * mean over many phases; whoever begins it tells the others. */
-int64_t noticed_after_us(int64_t alone_us, uint32_t members)
+/* All waiting calls are lost at once. Returns the mean time, over many phases,
+ * until the first entry starts a new call and can report to the others. */
+int64_t mean_detection_us(int64_t single_us, uint32_t members)
 {
-	const int64_t wait_us = watch_timeout_fleet_us(alone_us, members);
+	const int64_t wait_us = watch_timeout_fleet_us(single_us, members);
 	const int rounds = 2000;
 	std::mt19937 random(1);
 	std::uniform_int_distribution<int64_t> left(0, wait_us);
@@ -971,58 +987,61 @@
 	return sum_us / rounds;
 }
 
-/* Found on a day of 68 entries: all their calls had begun together, when the
- * fleet started and at each change, and were lost together. */
-int64_t noticed_after_start_us(int64_t alone_us, uint32_t members,
-			       int64_t lost_us, int seed)
+/* Returns the time until a loss of all calls is detected in a fleet whose calls
+ * started together. Guards against a fault seen with 68 entries: their calls
+ * had started together when the fleet started and at each change, and were lost
+ * together. */
+int64_t detection_after_start_us(int64_t single_us, uint32_t members,
+				 int64_t lost_at_us, int seed)
 {
 	std::mt19937 random(seed);
 	std::uniform_real_distribution<double> drawn(0, 1);
 	int64_t first_us = INT64_MAX;
 
 	for (uint32_t i = 0; i < members; i++) {
-		watch_timeout_call call = { alone_us, 0, true, false };
+		watch_timeout_call call = { single_us, 0, true, false };
 		int64_t at_us = 0;
 
-		/* Members are met during the first call. */
-		while (at_us <= lost_us) {
+		/* Members are discovered during the first call. */
+		while (at_us <= lost_at_us) {
 			at_us += watch_timeout_next_us(&call, drawn(random));
 			call.had_change = false;
 			call.previous_wait_us = call.wait_us;
 			call.wait_us =
-				watch_timeout_fleet_us(alone_us, members);
-			call.is_fleet = call.wait_us > alone_us;
+				watch_timeout_fleet_us(single_us, members);
+			call.is_fleet = call.wait_us > single_us;
 		}
 		first_us = std::min(first_us, at_us);
 	}
-	return first_us - lost_us;
+	return first_us - lost_at_us;
 }
 
-TEST(WatchPace, CallsThatBeganTogetherPart)
+TEST(WatchTimeout, CallsThatStartedTogetherSpreadOut)
 {
-	const int64_t alone_us = 2000000;
+	const int64_t single_us = 2000000;
 
 	for (uint32_t members : { 9u, 27u, 68u, 300u })
 		for (int seed = 1; seed <= 20; seed++)
-			for (int64_t lost_us = 8000000; lost_us < 30000000;
-			     lost_us += 1700000)
-				EXPECT_LE(noticed_after_start_us(alone_us,
-								 members,
-								 lost_us, seed),
-					  alone_us)
+			for (int64_t lost_at_us = 8000000;
+			     lost_at_us < 30000000; lost_at_us += 1700000)
+				EXPECT_LE(detection_after_start_us(
+						  single_us, members,
+						  lost_at_us, seed),
+					  single_us)
 					<< members << " " << seed;
 }
 
-TEST(WatchPace, AFleetCallsLessOftenAndNoticesNoLater)
+TEST(WatchTimeout, FleetCallsLessOftenAndDetectsLossNoLater)
 {
-	const int64_t alone_us = 1500000;
-	const int64_t alone_noticed_us = noticed_after_us(alone_us, 1);
+	const int64_t single_us = 1500000;
+	const int64_t single_detection_us = mean_detection_us(single_us, 1);
 
-	EXPECT_EQ(watch_timeout_fleet_us(alone_us, 1), alone_us);
+	EXPECT_EQ(watch_timeout_fleet_us(single_us, 1), single_us);
 	for (uint32_t members : { 2u, 3u, 5u, 27u, 300u })
-		EXPECT_LT(noticed_after_us(alone_us, members), alone_noticed_us)
+		EXPECT_LT(mean_detection_us(single_us, members),
+			  single_detection_us)
 			<< members;
-	EXPECT_EQ(watch_timeout_fleet_us(alone_us, 27), 3 * alone_us);
+	EXPECT_EQ(watch_timeout_fleet_us(single_us, 27), 3 * single_us);
 }
 
 } // namespace
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -1,5 +1,5 @@
-/* Which requests are kept from upstreams that end under them, and which are
- * not, on a clock of the test's. */
+/* Unit tests of the quarantine, and of which lost requests count against it, on
+ * a simulated clock. */
 #include "cwrap.h"
 
 #include <gtest/gtest.h>
@@ -10,44 +10,46 @@
 {
 
 const int64_t s = LP_US_PER_S;
-const uint64_t bad = 7;
+const uint64_t poison = 7;
 
 struct Fleet {
 	TestClock clock;
 	quarantine *it = quarantine_create(&clock.clock);
-	uint64_t lives = 100;
+	uint64_t last_incarnation = 100;
 	int64_t wait_us = 0;
 
 	~Fleet()
 	{
 		quarantine_destroy(it);
 	}
-	/* An upstream ends under a run that was begun in this round. */
-	void end(uint64_t request, uint32_t round)
+	/* An upstream terminates under a run of this round. */
+	void terminate(uint64_t request, uint32_t round)
 	{
-		quarantine_termination end = { request, ++lives, round,
-					       clock.now_us, 100 };
+		quarantine_termination termination = {
+			request, ++last_incarnation, round, clock.now_us, 100
+		};
 
-		EXPECT_TRUE(quarantine_add_termination(it, &end));
+		EXPECT_TRUE(quarantine_add_termination(it, &termination));
 	}
-	quarantine_decision ask(uint64_t request = bad)
+	quarantine_decision admit(uint64_t request = poison)
 	{
 		return quarantine_admit(it, request, clock.now_us + 3 * s,
 					&wait_us);
 	}
-	/* One run after the other; returns how many upstreams ended. */
+	/* Makes up to `most` runs, one after the other, that terminate their
+	 * upstreams; returns how many were admitted. */
 	int runs_until_refused(uint64_t request, int most)
 	{
 		for (int i = 0; i < most; i++) {
-			if (ask(request) == QUARANTINE_REFUSE)
+			if (admit(request) == QUARANTINE_REFUSE)
 				return i;
-			end(request, quarantine_round(it, request));
+			terminate(request, quarantine_round(it, request));
 			quarantine_set_trial(it, request, clock.now_us);
 			clock.now_us += 100000;
 		}
 		return most;
 	}
-	quarantine_view look(uint64_t request = bad)
+	quarantine_view get_view(uint64_t request = poison)
 	{
 		quarantine_view view = {};
 
@@ -56,81 +58,84 @@
 	}
 };
 
-TEST(Quarantine, KeepsOutAfterThreeRounds)
+TEST(Quarantine, BlocksAfterThreeRounds)
 {
 	Fleet fleet;
 
-	EXPECT_EQ(fleet.runs_until_refused(bad, 10), 3);
+	EXPECT_EQ(fleet.runs_until_refused(poison, 10), 3);
 	EXPECT_EQ(fleet.wait_us, QUARANTINE_BLOCK_US - 100000);
-	EXPECT_EQ(fleet.ask(8), QUARANTINE_PASS);
+	EXPECT_EQ(fleet.admit(8), QUARANTINE_PASS);
 }
 
-TEST(Quarantine, LetsInAgainForOneTryAndThenLater)
+TEST(Quarantine, AllowsTrialsAtGrowingIntervals)
 {
 	Fleet fleet;
 	int64_t out_us = QUARANTINE_BLOCK_US;
 
-	fleet.runs_until_refused(bad, 10);
+	fleet.runs_until_refused(poison, 10);
 	for (int i = 0; i < 6; i++) {
 		fleet.clock.now_us += fleet.wait_us - 1;
-		EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
+		EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
 		fleet.clock.now_us += 1;
-		EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL);
-		EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
+		EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL);
+		EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
 		EXPECT_LE(fleet.wait_us, QUARANTINE_TRIAL_WAIT_MAX_US);
-		fleet.end(bad, quarantine_round(fleet.it, bad));
-		EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
+		fleet.terminate(poison, quarantine_round(fleet.it, poison));
+		EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
 		out_us = MIN(out_us * QUARANTINE_BLOCK_FACTOR,
 			     QUARANTINE_BLOCK_MAX_US);
 		EXPECT_EQ(fleet.wait_us, out_us);
 	}
 	fleet.clock.now_us += fleet.wait_us;
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL);
-	EXPECT_TRUE(quarantine_clear(fleet.it, bad, fleet.clock.now_us));
-	EXPECT_EQ(fleet.ask(), QUARANTINE_PASS);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_PASS);
+	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL);
+	EXPECT_TRUE(quarantine_clear(fleet.it, poison, fleet.clock.now_us));
+	EXPECT_EQ(fleet.admit(), QUARANTINE_PASS);
+	EXPECT_EQ(fleet.admit(), QUARANTINE_PASS);
 }
 
-/* All upstreams of a service end at one moment, with runs of what many ask for:
- * one goes first, and the others with its answer. */
-TEST(Quarantine, EndsOfOneMomentKeepNobodyOut)
+/* All upstreams of a service terminate at one moment while they run a popular
+ * request: one trial is admitted, and its answer clears the others. */
+TEST(Quarantine, SimultaneousTerminationsDoNotBlock)
 {
 	Fleet fleet;
 
 	for (int i = 0; i < 40; i++)
-		fleet.end(bad, 1);
-	EXPECT_EQ(fleet.look().rounds, 1u);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
-	EXPECT_TRUE(quarantine_clear(fleet.it, bad, fleet.clock.now_us));
-	EXPECT_EQ(fleet.ask(), QUARANTINE_PASS);
-	EXPECT_EQ(fleet.look().terminations_count, 0u);
+		fleet.terminate(poison, 1);
+	EXPECT_EQ(fleet.get_view().rounds, 1u);
+	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL);
+	EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
+	EXPECT_TRUE(quarantine_clear(fleet.it, poison, fleet.clock.now_us));
+	EXPECT_EQ(fleet.admit(), QUARANTINE_PASS);
+	EXPECT_EQ(fleet.get_view().terminations_count, 0u);
 }
 
-/* It shares an upstream with the bad one at each of its ends. */
-TEST(Quarantine, WhoSharesUpstreamsByChanceIsServed)
+/* A request that shared an upstream with the poison one at each termination is
+ * cleared by its trial. */
+TEST(Quarantine, RequestSharingUpstreamsByChanceIsCleared)
 {
 	Fleet fleet;
-	const uint64_t good = 9;
+	const uint64_t innocent = 9;
 
 	for (uint32_t round = 1; round <= 2; round++) {
-		fleet.end(bad, round);
-		fleet.end(good, round);
+		fleet.terminate(poison, round);
+		fleet.terminate(innocent, round);
 	}
-	EXPECT_EQ(fleet.ask(good), QUARANTINE_TRIAL);
-	EXPECT_EQ(fleet.ask(bad), QUARANTINE_TRIAL);
-	EXPECT_TRUE(quarantine_clear(fleet.it, good, fleet.clock.now_us));
-	fleet.end(bad, 3);
-	EXPECT_EQ(fleet.ask(good), QUARANTINE_PASS);
-	EXPECT_EQ(fleet.ask(bad), QUARANTINE_REFUSE);
+	EXPECT_EQ(fleet.admit(innocent), QUARANTINE_TRIAL);
+	EXPECT_EQ(fleet.admit(poison), QUARANTINE_TRIAL);
+	EXPECT_TRUE(quarantine_clear(fleet.it, innocent, fleet.clock.now_us));
+	fleet.terminate(poison, 3);
+	EXPECT_EQ(fleet.admit(innocent), QUARANTINE_PASS);
+	EXPECT_EQ(fleet.admit(poison), QUARANTINE_REFUSE);
 }
 
-/* Words of others come twice, late, in any order. */
-TEST(Quarantine, WordsMayComeInAnyOrder)
+/* Reports of other entries may arrive twice, late and in any order. */
+TEST(Quarantine, ReportsMayArriveInAnyOrder)
 {
-	const quarantine_termination ends[] = { { bad, 1, 1, 1000, 0 },
-						{ bad, 2, 2, 2000, 0 },
-						{ bad, 3, 3, 3000, 0 } };
+	const quarantine_termination terminations[] = {
+		{ poison, 1, 1, 1000, 0 },
+		{ poison, 2, 2, 2000, 0 },
+		{ poison, 3, 3, 3000, 0 }
+	};
 	const int orders[][5] = { { 0, 1, 2, 1, 0 },
 				  { 2, 1, 0, 0, 2 },
 				  { 1, 2, 1, 0, 1 } };
@@ -139,64 +144,68 @@
 		Fleet fleet;
 
 		for (int at : order)
-			quarantine_add_termination(fleet.it, &ends[at]);
-		EXPECT_EQ(fleet.look().terminations_count, 3u);
-		EXPECT_EQ(fleet.look().rounds, 3u);
-		EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
+			quarantine_add_termination(fleet.it, &terminations[at]);
+		EXPECT_EQ(fleet.get_view().terminations_count, 3u);
+		EXPECT_EQ(fleet.get_view().rounds, 3u);
+		EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
 		for (uint32_t i = 0; i < 3; i++)
-			EXPECT_EQ(fleet.look().terminations[i].terminated_us,
-				  ends[i].terminated_us);
-		/* It was served; what is said of before counts no more. */
-		quarantine_clear(fleet.it, bad, 3000);
+			EXPECT_EQ(
+				fleet.get_view().terminations[i].terminated_us,
+				terminations[i].terminated_us);
+		/* Once it is cleared, reports of earlier terminations do not
+		 * count. */
+		quarantine_clear(fleet.it, poison, 3000);
 		for (int at : order)
-			EXPECT_FALSE(quarantine_add_termination(fleet.it,
-								&ends[at]));
-		EXPECT_EQ(fleet.ask(), QUARANTINE_PASS);
+			EXPECT_FALSE(quarantine_add_termination(
+				fleet.it, &terminations[at]));
+		EXPECT_EQ(fleet.admit(), QUARANTINE_PASS);
 	}
 }
 
-/* One that starts again under its id and ends before a list says so. */
-TEST(Quarantine, ALifeThatEndsInALaterRoundIsAnother)
+/* An upstream restarts under its id and terminates again before the list shows
+ * the new incarnation. */
+TEST(Quarantine, TerminationInALaterRoundIsDistinct)
 {
 	Fleet fleet;
-	quarantine_termination end = { bad, 50, 1, 1000, 0 };
-
-	EXPECT_TRUE(quarantine_add_termination(fleet.it, &end));
-	end.terminated_us = 1500; /* the same, as another entry saw it */
-	EXPECT_FALSE(quarantine_add_termination(fleet.it, &end));
-	end.round = 2;
-	EXPECT_TRUE(quarantine_add_termination(fleet.it, &end));
-	EXPECT_EQ(fleet.look().terminations_count, 2u);
+	quarantine_termination termination = { poison, 50, 1, 1000, 0 };
+
+	EXPECT_TRUE(quarantine_add_termination(fleet.it, &termination));
+	/* the same one, as detected by another entry */
+	termination.terminated_us = 1500;
+	EXPECT_FALSE(quarantine_add_termination(fleet.it, &termination));
+	termination.round = 2;
+	EXPECT_TRUE(quarantine_add_termination(fleet.it, &termination));
+	EXPECT_EQ(fleet.get_view().terminations_count, 2u);
 }
 
-TEST(Quarantine, ATryThatLeadsNowhereIsOverInTime)
+TEST(Quarantine, UnreportedTrialExpires)
 {
 	Fleet fleet;
 
-	fleet.end(bad, 1);
-	fleet.end(bad, 2);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL);
-	quarantine_set_trial(fleet.it, bad, fleet.clock.now_us);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL); /* told to be over */
+	fleet.terminate(poison, 1);
+	fleet.terminate(poison, 2);
+	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL);
+	quarantine_set_trial(fleet.it, poison, fleet.clock.now_us);
+	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL); /* reported as over */
 	fleet.clock.now_us += 3 * s;
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL); /* never told */
-	quarantine_set_trial(fleet.it, bad, fleet.clock.now_us + 2 * s);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE); /* another entry's */
+	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL); /* no report */
+	quarantine_set_trial(fleet.it, poison, fleet.clock.now_us + 2 * s);
+	EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE); /* another entry's */
 	EXPECT_EQ(fleet.wait_us, QUARANTINE_TRIAL_WAIT_MAX_US);
 }
 
-/* Thousands of bodies, each of which ends an upstream: memory is bounded, and
- * who has ended most is still known. */
-TEST(Quarantine, AFloodDoesNotHideTheWorst)
+/* Thousands of contents, each of which terminates an upstream: the number of
+ * records is bounded, and the request with most rounds stays blocked. */
+TEST(Quarantine, FloodDoesNotEvictBlockedRequest)
 {
 	Fleet fleet;
 	std::vector<uint64_t> seen;
 
-	fleet.runs_until_refused(bad, 10);
+	fleet.runs_until_refused(poison, 10);
 	for (uint64_t other = 1000; other < 21000; other++) {
-		fleet.end(other, 1);
+		fleet.terminate(other, 1);
 		if (other % 2)
-			fleet.end(other, 2);
+			fleet.terminate(other, 2);
 	}
 	quarantine_foreach(
 		fleet.it,
@@ -206,61 +215,61 @@
 		},
 		&seen);
 	EXPECT_EQ(seen.size(), (size_t)QUARANTINE_RECORDS_MAX);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
-	EXPECT_EQ(fleet.ask(20999), QUARANTINE_TRIAL);
-	EXPECT_EQ(fleet.ask(20998), QUARANTINE_PASS);
+	EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
+	EXPECT_EQ(fleet.admit(20999), QUARANTINE_TRIAL);
+	EXPECT_EQ(fleet.admit(20998), QUARANTINE_PASS);
 }
 
-TEST(Quarantine, EndsOfOneRequestAreBounded)
+TEST(Quarantine, TerminationsOfARequestAreBounded)
 {
 	Fleet fleet;
 
 	for (uint32_t i = 0; i < 100; i++) {
-		fleet.end(bad, 1 + i / 20);
+		fleet.terminate(poison, 1 + i / 20);
 		fleet.clock.now_us += s;
 	}
-	EXPECT_EQ(fleet.look().terminations_count,
+	EXPECT_EQ(fleet.get_view().terminations_count,
 		  (uint32_t)QUARANTINE_TERMINATIONS_MAX);
-	EXPECT_EQ(fleet.look().rounds, 5u);
-	EXPECT_EQ(fleet.look().terminations[0].terminated_us, 1000000);
+	EXPECT_EQ(fleet.get_view().rounds, 5u);
+	EXPECT_EQ(fleet.get_view().terminations[0].terminated_us, 1000000);
 }
 
-TEST(Quarantine, ForgetsWhatIsOver)
+TEST(Quarantine, RecordsExpire)
 {
 	Fleet fleet;
 
-	fleet.end(bad, 1);
+	fleet.terminate(poison, 1);
 	fleet.clock.now_us += QUARANTINE_RECORD_TTL_US;
 	quarantine_expire(fleet.it);
 	EXPECT_FALSE(quarantine_is_empty(fleet.it));
 	fleet.clock.now_us += 1;
 	quarantine_expire(fleet.it);
 	EXPECT_TRUE(quarantine_is_empty(fleet.it));
-	fleet.runs_until_refused(bad, 10);
+	fleet.runs_until_refused(poison, 10);
 	fleet.clock.now_us +=
 		QUARANTINE_BLOCK_US + QUARANTINE_RECORD_TTL_US - s;
 	quarantine_expire(fleet.it);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_TRIAL);
+	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL);
 }
 
-TEST(Quarantine, TurnedOffItRefusesNothing)
+TEST(Quarantine, DisabledQuarantineRefusesNothing)
 {
 	Fleet fleet;
 
 	quarantine_set_enabled(fleet.it, false);
-	EXPECT_EQ(fleet.runs_until_refused(bad, 10), 10);
+	EXPECT_EQ(fleet.runs_until_refused(poison, 10), 10);
 	quarantine_set_enabled(fleet.it, true);
-	EXPECT_EQ(fleet.ask(), QUARANTINE_REFUSE);
+	EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
 }
 
-/* ---- which losses count ---- */
+/* ---- lost requests ---- */
 
-struct Losses {
+struct LostRequests {
 	TestClock clock;
 	losses *it = losses_create(&clock.clock);
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(loss));
 
-	~Losses()
+	~LostRequests()
 	{
 		losses_destroy(it);
 		g_array_unref(out);
@@ -273,9 +282,9 @@
 	}
 };
 
-TEST(Losses, CountOnceTheUpstreamHasEnded)
+TEST(LostRequests, CountOnceTheUpstreamTerminated)
 {
-	Losses losses;
+	LostRequests losses;
 
 	EXPECT_EQ(losses.add(1, 50), LOSSES_ASK);
 	EXPECT_EQ(losses.add(2, 50), LOSSES_WAIT);
@@ -287,10 +296,11 @@
 	EXPECT_EQ(losses.add(4, 50), LOSSES_ENDED);
 }
 
-/* A loss that shows late is as old as the end. */
-TEST(Losses, ThoseThatShowLateAreAsOldAsTheEnd)
+/* A loss that is detected after the termination gets the time of the
+ * termination. */
+TEST(LostRequests, LateLossIsDatedToTheTermination)
 {
-	Losses losses;
+	LostRequests losses;
 	loss late = { 1, 50, 1, 0, 0 };
 	int64_t ended_us = losses.clock.now_us;
 
@@ -301,10 +311,10 @@
 	EXPECT_EQ(late.lost_us, ended_us);
 }
 
-/* It has started again before the list says so, and ends again. */
-TEST(Losses, OneLifeOfTheListMayEndTwice)
+/* The upstream restarts before the list shows it, and terminates again. */
+TEST(LostRequests, ListedIncarnationMayTerminateTwice)
 {
-	Losses losses;
+	LostRequests losses;
 
 	losses.add(1, 50);
 	losses_ended(losses.it, 50, false, losses.out);
@@ -314,12 +324,12 @@
 	ASSERT_EQ(losses.out->len, 2u);
 }
 
-/* A reset is not held against its request when the upstream ends later, unless
- * it says that it had started again. */
-TEST(Losses, WhatSomeoneIsSeenAliveAfterDidNotEndIt)
+/* A reset before the upstream was probed as alive does not count when it
+ * terminates later, unless it reports that it had restarted. */
+TEST(LostRequests, LossBeforeASuccessfulProbeDoesNotCount)
 {
 	for (bool restarted : { false, true }) {
-		Losses losses;
+		LostRequests losses;
 
 		EXPECT_EQ(losses.add(1, 50), LOSSES_ASK);
 		losses_not_found(losses.it, 50, true);
@@ -330,9 +340,9 @@
 	}
 }
 
-TEST(Losses, WhatNobodyAnsweredForMayHaveEndedIt)
+TEST(LostRequests, LossAfterAnInconclusiveProbeCounts)
 {
-	Losses losses;
+	LostRequests losses;
 
 	losses.add(1, 50);
 	losses_not_found(losses.it, 50, false);
@@ -340,16 +350,17 @@
 	EXPECT_EQ(losses.out->len, 1u);
 }
 
-TEST(Losses, AreForgottenIfNothingIsKnown)
+TEST(LostRequests, ExpireWithoutATermination)
 {
-	Losses losses;
+	LostRequests losses;
 
 	losses_ended(losses.it, 50, false, losses.out);
 	losses.add(1, 51);
 	losses.clock.now_us += LOSSES_KEEP_US + 1;
 	losses_forget(losses.it);
 	EXPECT_EQ(losses.add(1, 51), LOSSES_ASK);
-	EXPECT_EQ(losses.add(1, 50), LOSSES_ASK); /* its end is forgotten too */
+	EXPECT_EQ(losses.add(1, 50),
+		  LOSSES_ASK); /* its termination has expired too */
 }
 
 } // namespace
