--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -1,4 +1,5 @@
-/* policy/drain.h: when a process that leaves may stop listening. */
+/* Unit tests of policy/drain.h: when a draining process may close its listener.
+ */
 #include "cwrap.h"
 
 #include <gtest/gtest.h>
@@ -9,15 +10,14 @@
 
 constexpr int64_t wait_ms = 300;
 constexpr int64_t interval_ms = 10000;
-constexpr int64_t most_ms = 20300;
+constexpr int64_t max_ms = 20300;
 
-/* A process that begins to leave long after its start, unless a test says
- * otherwise. */
-struct Leaving {
+/* A process that starts to drain when a test says so, on a simulated clock. */
+struct Process {
 	TestClock time;
 	drain *it;
 
-	Leaving()
+	Process()
 	{
 		const drain_options options = {
 			&time.clock,
@@ -25,30 +25,30 @@
 			wait_ms * LP_US_PER_MS,
 			interval_ms * LP_US_PER_MS,
 			interval_ms * LP_US_PER_MS,
-			most_ms * LP_US_PER_MS,
+			max_ms * LP_US_PER_MS,
 		};
 
 		it = drain_create(&options);
 	}
-	~Leaving()
+	~Process()
 	{
 		drain_destroy(it);
 	}
-	Leaving(const Leaving &) = delete;
-	Leaving &operator=(const Leaving &) = delete;
-	void pass(int64_t ms)
+	Process(const Process &) = delete;
+	Process &operator=(const Process &) = delete;
+	void advance(int64_t ms)
 	{
 		time.now_us += ms * LP_US_PER_MS;
 	}
-	void probe(const char *who = "balancer")
+	void probe(const char *prober = "balancer")
 	{
-		drain_record_probe(it, who);
+		drain_record_probe(it, prober);
 	}
 	void begin()
 	{
 		drain_begin(it);
 	}
-	drain_state look() const
+	drain_state state() const
 	{
 		return drain_get_state(it);
 	}
@@ -56,133 +56,133 @@
 
 } // namespace
 
-TEST(Drain, ABalancerThatHasReadAnAnswerLetsTheListenerClose)
+TEST(Drain, ListenerClosesAfterTheBalancerReadAnAnswer)
 {
-	Leaving entry;
+	Process entry;
 
-	entry.pass(60000);
+	entry.advance(60000);
 	entry.probe();
-	EXPECT_EQ(entry.look(), DRAIN_NOT_DRAINING);
+	EXPECT_EQ(entry.state(), DRAIN_NOT_DRAINING);
 	entry.begin();
-	entry.pass(50);
+	entry.advance(50);
 	entry.probe();
-	entry.pass(50);
+	entry.advance(50);
 	entry.probe();
-	EXPECT_EQ(entry.look(), DRAIN_WAITING);
-	entry.pass(wait_ms - 50);
-	EXPECT_EQ(entry.look(), DRAIN_INFORMED);
+	EXPECT_EQ(entry.state(), DRAIN_WAITING);
+	entry.advance(wait_ms - 50);
+	EXPECT_EQ(entry.state(), DRAIN_INFORMED);
 }
 
-/* scenario.rolling: the balancer stood still for 450 ms from the moment at
- * which the entry began to leave. */
-TEST(Drain, TimeCountsFromTheFirstAnswerThatTells)
+/* Guards against a failure of scenario.rolling: the balancer was suspended for
+ * 450 ms from the moment at which the entry started to drain. */
+TEST(Drain, SettleTimeCountsFromTheFirstNotReadyAnswer)
 {
-	Leaving entry;
+	Process entry;
 
-	entry.pass(60000);
+	entry.advance(60000);
 	entry.probe();
 	entry.begin();
-	entry.pass(450);
-	EXPECT_EQ(entry.look(), DRAIN_WAITING);
+	entry.advance(450);
+	EXPECT_EQ(entry.state(), DRAIN_WAITING);
 	entry.probe();
-	entry.pass(50);
+	entry.advance(50);
 	entry.probe();
-	EXPECT_EQ(entry.look(), DRAIN_WAITING);
-	entry.pass(wait_ms - 51);
-	EXPECT_EQ(entry.look(), DRAIN_WAITING);
-	entry.pass(1);
-	EXPECT_EQ(entry.look(), DRAIN_INFORMED);
+	EXPECT_EQ(entry.state(), DRAIN_WAITING);
+	entry.advance(wait_ms - 51);
+	EXPECT_EQ(entry.state(), DRAIN_WAITING);
+	entry.advance(1);
+	EXPECT_EQ(entry.state(), DRAIN_INFORMED);
 }
 
-/* An answer that was given may not have been read. */
-TEST(Drain, AnAnswerCountsOnceItsProberProbesAgain)
+/* The prober may not have read the answer to its last probe. */
+TEST(Drain, AnswerCountsOnceItsProberProbesAgain)
 {
-	Leaving entry;
+	Process entry;
 
-	entry.pass(60000);
+	entry.advance(60000);
 	entry.probe();
 	entry.begin();
 	entry.probe();
-	entry.pass(5000);
-	EXPECT_EQ(entry.look(), DRAIN_WAITING);
+	entry.advance(5000);
+	EXPECT_EQ(entry.state(), DRAIN_WAITING);
 	entry.probe();
-	EXPECT_EQ(entry.look(), DRAIN_INFORMED);
+	EXPECT_EQ(entry.state(), DRAIN_INFORMED);
 }
 
-TEST(Drain, EveryBalancerIsWaitedFor)
+TEST(Drain, WaitsForEveryBalancer)
 {
-	Leaving entry;
+	Process entry;
 
-	entry.pass(60000);
+	entry.advance(60000);
 	entry.probe("a");
 	entry.probe("b");
 	entry.begin();
 	entry.probe("a");
 	entry.probe("a");
-	entry.pass(1000);
-	EXPECT_EQ(entry.look(), DRAIN_WAITING);
+	entry.advance(1000);
+	EXPECT_EQ(entry.state(), DRAIN_WAITING);
 	entry.probe("b");
 	entry.probe("b");
-	entry.pass(wait_ms);
-	EXPECT_EQ(entry.look(), DRAIN_INFORMED);
+	entry.advance(wait_ms);
+	EXPECT_EQ(entry.state(), DRAIN_INFORMED);
 }
 
-TEST(Drain, AProberThatWentAwayHasNoSay)
+TEST(Drain, ProberThatStoppedProbingIsIgnored)
 {
-	Leaving entry;
+	Process entry;
 
 	entry.probe("deployment");
-	entry.pass(interval_ms + 1);
+	entry.advance(interval_ms + 1);
 	entry.begin();
-	entry.pass(wait_ms);
-	EXPECT_EQ(entry.look(), DRAIN_UNPROBED);
+	entry.advance(wait_ms);
+	EXPECT_EQ(entry.state(), DRAIN_UNPROBED);
 }
 
-TEST(Drain, AnEntryThatNobodyHasProbedYetWaitsForItsBalancer)
+TEST(Drain, YoungProcessWaitsForItsFirstProbe)
 {
-	Leaving entry;
+	Process entry;
 
-	entry.pass(1000);
+	entry.advance(1000);
 	entry.begin();
-	entry.pass(interval_ms - 1001);
-	EXPECT_EQ(entry.look(), DRAIN_WAITING);
+	entry.advance(interval_ms - 1001);
+	EXPECT_EQ(entry.state(), DRAIN_WAITING);
 	entry.probe();
-	entry.pass(1);
-	EXPECT_EQ(entry.look(), DRAIN_WAITING);
+	entry.advance(1);
+	EXPECT_EQ(entry.state(), DRAIN_WAITING);
 	entry.probe();
-	entry.pass(wait_ms);
-	EXPECT_EQ(entry.look(), DRAIN_INFORMED);
+	entry.advance(wait_ms);
+	EXPECT_EQ(entry.state(), DRAIN_INFORMED);
 }
 
-TEST(Drain, AnEntryThatIsNeverProbedWaitsNoLongerThanABalancerWould)
+TEST(Drain, UnprobedProcessWaitsAtMostOneProbeInterval)
 {
-	Leaving entry;
+	Process entry;
 
 	entry.begin();
-	entry.pass(interval_ms);
-	EXPECT_EQ(entry.look(), DRAIN_UNPROBED);
+	entry.advance(interval_ms);
+	EXPECT_EQ(entry.state(), DRAIN_UNPROBED);
 }
 
-TEST(Drain, ABalancerThatNeverProbesAgainHoldsTheListenerForABoundedTime)
+TEST(Drain, WaitForASilentBalancerIsBounded)
 {
-	Leaving entry;
+	Process entry;
 
-	entry.pass(60000);
+	entry.advance(60000);
 	entry.probe();
 	entry.begin();
-	entry.pass(most_ms - 1);
-	EXPECT_EQ(entry.look(), DRAIN_WAITING);
-	entry.pass(1);
-	EXPECT_EQ(entry.look(), DRAIN_TIMEOUT);
+	entry.advance(max_ms - 1);
+	EXPECT_EQ(entry.state(), DRAIN_WAITING);
+	entry.advance(1);
+	EXPECT_EQ(entry.state(), DRAIN_TIMEOUT);
 }
 
-TEST(Drain, OfVeryManyProbersTheMostSilentIsForgotten)
+TEST(Drain, LongestSilentProberIsDroppedBeyondTheLimit)
 {
-	Leaving entry;
+	Process entry;
 
-	entry.pass(60000);
+	entry.advance(60000);
 	for (int i = 0; i < 400; i++) {
-		entry.pass(1);
+		entry.advance(1);
 		entry.probe(std::to_string(i).c_str());
 	}
 	entry.begin();
@@ -190,24 +190,24 @@
 		entry.probe(std::to_string(i).c_str());
 		entry.probe(std::to_string(i).c_str());
 	}
-	entry.pass(wait_ms);
-	EXPECT_EQ(entry.look(), DRAIN_INFORMED);
+	entry.advance(wait_ms);
+	EXPECT_EQ(entry.state(), DRAIN_INFORMED);
 }
 
-TEST(Drain, TellsWhatADecisionWentBy)
+TEST(Drain, ViewShowsProbersAndTimes)
 {
-	Leaving entry;
+	Process entry;
 	drain_view view;
 
-	entry.pass(60000);
+	entry.advance(60000);
 	entry.begin();
 	drain_get_view(entry.it, &view);
 	EXPECT_EQ(view.probers, 0u);
 	EXPECT_EQ(view.last_probe_age_us, -1);
 	EXPECT_EQ(view.first_notified_us, -1);
-	entry.pass(20);
+	entry.advance(20);
 	entry.probe();
-	entry.pass(30);
+	entry.advance(30);
 	drain_get_view(entry.it, &view);
 	EXPECT_EQ(view.draining_for_us, 50 * LP_US_PER_MS);
 	EXPECT_EQ(view.probers, 1u);
@@ -217,15 +217,15 @@
 	EXPECT_EQ(view.first_notified_us, 20 * LP_US_PER_MS);
 }
 
-/* Any order of probes: a listener that may close has told every prober that
- * was probing, or its time is up. */
-TEST(Drain, NoOrderOfProbesClosesBeforeAllAreInformed)
+/* Random orders of probes: when the listener may close, every prober that was
+ * probing is informed, or the longest time is over. */
+TEST(Drain, NeverClosesBeforeAllAreInformedInAnyProbeOrder)
 {
 	static const char *const names[] = { "a", "b", "c" };
 
 	for (uint32_t seed = 1; seed <= 500; seed++) {
 		g_autoptr(GRand) random = g_rand_new_with_seed(seed);
-		Leaving entry;
+		Process entry;
 		int answers[3] = { 0, 0, 0 };
 		bool probing[3] = { false, false, false };
 		int64_t waited_ms = 0;
@@ -234,21 +234,21 @@
 			if ((probing[i] = g_rand_boolean(random)))
 				entry.probe(names[i]);
 		entry.begin();
-		while (entry.look() == DRAIN_WAITING) {
+		while (entry.state() == DRAIN_WAITING) {
 			int64_t step_ms = g_rand_int_range(random, 1, 4000);
-			int who = g_rand_int_range(random, 0, 3);
+			int prober = g_rand_int_range(random, 0, 3);
 
-			entry.pass(step_ms);
+			entry.advance(step_ms);
 			waited_ms += step_ms;
-			if (!probing[who])
+			if (!probing[prober])
 				continue;
-			entry.probe(names[who]);
-			answers[who]++;
+			entry.probe(names[prober]);
+			answers[prober]++;
 		}
 		EXPECT_GE(waited_ms, wait_ms) << seed;
 		for (int i = 0; i < 3; i++)
 			EXPECT_TRUE(!probing[i] || answers[i] >= 2 ||
-				    waited_ms >= most_ms)
+				    waited_ms >= max_ms)
 				<< seed;
 	}
 }
--- a/tests/watch_keeper_test.cc
+++ b/tests/watch_keeper_test.cc
@@ -5,47 +5,48 @@
 namespace
 {
 
-/* A caller that carries out actions: it owns the watch, the timer, the probes,
- * and checks after each event that something is sure to begin the watch. */
-struct Keeper {
+/* A caller that owns the watch, the timer and the probes and carries out the
+ * returned actions. Checks after each event that the watch runs or that an
+ * event is due that starts it. */
+struct Caller {
 	TestClock time;
 	watch_keeper keeper;
 	bool watching = true;
-	bool timer = false;
+	bool timer_set = false;
 	int starts = 1;
 
-	Keeper()
+	Caller()
 	{
 		watch_keeper_init(&keeper, &time.clock);
 	}
-	void act(watch_keeper_action action)
+	void carry_out(watch_keeper_action action)
 	{
 		if (action == WATCH_KEEPER_START) {
 			watching = true;
-			timer = false;
+			timer_set = false;
 			starts++;
 		} else if (action == WATCH_KEEPER_DELAY) {
-			EXPECT_FALSE(timer);
-			timer = true;
+			EXPECT_FALSE(timer_set);
+			timer_set = true;
 		}
 		check();
 	}
 	void check()
 	{
 		EXPECT_EQ(watching, keeper.state == WATCH_KEEPER_RUNNING);
-		EXPECT_EQ(timer, keeper.state == WATCH_KEEPER_DELAYED);
+		EXPECT_EQ(timer_set, keeper.state == WATCH_KEEPER_DELAYED);
 		EXPECT_TRUE(keeper.unreachable ||
 			    keeper.state != WATCH_KEEPER_SUSPENDED);
 	}
 	void end()
 	{
 		watching = false;
-		act(watch_keeper_on_ended(&keeper));
+		carry_out(watch_keeper_on_ended(&keeper));
 	}
 	void fire()
 	{
-		timer = false;
-		act(watch_keeper_on_timer(&keeper));
+		timer_set = false;
+		carry_out(watch_keeper_on_timer(&keeper));
 	}
 	void probe_fails()
 	{
@@ -54,108 +55,109 @@
 	}
 	void answers(bool silent)
 	{
-		act(watch_keeper_on_answer(&keeper, silent));
+		carry_out(watch_keeper_on_answer(&keeper, silent));
 	}
 };
 
-TEST(WatchKeeper, AWatchThatEndsAfterAFirstByteIsDelayed)
+TEST(WatchKeeper, EndAfterAnAnswerDelaysTheWatch)
 {
-	Keeper it;
-
-	it.probe_fails();
-	it.answers(false);
-	it.end();
-	EXPECT_EQ(it.keeper.state, WATCH_KEEPER_DELAYED);
-	it.answers(true);
-	EXPECT_EQ(it.keeper.state, WATCH_KEEPER_DELAYED);
-	it.fire();
-	EXPECT_TRUE(it.watching);
+	Caller caller;
+
+	caller.probe_fails();
+	caller.answers(false);
+	caller.end();
+	EXPECT_EQ(caller.keeper.state, WATCH_KEEPER_DELAYED);
+	caller.answers(true);
+	EXPECT_EQ(caller.keeper.state, WATCH_KEEPER_DELAYED);
+	caller.fire();
+	EXPECT_TRUE(caller.watching);
 }
 
-TEST(WatchKeeper, AWatchThatEndsWhileUnreachableWaitsForAnAnswer)
+TEST(WatchKeeper, EndWhileUnreachableSuspendsTheWatch)
 {
-	Keeper it;
-
-	it.probe_fails();
-	it.end();
-	EXPECT_EQ(it.keeper.state, WATCH_KEEPER_SUSPENDED);
-	it.probe_fails();
-	EXPECT_EQ(it.keeper.state, WATCH_KEEPER_SUSPENDED);
-	it.answers(true);
-	EXPECT_TRUE(it.watching);
+	Caller caller;
+
+	caller.probe_fails();
+	caller.end();
+	EXPECT_EQ(caller.keeper.state, WATCH_KEEPER_SUSPENDED);
+	caller.probe_fails();
+	EXPECT_EQ(caller.keeper.state, WATCH_KEEPER_SUSPENDED);
+	caller.answers(true);
+	EXPECT_TRUE(caller.watching);
 }
 
-TEST(WatchKeeper, ADelayedWatchBeginsAtOnceWhenTheServiceIsBack)
+TEST(WatchKeeper, DelayedWatchStartsAtOnceWhenTheServiceIsBack)
 {
-	Keeper it;
+	Caller caller;
 
-	it.end();
-	it.probe_fails();
-	it.answers(true);
-	EXPECT_TRUE(it.watching);
-	EXPECT_FALSE(it.timer);
+	caller.end();
+	caller.probe_fails();
+	caller.answers(true);
+	EXPECT_TRUE(caller.watching);
+	EXPECT_FALSE(caller.timer_set);
 }
 
-TEST(WatchKeeper, OnlyAWatchLostInSilenceBeginsAgainWhileItRuns)
+TEST(WatchKeeper, OnlyASilentWatchIsRestartedWhileItRuns)
 {
-	Keeper it;
-
-	it.answers(true);
-	EXPECT_EQ(it.starts, 1);
-	it.probe_fails();
-	it.answers(false);
-	EXPECT_EQ(it.starts, 1);
-	it.probe_fails();
-	it.answers(true);
-	EXPECT_EQ(it.starts, 2);
+	Caller caller;
+
+	caller.answers(true);
+	EXPECT_EQ(caller.starts, 1);
+	caller.probe_fails();
+	caller.answers(false);
+	EXPECT_EQ(caller.starts, 1);
+	caller.probe_fails();
+	caller.answers(true);
+	EXPECT_EQ(caller.starts, 2);
 }
 
-TEST(WatchKeeper, AWatchThatLastedForgetsItsFailures)
+TEST(WatchKeeper, LongWatchResetsFailures)
 {
-	Keeper it;
-
-	it.end();
-	it.fire();
-	it.end();
-	EXPECT_EQ(it.keeper.failures, 2u);
-	it.fire();
-	it.time.now_us += 2 * LP_US_PER_S;
-	it.end();
-	EXPECT_EQ(it.keeper.failures, 1u);
+	Caller caller;
+
+	caller.end();
+	caller.fire();
+	caller.end();
+	EXPECT_EQ(caller.keeper.failures, 2u);
+	caller.fire();
+	caller.time.now_us += 2 * LP_US_PER_S;
+	caller.end();
+	EXPECT_EQ(caller.keeper.failures, 1u);
 }
 
-/* Every order of events: the watch runs, or something is due that begins it;
- * and once the service answers, it runs after the timer. */
-TEST(WatchKeeper, NoOrderOfEventsLeavesItUnscheduled)
+/* Random orders of events: the watch runs, or an event is due that starts it;
+ * once the service answers, it runs at the latest after the retry timer. */
+TEST(WatchKeeper, WatchIsAlwaysRunningOrScheduled)
 {
 	for (uint32_t seed = 1; seed <= 2000; seed++) {
 		g_autoptr(GRand) random = g_rand_new_with_seed(seed);
-		Keeper it;
+		Caller caller;
 
 		for (int i = 0; i < 200; i++) {
-			it.time.now_us += g_rand_int_range(random, 0, 2000000);
+			caller.time.now_us +=
+				g_rand_int_range(random, 0, 2000000);
 			switch (g_rand_int_range(random, 0, 4)) {
 			case 0:
-				if (it.watching)
-					it.end();
+				if (caller.watching)
+					caller.end();
 				break;
 			case 1:
-				if (it.timer)
-					it.fire();
+				if (caller.timer_set)
+					caller.fire();
 				break;
 			case 2:
-				it.probe_fails();
+				caller.probe_fails();
 				break;
 			default:
-				it.answers(g_rand_boolean(random));
+				caller.answers(g_rand_boolean(random));
 			}
 			ASSERT_FALSE(testing::Test::HasFailure())
 				<< "seed " << seed << ", event " << i;
 		}
-		it.answers(true);
-		if (it.timer)
-			it.fire();
-		EXPECT_TRUE(it.watching) << "seed " << seed;
+		caller.answers(true);
+		if (caller.timer_set)
+			caller.fire();
+		EXPECT_TRUE(caller.watching) << "seed " << seed;
 	}
 }
 
