--- a/direct/direct.c
+++ b/direct/direct.c
@@ -32,7 +32,8 @@
 
 	*lp_counter(direct->options.counters,
 		    "linepier_upstream_restarts_total", NULL) += 1;
-	direct_ends_saw(direct->ends, before, DIRECT_END_RESTARTED);
+	direct_terminations_confirm(direct->ends, before,
+				    DIRECT_TERMINATION_RESTARTED);
 	if (!lp_event_begin(log, "upstream_restarted", NULL))
 		return;
 	lp_event_text(log, "upstream", after->entry.id);
@@ -50,7 +51,7 @@
 {
 	struct direct *direct = userdata;
 
-	direct_quarantine_ended(direct->quarantine, lost, count);
+	direct_quarantine_add_terminations(direct->quarantine, lost, count);
 }
 
 /* `act` may end the request that it is given. */
@@ -130,11 +131,12 @@
 	direct->learnt =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	direct->quarantine = direct_quarantine_create(direct);
-	direct->ends = direct_ends_create(&(struct direct_ends_options){
-		.direct = direct,
-		.ended = on_upstream_ended,
-		.userdata = direct,
-	});
+	direct->ends = direct_terminations_create(
+		&(struct direct_terminations_options){
+			.direct = direct,
+			.ended = on_upstream_ended,
+			.userdata = direct,
+		});
 	direct->calls = direct_calls_create(direct);
 	direct->results = direct_results_create(direct);
 	direct->memory = direct_memory_create(&(struct direct_memory_options){
@@ -165,7 +167,7 @@
 	direct_calls_destroy(direct->calls);
 	direct_results_destroy(direct->results);
 	direct_stages_destroy(direct->stages);
-	direct_ends_destroy(direct->ends);
+	direct_terminations_destroy(direct->ends);
 	direct_quarantine_destroy(direct->quarantine);
 	direct_memory_destroy(direct->memory);
 	direct_notices_destroy(direct->notices);
@@ -313,12 +315,12 @@
 
 void direct_set_quarantine(struct direct *direct, bool on)
 {
-	direct_quarantine_turn(direct->quarantine, on);
+	direct_quarantine_set_enabled(direct->quarantine, on);
 }
 
 void direct_let_in(struct direct *direct, uint64_t content)
 {
-	direct_quarantine_let_in(direct->quarantine, content);
+	direct_quarantine_clear(direct->quarantine, content);
 }
 
 void direct_print_quarantine(const struct direct *direct, GString *out)
@@ -329,18 +331,18 @@
 bool direct_look_at_ends(const struct direct *direct, uint64_t content,
 			 struct quarantine_view *out)
 {
-	return direct_quarantine_look(direct->quarantine, content, out);
+	return direct_quarantine_get_view(direct->quarantine, content, out);
 }
 
 void direct_offer_end(struct direct *direct,
 		      const struct quarantine_termination *end)
 {
-	direct_quarantine_offer(direct->quarantine, end);
+	direct_quarantine_restore(direct->quarantine, end);
 }
 
 uint32_t direct_kept_out(const struct direct *direct)
 {
-	return direct_quarantine_count(direct->quarantine);
+	return direct_quarantine_blocked_count(direct->quarantine);
 }
 
 bool direct_ready(const struct direct *direct)
--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -350,13 +350,14 @@
 static void note_end(const struct stage_call *call,
 		     const struct http_fetch_answer *answer)
 {
-	struct direct_ends *ends = call->calls->direct->ends;
+	struct direct_terminations *ends = call->calls->direct->ends;
 
 	if (answer->error == LP_ERROR_NOT_LISTENING)
-		direct_ends_saw(ends, call->call->upstream, DIRECT_END_REFUSED);
+		direct_terminations_confirm(ends, call->call->upstream,
+					    DIRECT_TERMINATION_REFUSED);
 	else if (!answer->error && call->reply.other_process)
-		direct_ends_saw(ends, call->call->upstream,
-				DIRECT_END_REPLACED);
+		direct_terminations_confirm(ends, call->call->upstream,
+					    DIRECT_TERMINATION_REPLACED);
 }
 
 static void end_call(struct stage_call *call,
--- a/direct/direct_ends.c
+++ b/direct/direct_ends.c
@@ -14,7 +14,7 @@
 
 /* A question to the address of an upstream: is there still anyone? */
 struct question {
-	struct direct_ends *ends;
+	struct direct_terminations *ends;
 	struct pool_upstream *upstream; /* held */
 	struct http_sock *sock;		/* NULL: between two connections */
 	guint timer;
@@ -22,15 +22,15 @@
 	bool took_one; /* it has taken a connection */
 };
 
-struct direct_ends {
-	struct direct_ends_options options;
+struct direct_terminations {
+	struct direct_terminations_options options;
 	struct losses *losses;
 	GHashTable *questions; /* life -> struct question */
 };
 
 static void ask(struct question *question);
 
-static struct direct *direct_of(const struct direct_ends *ends)
+static struct direct *direct_of(const struct direct_terminations *ends)
 {
 	return ends->options.direct;
 }
@@ -48,9 +48,9 @@
 
 /* ---- what was found out ---- */
 
-static void log_end(struct direct_ends *ends,
-		    const struct pool_upstream *upstream, enum direct_end how,
-		    const GArray *lost)
+static void log_end(struct direct_terminations *ends,
+		    const struct pool_upstream *upstream,
+		    enum direct_termination_cause how, const GArray *lost)
 {
 	static const char *const names[] = { "refused", "replaced",
 					     "restarted" };
@@ -71,7 +71,7 @@
 	lp_event_end(log);
 }
 
-static void log_lost(struct direct_ends *ends,
+static void log_lost(struct direct_terminations *ends,
 		     const struct pool_upstream *upstream,
 		     const struct loss *lost)
 {
@@ -85,16 +85,17 @@
 	lp_event_end(log);
 }
 
-void direct_ends_saw(struct direct_ends *ends,
-		     const struct pool_upstream *upstream, enum direct_end how)
+void direct_terminations_confirm(struct direct_terminations *ends,
+				 const struct pool_upstream *upstream,
+				 enum direct_termination_cause how)
 {
 	g_autoptr(GArray) lost = g_array_new(FALSE, FALSE, sizeof(struct loss));
 	uint64_t life = upstream->life;
 
 	if (pool_is_leaving(upstream))
 		return;
-	if (losses_ended(ends->losses, life, how == DIRECT_END_RESTARTED,
-			 lost) &&
+	if (losses_ended(ends->losses, life,
+			 how == DIRECT_TERMINATION_RESTARTED, lost) &&
 	    lost->len)
 		log_end(ends, upstream, how, lost);
 	for (guint i = 0; i < lost->len; i++)
@@ -110,7 +111,7 @@
 /* Nothing was found out. Ends the question. */
 static void give_up(struct question *question, bool seen_alive)
 {
-	struct direct_ends *ends = question->ends;
+	struct direct_terminations *ends = question->ends;
 	uint64_t life = question->upstream->life;
 
 	losses_not_found(ends->losses, life, seen_alive);
@@ -159,8 +160,8 @@
 	struct question *question = userdata;
 
 	if (error == LP_ERROR_NOT_LISTENING)
-		direct_ends_saw(question->ends, question->upstream,
-				DIRECT_END_REFUSED);
+		direct_terminations_confirm(question->ends, question->upstream,
+					    DIRECT_TERMINATION_REFUSED);
 	else
 		ask_again(question, SILENT_MS);
 }
@@ -193,7 +194,7 @@
 		ask_again(question, SILENT_MS);
 }
 
-static void find_out(struct direct_ends *ends,
+static void find_out(struct direct_terminations *ends,
 		     const struct pool_upstream *upstream)
 {
 	struct question *question = g_new0(struct question, 1);
@@ -208,7 +209,7 @@
 /* ---- losses ---- */
 
 /* A newer life of it is known, so that this one is over. */
-static bool is_superseded(const struct direct_ends *ends,
+static bool is_superseded(const struct direct_terminations *ends,
 			  const struct pool_upstream *upstream)
 {
 	const struct pool_upstream *listed =
@@ -217,8 +218,9 @@
 	return listed && listed != upstream;
 }
 
-void direct_ends_lost(struct direct_ends *ends,
-		      const struct pool_upstream *upstream, struct loss loss)
+void direct_terminations_add_loss(struct direct_terminations *ends,
+				  const struct pool_upstream *upstream,
+				  struct loss loss)
 {
 	bool superseded = is_superseded(ends, upstream);
 
@@ -240,13 +242,15 @@
 		break;
 	}
 	if (superseded)
-		direct_ends_saw(ends, upstream, DIRECT_END_RESTARTED);
+		direct_terminations_confirm(ends, upstream,
+					    DIRECT_TERMINATION_RESTARTED);
 }
 
-struct direct_ends *
-direct_ends_create(const struct direct_ends_options *options)
+struct direct_terminations *
+direct_terminations_create(const struct direct_terminations_options *options)
 {
-	struct direct_ends *ends = g_new0(struct direct_ends, 1);
+	struct direct_terminations *ends =
+		g_new0(struct direct_terminations, 1);
 
 	ends->options = *options;
 	ends->losses = losses_create(options->direct->options.clock);
@@ -255,7 +259,7 @@
 	return ends;
 }
 
-void direct_ends_destroy(struct direct_ends *ends)
+void direct_terminations_destroy(struct direct_terminations *ends)
 {
 	g_hash_table_unref(ends->questions);
 	losses_destroy(ends->losses);
--- a/direct/direct_ends.h
+++ b/direct/direct_ends.h
@@ -17,16 +17,17 @@
 #include "policy/pool.h"
 
 struct direct;
-struct direct_ends;
+struct direct_terminations;
 
 /** How an end was found out. */
-enum direct_end {
-	DIRECT_END_REFUSED,   /**< its host refuses connections */
-	DIRECT_END_REPLACED,  /**< another process answers at its address */
-	DIRECT_END_RESTARTED, /**< it has said a new start */
+enum direct_termination_cause {
+	DIRECT_TERMINATION_REFUSED,  /**< its host refuses connections */
+	DIRECT_TERMINATION_REPLACED, /**< another process answers at its address
+				      */
+	DIRECT_TERMINATION_RESTARTED, /**< it has said a new start */
 };
 
-struct direct_ends_options {
+struct direct_terminations_options {
 	struct direct *direct;
 	/** An upstream has ended by itself; `lost`: what was under way there
 	 * for callers of ours. Borrowed. */
@@ -34,18 +35,20 @@
 	void *userdata;
 };
 
-struct direct_ends *
-direct_ends_create(const struct direct_ends_options *options);
-void direct_ends_destroy(struct direct_ends *ends);
+struct direct_terminations *
+direct_terminations_create(const struct direct_terminations_options *options);
+void direct_terminations_destroy(struct direct_terminations *ends);
 /**
  * A request was lost with this upstream. One that leaves, or has left the list,
  * may end as it pleases: that says nothing. Of `loss`, upstream and time are
  * filled in here.
  */
-void direct_ends_lost(struct direct_ends *ends,
-		      const struct pool_upstream *upstream, struct loss loss);
+void direct_terminations_add_loss(struct direct_terminations *ends,
+				  const struct pool_upstream *upstream,
+				  struct loss loss);
 /** It is known that this upstream has ended. */
-void direct_ends_saw(struct direct_ends *ends,
-		     const struct pool_upstream *upstream, enum direct_end how);
+void direct_terminations_confirm(struct direct_terminations *ends,
+				 const struct pool_upstream *upstream,
+				 enum direct_termination_cause how);
 
 #endif
--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -25,7 +25,7 @@
 #define DIRECT_MEMORY_SHARE 0.8
 
 struct direct_closures;
-struct direct_ends;
+struct direct_terminations;
 struct direct_places;
 struct direct_relay;
 struct direct_results;
@@ -53,7 +53,7 @@
 	struct retry_budget *retry_budget;
 	struct direct_closures *closures;
 	struct direct_notices *notices;
-	struct direct_ends *ends;
+	struct direct_terminations *ends;
 	struct direct_quarantine *quarantine;
 	struct direct_stages *stages;
 	struct direct_calls *calls;
--- a/direct/direct_quarantine.c
+++ b/direct/direct_quarantine.c
@@ -324,8 +324,8 @@
 		options->kept_out(options->userdata, request);
 }
 
-void direct_quarantine_ended(struct direct_quarantine *quarantine,
-			     const struct loss *lost, guint count)
+void direct_quarantine_add_terminations(struct direct_quarantine *quarantine,
+					const struct loss *lost, guint count)
 {
 	for (guint i = 0; i < count; i++) {
 		const struct quarantine_termination end = {
@@ -413,8 +413,8 @@
 	lp_event_end(log);
 }
 
-bool direct_quarantine_passes(struct direct_quarantine *quarantine,
-			      struct direct_request *request, int64_t *wait_us)
+bool direct_quarantine_admit(struct direct_quarantine *quarantine,
+			     struct direct_request *request, int64_t *wait_us)
 {
 	uint64_t digest;
 
@@ -452,8 +452,8 @@
 				direct_request_digest(request));
 }
 
-void direct_quarantine_served(struct direct_quarantine *quarantine,
-			      struct direct_request *request)
+void direct_quarantine_request_served(struct direct_quarantine *quarantine,
+				      struct direct_request *request)
 {
 	struct quarantine_view view;
 	uint64_t digest;
@@ -469,8 +469,8 @@
 	set_try(quarantine, digest, now(quarantine));
 }
 
-void direct_quarantine_goes_on(struct direct_quarantine *quarantine,
-			       struct direct_request *request)
+void direct_quarantine_request_progressed(struct direct_quarantine *quarantine,
+					  struct direct_request *request)
 {
 	struct quarantine_view view;
 	int64_t ran_us = now(quarantine) - request->sent_us;
@@ -480,7 +480,7 @@
 				 direct_request_digest(request), &view))
 		return;
 	if (ran_us > OUTLIVES * view.longest_run_us + OUTLIVES_US)
-		direct_quarantine_served(quarantine, request);
+		direct_quarantine_request_served(quarantine, request);
 }
 
 static void end_try(struct direct_quarantine *quarantine,
@@ -492,42 +492,43 @@
 	set_try(quarantine, direct_request_digest(request), until_us);
 }
 
-void direct_quarantine_lost(struct direct_quarantine *quarantine,
-			    struct direct_request *request)
+void direct_quarantine_request_lost(struct direct_quarantine *quarantine,
+				    struct direct_request *request)
 {
 	end_try(quarantine, request, now(quarantine) + FIND_OUT_US);
 }
 
-void direct_quarantine_over(struct direct_quarantine *quarantine,
-			    struct direct_request *request)
+void direct_quarantine_request_ended(struct direct_quarantine *quarantine,
+				     struct direct_request *request)
 {
 	end_try(quarantine, request, now(quarantine));
 }
 
 /* ---- what is written down ---- */
 
-bool direct_quarantine_look(const struct direct_quarantine *quarantine,
-			    uint64_t request, struct quarantine_view *out)
+bool direct_quarantine_get_view(const struct direct_quarantine *quarantine,
+				uint64_t request, struct quarantine_view *out)
 {
 	return quarantine_get_view(quarantine->known, request, out);
 }
 
 /* Those that are met are told all that is known, this with it. */
-void direct_quarantine_offer(struct direct_quarantine *quarantine,
-			     const struct quarantine_termination *end)
+void direct_quarantine_restore(struct direct_quarantine *quarantine,
+			       const struct quarantine_termination *end)
 {
 	note_end(quarantine, end, 0);
 }
 
 /* ---- operators ---- */
 
-void direct_quarantine_turn(struct direct_quarantine *quarantine, bool on)
+void direct_quarantine_set_enabled(struct direct_quarantine *quarantine,
+				   bool on)
 {
 	quarantine_set_enabled(quarantine->known, on);
 }
 
-void direct_quarantine_let_in(struct direct_quarantine *quarantine,
-			      uint64_t request)
+void direct_quarantine_clear(struct direct_quarantine *quarantine,
+			     uint64_t request)
 {
 	clear_now(quarantine, request);
 }
@@ -597,7 +598,8 @@
 		counting->out++;
 }
 
-uint32_t direct_quarantine_count(const struct direct_quarantine *quarantine)
+uint32_t
+direct_quarantine_blocked_count(const struct direct_quarantine *quarantine)
 {
 	struct counting counting = { .now_us = now(quarantine) };
 
--- a/direct/direct_quarantine.h
+++ b/direct/direct_quarantine.h
@@ -25,46 +25,48 @@
 void direct_quarantine_set_peers(struct direct_quarantine *quarantine,
 				 struct direct_peers *peers);
 /** Refuse nothing, or go on as usual. */
-void direct_quarantine_turn(struct direct_quarantine *quarantine, bool on);
+void direct_quarantine_set_enabled(struct direct_quarantine *quarantine,
+				   bool on);
 /** An operator lets a request in again, at all entries. */
-void direct_quarantine_let_in(struct direct_quarantine *quarantine,
-			      uint64_t request);
+void direct_quarantine_clear(struct direct_quarantine *quarantine,
+			     uint64_t request);
 /** An upstream has ended with these of our requests. */
-void direct_quarantine_ended(struct direct_quarantine *quarantine,
-			     const struct loss *lost, guint count);
+void direct_quarantine_add_terminations(struct direct_quarantine *quarantine,
+					const struct loss *lost, guint count);
 /**
  * May it go to an upstream now? Refused: `*wait_us` is when to come back. One
  * that is tried goes on without being asked again, until it is lost: that was
  * its try.
  */
-bool direct_quarantine_passes(struct direct_quarantine *quarantine,
-			      struct direct_request *request, int64_t *wait_us);
+bool direct_quarantine_admit(struct direct_quarantine *quarantine,
+			     struct direct_request *request, int64_t *wait_us);
 /** It goes to an upstream: which round of ends its own would belong to. */
 uint32_t direct_quarantine_round(const struct direct_quarantine *quarantine,
 				 struct direct_request *request);
 /** It has come to an answer, or has run much longer than those that ended. */
-void direct_quarantine_served(struct direct_quarantine *quarantine,
-			      struct direct_request *request);
+void direct_quarantine_request_served(struct direct_quarantine *quarantine,
+				      struct direct_request *request);
 /** Its stream goes on; one that outlives all ends so far is cleared. */
-void direct_quarantine_goes_on(struct direct_quarantine *quarantine,
-			       struct direct_request *request);
+void direct_quarantine_request_progressed(struct direct_quarantine *quarantine,
+					  struct direct_request *request);
 /** It is lost with an upstream of which it is not known yet whether it has
  * ended: nothing is tried until then. */
-void direct_quarantine_lost(struct direct_quarantine *quarantine,
-			    struct direct_request *request);
+void direct_quarantine_request_lost(struct direct_quarantine *quarantine,
+				    struct direct_request *request);
 /** It ends without an answer; its try is over. */
-void direct_quarantine_over(struct direct_quarantine *quarantine,
-			    struct direct_request *request);
+void direct_quarantine_request_ended(struct direct_quarantine *quarantine,
+				     struct direct_request *request);
 /** What is known of a request. False: nothing. */
-bool direct_quarantine_look(const struct direct_quarantine *quarantine,
-			    uint64_t request, struct quarantine_view *out);
+bool direct_quarantine_get_view(const struct direct_quarantine *quarantine,
+				uint64_t request, struct quarantine_view *out);
 /** An end that was written down by an entry that may be gone. */
-void direct_quarantine_offer(struct direct_quarantine *quarantine,
-			     const struct quarantine_termination *end);
+void direct_quarantine_restore(struct direct_quarantine *quarantine,
+			       const struct quarantine_termination *end);
 /** Requests that are kept out, a JSON object a line, for operators. */
 void direct_quarantine_print(const struct direct_quarantine *quarantine,
 			     GString *out);
 /** How many are kept out at this moment. */
-uint32_t direct_quarantine_count(const struct direct_quarantine *quarantine);
+uint32_t
+direct_quarantine_blocked_count(const struct direct_quarantine *quarantine);
 
 #endif
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -17,7 +17,7 @@
 {
 	direct_sending_leave(request, POOL_UNKNOWN);
 	direct_clear_timer(&request->give_up_timer);
-	direct_quarantine_over(request->direct->quarantine, request);
+	direct_quarantine_request_ended(request->direct->quarantine, request);
 	if (request->graph)
 		direct_stages_drop(request->direct->stages, request);
 	g_hash_table_remove(request->direct->requests, request);
@@ -188,7 +188,7 @@
 	struct direct_quarantine *quarantine = request->direct->quarantine;
 	int64_t wait_us;
 
-	if (direct_quarantine_passes(quarantine, request, &wait_us))
+	if (direct_quarantine_admit(quarantine, request, &wait_us))
 		return true;
 	if (request->begun)
 		direct_request_cut(request, "kept_out");
@@ -212,8 +212,8 @@
 		.began_us = began_us,
 	};
 
-	direct_quarantine_lost(request->direct->quarantine, request);
-	direct_ends_lost(request->direct->ends, upstream, loss);
+	direct_quarantine_request_lost(request->direct->quarantine, request);
+	direct_terminations_add_loss(request->direct->ends, upstream, loss);
 }
 
 /* ---- admission ---- */
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -337,7 +337,8 @@
 	begin_answer(request);
 	http_call_write(request->call, request->body->str, size);
 	g_string_erase(request->body, 0, (gssize)size);
-	direct_quarantine_goes_on(request->direct->quarantine, request);
+	direct_quarantine_request_progressed(request->direct->quarantine,
+					     request);
 	set_stall_timer(request);
 }
 
@@ -370,7 +371,7 @@
 		step_on(request, RETRY_EVENT_BROKEN, "torn");
 		return;
 	}
-	direct_quarantine_served(request->direct->quarantine, request);
+	direct_quarantine_request_served(request->direct->quarantine, request);
 	begin_answer(request);
 	http_call_write(request->call, request->body->str, request->body->len);
 	direct_request_log_end(request, "answered", request->status, NULL);
@@ -384,8 +385,9 @@
 	bool success = request->status / 100 == 2;
 
 	if (reply->other_process) {
-		direct_ends_saw(request->direct->ends, request->upstream,
-				DIRECT_END_REPLACED);
+		direct_terminations_confirm(request->direct->ends,
+					    request->upstream,
+					    DIRECT_TERMINATION_REPLACED);
 		direct_sending_leave(request, POOL_WRONG);
 		step_on(request, RETRY_EVENT_NOT_RUN, "other_process");
 	} else if (reply->not_run) {
@@ -398,15 +400,18 @@
 		direct_sending_leave(request, POOL_UNREACHABLE);
 		step_on(request, RETRY_EVENT_BROKEN, "not_ours");
 	} else if (request->begun) {
-		direct_quarantine_served(request->direct->quarantine, request);
+		direct_quarantine_request_served(request->direct->quarantine,
+						 request);
 		direct_sending_leave(request, POOL_ERROR);
 		step_on(request, RETRY_EVENT_BROKEN, "no_stream");
 	} else if (request->status >= 500) {
-		direct_quarantine_served(request->direct->quarantine, request);
+		direct_quarantine_request_served(request->direct->quarantine,
+						 request);
 		direct_sending_leave(request, POOL_ERROR);
 		step_on(request, RETRY_EVENT_ERROR, "error");
 	} else {
-		direct_quarantine_served(request->direct->quarantine, request);
+		direct_quarantine_request_served(request->direct->quarantine,
+						 request);
 		note_heard(request);
 		direct_sending_leave(request, POOL_SERVED);
 		step_on(request, RETRY_EVENT_ANSWERED, "answered");
@@ -423,8 +428,9 @@
 		if (sent)
 			note_lost(request);
 		else if (error == LP_ERROR_NOT_LISTENING)
-			direct_ends_saw(request->direct->ends,
-					request->upstream, DIRECT_END_REFUSED);
+			direct_terminations_confirm(request->direct->ends,
+						    request->upstream,
+						    DIRECT_TERMINATION_REFUSED);
 		direct_sending_leave(request, POOL_UNREACHABLE);
 		step_on(request,
 			sent ? RETRY_EVENT_BROKEN : RETRY_EVENT_NOT_SENT,
