--- a/direct/direct_ends.c
+++ b/direct/direct_terminations.c
@@ -1,4 +1,4 @@
-#include "direct/direct_ends.h"
+#include "direct/direct_terminations.h"
 
 #include "base/lp_timer.h"
 
--- a/direct/direct_ends.h
+++ b/direct/direct_terminations.h
@@ -10,8 +10,8 @@
  *
  * All functions belong to the loop's thread.
  */
-#ifndef DIRECT_ENDS_H
-#define DIRECT_ENDS_H
+#ifndef DIRECT_TERMINATIONS_H
+#define DIRECT_TERMINATIONS_H
 
 #include "policy/losses.h"
 #include "policy/pool.h"
