--- a/direct/direct.c
+++ b/direct/direct.c
@@ -134,7 +134,7 @@
 	direct->ends = direct_terminations_create(
 		&(struct direct_terminations_options){
 			.direct = direct,
-			.ended = on_upstream_ended,
+			.terminated = on_upstream_ended,
 			.userdata = direct,
 		});
 	direct->calls = direct_calls_create(direct);
--- a/direct/direct_terminations.c
+++ b/direct/direct_terminations.c
@@ -4,59 +4,61 @@
 
 #include "direct/direct_private.h"
 
-/* One that takes a connection is asked once more after this: a process that
- * ends may close its connections before the address it listens at. */
-#define SURE_MS 100
-/* A host that says nothing is asked again after this, ... */
-#define SILENT_MS 1000
-/* ... and so often: within the time for which losses are kept. */
-#define QUESTIONS_MAX 5
-
-/* A question to the address of an upstream: is there still anyone? */
-struct question {
-	struct direct_terminations *ends;
+/* An upstream that accepts a connection is probed once more after this delay: a
+ * process that terminates may close its connections before its listener. */
+#define CONFIRM_DELAY_MS 100
+/* Delay before the next attempt after an attempt without a result. */
+#define RETRY_DELAY_MS 1000
+/* Attempts of one probe; they end within the time for which lost requests are
+ * kept. */
+#define ATTEMPTS_MAX 5
+
+/* A liveness probe: attempts to connect to the address of an upstream. */
+struct probe {
+	struct direct_terminations *terminations;
 	struct pool_upstream *upstream; /* held */
 	struct http_sock *sock;		/* NULL: between two connections */
 	guint timer;
-	uint32_t asked;
-	bool took_one; /* it has taken a connection */
+	uint32_t attempts;
+	bool connected_once; /* the upstream accepted a connection */
 };
 
 struct direct_terminations {
 	struct direct_terminations_options options;
 	struct losses *losses;
-	GHashTable *questions; /* life -> struct question */
+	GHashTable *probes; /* incarnation -> struct probe */
 };
 
-static void ask(struct question *question);
+static void start_probe(struct probe *probe);
 
-static struct direct *direct_of(const struct direct_terminations *ends)
+static struct direct *direct_of(const struct direct_terminations *terminations)
 {
-	return ends->options.direct;
+	return terminations->options.direct;
 }
 
-static void free_question(gpointer data)
+static void free_probe(gpointer data)
 {
-	struct question *question = data;
+	struct probe *probe = data;
 
-	if (question->sock)
-		http_sock_abort(question->sock);
-	direct_clear_timer(&question->timer);
-	pool_release(question->upstream);
-	g_free(question);
+	if (probe->sock)
+		http_sock_abort(probe->sock);
+	direct_clear_timer(&probe->timer);
+	pool_release(probe->upstream);
+	g_free(probe);
 }
 
-/* ---- what was found out ---- */
+/* ---- confirmed terminations ---- */
 
-static void log_end(struct direct_terminations *ends,
-		    const struct pool_upstream *upstream,
-		    enum direct_termination_cause how, const GArray *lost)
+static void log_termination(struct direct_terminations *terminations,
+			    const struct pool_upstream *upstream,
+			    enum direct_termination_evidence evidence,
+			    const GArray *lost)
 {
 	static const char *const names[] = { "refused", "replaced",
 					     "restarted" };
-	struct direct *direct = direct_of(ends);
+	struct direct *direct = direct_of(terminations);
 	struct lp_event_log *log = direct->options.log;
-	g_autofree char *label = g_strdup_printf("how=\"%s\"", names[how]);
+	g_autofree char *label = g_strdup_printf("how=\"%s\"", names[evidence]);
 
 	*direct_counter(direct, "linepier_upstream_ends_total", label) += 1;
 	if (!lp_event_begin(log, "upstream_ended", NULL))
@@ -64,18 +66,18 @@
 	lp_event_text(log, "upstream", upstream->entry.id);
 	lp_event_text(log, "service", upstream->entry.service);
 	lp_event_digest(log, "life", upstream->life);
-	lp_event_text(log, "how", names[how]);
+	lp_event_text(log, "how", names[evidence]);
 	lp_event_int(log, "lost", lost->len);
 	lp_event_int(log, "list_age_us",
 		     lp_now_us(direct->options.clock) - direct->listed_us);
 	lp_event_end(log);
 }
 
-static void log_lost(struct direct_terminations *ends,
-		     const struct pool_upstream *upstream,
-		     const struct loss *lost)
+static void log_lost_request(struct direct_terminations *terminations,
+			     const struct pool_upstream *upstream,
+			     const struct loss *lost)
 {
-	struct lp_event_log *log = direct_of(ends)->options.log;
+	struct lp_event_log *log = direct_of(terminations)->options.log;
 
 	if (!lp_event_begin(log, "lost_with_upstream", NULL))
 		return;
@@ -85,70 +87,72 @@
 	lp_event_end(log);
 }
 
-void direct_terminations_confirm(struct direct_terminations *ends,
+void direct_terminations_confirm(struct direct_terminations *terminations,
 				 const struct pool_upstream *upstream,
-				 enum direct_termination_cause how)
+				 enum direct_termination_evidence evidence)
 {
 	g_autoptr(GArray) lost = g_array_new(FALSE, FALSE, sizeof(struct loss));
-	uint64_t life = upstream->life;
+	uint64_t incarnation = upstream->life;
 
 	if (pool_is_leaving(upstream))
 		return;
-	if (losses_ended(ends->losses, life,
-			 how == DIRECT_TERMINATION_RESTARTED, lost) &&
+	if (losses_ended(terminations->losses, incarnation,
+			 evidence == DIRECT_TERMINATION_RESTARTED, lost) &&
 	    lost->len)
-		log_end(ends, upstream, how, lost);
+		log_termination(terminations, upstream, evidence, lost);
 	for (guint i = 0; i < lost->len; i++)
-		log_lost(ends, upstream, &g_array_index(lost, struct loss, i));
+		log_lost_request(terminations, upstream,
+				 &g_array_index(lost, struct loss, i));
 	if (lost->len)
-		ends->options.ended(ends->options.userdata,
-				    (struct loss *)lost->data, lost->len);
-	g_hash_table_remove(ends->questions, &life);
+		terminations->options.terminated(terminations->options.userdata,
+						 (struct loss *)lost->data,
+						 lost->len);
+	g_hash_table_remove(terminations->probes, &incarnation);
 }
 
-/* ---- asking ---- */
+/* ---- liveness probes ---- */
 
-/* Nothing was found out. Ends the question. */
-static void give_up(struct question *question, bool seen_alive)
+/* Ends a probe that has not shown a termination. */
+static void end_inconclusive(struct probe *probe, bool is_alive)
 {
-	struct direct_terminations *ends = question->ends;
-	uint64_t life = question->upstream->life;
+	struct direct_terminations *terminations = probe->terminations;
+	uint64_t incarnation = probe->upstream->life;
 
-	losses_not_found(ends->losses, life, seen_alive);
-	g_hash_table_remove(ends->questions, &life);
+	losses_not_found(terminations->losses, incarnation, is_alive);
+	g_hash_table_remove(terminations->probes, &incarnation);
 }
 
-static gboolean on_ask_again(gpointer userdata)
+static gboolean on_retry_timer(gpointer userdata)
 {
-	struct question *question = userdata;
+	struct probe *probe = userdata;
 
-	question->timer = 0;
-	ask(question);
+	probe->timer = 0;
+	start_probe(probe);
 	return G_SOURCE_REMOVE;
 }
 
-static void ask_again(struct question *question, guint wait_ms)
+static void retry_probe(struct probe *probe, guint wait_ms)
 {
-	if (question->sock)
-		http_sock_abort(question->sock);
-	question->sock = NULL;
-	direct_clear_timer(&question->timer);
-	if (question->asked == QUESTIONS_MAX)
-		give_up(question, question->took_one);
+	if (probe->sock)
+		http_sock_abort(probe->sock);
+	probe->sock = NULL;
+	direct_clear_timer(&probe->timer);
+	if (probe->attempts == ATTEMPTS_MAX)
+		end_inconclusive(probe, probe->connected_once);
 	else
-		question->timer = lp_timer_add(wait_ms, on_ask_again, question);
+		probe->timer = lp_timer_add(wait_ms, on_retry_timer, probe);
 }
 
 static void on_connected(void *userdata)
 {
-	struct question *question = userdata;
+	struct probe *probe = userdata;
 
-	if (question->took_one) {
-		give_up(question, true);
+	if (probe->connected_once) {
+		end_inconclusive(probe, true);
 		return;
 	}
-	question->took_one = true;
-	ask_again(question, SURE_MS);
+	probe->connected_once = true;
+	retry_probe(probe, CONFIRM_DELAY_MS);
 }
 
 static void on_data(void *userdata, const char *bytes, size_t size)
@@ -157,25 +161,26 @@
 
 static void on_ended(void *userdata, int error)
 {
-	struct question *question = userdata;
+	struct probe *probe = userdata;
 
 	if (error == LP_ERROR_NOT_LISTENING)
-		direct_terminations_confirm(question->ends, question->upstream,
+		direct_terminations_confirm(probe->terminations,
+					    probe->upstream,
 					    DIRECT_TERMINATION_REFUSED);
 	else
-		ask_again(question, SILENT_MS);
+		retry_probe(probe, RETRY_DELAY_MS);
 }
 
-static gboolean on_silent(gpointer userdata)
+static gboolean on_timeout(gpointer userdata)
 {
-	struct question *question = userdata;
+	struct probe *probe = userdata;
 
-	question->timer = 0;
-	ask_again(question, SILENT_MS);
+	probe->timer = 0;
+	retry_probe(probe, RETRY_DELAY_MS);
 	return G_SOURCE_REMOVE;
 }
 
-static void ask(struct question *question)
+static void start_probe(struct probe *probe)
 {
 	static const struct http_sock_events events = {
 		.connected = on_connected,
@@ -183,85 +188,88 @@
 		.ended = on_ended,
 	};
 
-	question->asked++;
-	question->sock = http_sock_connect(question->upstream->entry.address,
-					   &events, question);
-	if (question->sock)
-		question->timer =
+	probe->attempts++;
+	probe->sock = http_sock_connect(probe->upstream->entry.address, &events,
+					probe);
+	if (probe->sock)
+		probe->timer =
 			lp_timer_add(DIRECT_CONNECT_TIMEOUT_US / LP_US_PER_MS,
-				     on_silent, question);
+				     on_timeout, probe);
 	else
-		ask_again(question, SILENT_MS);
+		retry_probe(probe, RETRY_DELAY_MS);
 }
 
-static void find_out(struct direct_terminations *ends,
-		     const struct pool_upstream *upstream)
+static void probe_upstream(struct direct_terminations *terminations,
+			   const struct pool_upstream *upstream)
 {
-	struct question *question = g_new0(struct question, 1);
+	struct probe *probe = g_new0(struct probe, 1);
 
-	question->ends = ends;
-	question->upstream = pool_hold((struct pool_upstream *)upstream);
-	g_hash_table_replace(ends->questions, &question->upstream->life,
-			     question);
-	ask(question);
+	probe->terminations = terminations;
+	probe->upstream = pool_hold((struct pool_upstream *)upstream);
+	g_hash_table_replace(terminations->probes, &probe->upstream->life,
+			     probe);
+	start_probe(probe);
 }
 
-/* ---- losses ---- */
+/* ---- lost requests ---- */
 
-/* A newer life of it is known, so that this one is over. */
-static bool is_superseded(const struct direct_terminations *ends,
-			  const struct pool_upstream *upstream)
+/* Whether a newer incarnation of the upstream is known, so that this one has
+ * terminated. */
+static bool
+has_newer_incarnation(const struct direct_terminations *terminations,
+		      const struct pool_upstream *upstream)
 {
-	const struct pool_upstream *listed =
-		pool_find(direct_of(ends)->pool, upstream->entry.id);
+	const struct pool_upstream *newest =
+		pool_find(direct_of(terminations)->pool, upstream->entry.id);
 
-	return listed && listed != upstream;
+	return newest && newest != upstream;
 }
 
-void direct_terminations_add_loss(struct direct_terminations *ends,
+void direct_terminations_add_loss(struct direct_terminations *terminations,
 				  const struct pool_upstream *upstream,
 				  struct loss loss)
 {
-	bool superseded = is_superseded(ends, upstream);
+	bool is_replaced = has_newer_incarnation(terminations, upstream);
 
 	loss.life = upstream->life;
-	loss.lost_us = lp_now_us(direct_of(ends)->options.clock);
-	losses_forget(ends->losses);
-	if (pool_is_leaving(upstream) || (!upstream->listed && !superseded))
+	loss.lost_us = lp_now_us(direct_of(terminations)->options.clock);
+	losses_forget(terminations->losses);
+	if (pool_is_leaving(upstream) || (!upstream->listed && !is_replaced))
 		return;
-	switch (losses_add(ends->losses, &loss)) {
+	switch (losses_add(terminations->losses, &loss)) {
 	case LOSSES_ENDED:
-		log_lost(ends, upstream, &loss);
-		ends->options.ended(ends->options.userdata, &loss, 1);
+		log_lost_request(terminations, upstream, &loss);
+		terminations->options.terminated(terminations->options.userdata,
+						 &loss, 1);
 		return;
 	case LOSSES_ASK:
-		if (!superseded)
-			find_out(ends, upstream);
+		if (!is_replaced)
+			probe_upstream(terminations, upstream);
 		break;
 	case LOSSES_WAIT:
 		break;
 	}
-	if (superseded)
-		direct_terminations_confirm(ends, upstream,
+	if (is_replaced)
+		direct_terminations_confirm(terminations, upstream,
 					    DIRECT_TERMINATION_RESTARTED);
 }
 
 struct direct_terminations *
 direct_terminations_create(const struct direct_terminations_options *options)
 {
-	struct direct_terminations *ends =
+	struct direct_terminations *terminations =
 		g_new0(struct direct_terminations, 1);
 
-	ends->options = *options;
-	ends->losses = losses_create(options->direct->options.clock);
-	ends->questions = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						NULL, free_question);
-	return ends;
+	terminations->options = *options;
+	terminations->losses = losses_create(options->direct->options.clock);
+	terminations->probes = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, NULL, free_probe);
+	return terminations;
 }
 
-void direct_terminations_destroy(struct direct_terminations *ends)
+void direct_terminations_destroy(struct direct_terminations *terminations)
 {
-	g_hash_table_unref(ends->questions);
-	losses_destroy(ends->losses);
-	g_free(ends);
+	g_hash_table_unref(terminations->probes);
+	losses_destroy(terminations->losses);
+	g_free(terminations);
 }
--- a/direct/direct_terminations.h
+++ b/direct/direct_terminations.h
@@ -1,14 +1,14 @@
 /**
- * Whether an upstream with which requests were lost has ended, and what was
- * under way there.
+ * Detects whether an upstream whose connections failed has terminated, and
+ * reports the requests that were in flight there (lost requests).
  *
- * The first loss at an upstream has its address asked for a connection: a host
- * that refuses one has no such process any more. An answer of another process,
- * and a new start under the same id, tell the same. A host that says nothing at
- * all is asked a few times; nobody is held to have ended what was merely cut
- * off.
+ * The first lost request of an upstream starts a liveness probe of its address:
+ * if the host refuses the connection, the process has terminated. An answer of
+ * another process at the address, and a new start under the same id, show the
+ * same. If the host does not respond at all, a few more attempts are made; an
+ * upstream that is merely unreachable does not count as terminated.
  *
- * All functions belong to the loop's thread.
+ * All functions must be called on the event loop's thread.
  */
 #ifndef DIRECT_TERMINATIONS_H
 #define DIRECT_TERMINATIONS_H
@@ -19,36 +19,36 @@
 struct direct;
 struct direct_terminations;
 
-/** How an end was found out. */
-enum direct_termination_cause {
-	DIRECT_TERMINATION_REFUSED,  /**< its host refuses connections */
-	DIRECT_TERMINATION_REPLACED, /**< another process answers at its address
-				      */
-	DIRECT_TERMINATION_RESTARTED, /**< it has said a new start */
+/** How a termination was detected. */
+enum direct_termination_evidence {
+	DIRECT_TERMINATION_REFUSED,   /**< its host refuses connections */
+	DIRECT_TERMINATION_REPLACED,  /**< another process has the address */
+	DIRECT_TERMINATION_RESTARTED, /**< it reported a new start time */
 };
 
 struct direct_terminations_options {
 	struct direct *direct;
-	/** An upstream has ended by itself; `lost`: what was under way there
-	 * for callers of ours. Borrowed. */
-	void (*ended)(void *userdata, const struct loss *lost, guint count);
+	/** An upstream has terminated without draining; `lost`: requests of
+	 * this entry's callers that were in flight there. Borrowed. */
+	void (*terminated)(void *userdata, const struct loss *lost,
+			   guint count);
 	void *userdata;
 };
 
 struct direct_terminations *
 direct_terminations_create(const struct direct_terminations_options *options);
-void direct_terminations_destroy(struct direct_terminations *ends);
+void direct_terminations_destroy(struct direct_terminations *terminations);
 /**
- * A request was lost with this upstream. One that leaves, or has left the list,
- * may end as it pleases: that says nothing. Of `loss`, upstream and time are
- * filled in here.
+ * Records a lost request; fills in the incarnation and time of `loss`. Ignored
+ * if the upstream is draining, or is no longer listed and not replaced by a
+ * newer incarnation: its termination is expected.
  */
-void direct_terminations_add_loss(struct direct_terminations *ends,
+void direct_terminations_add_loss(struct direct_terminations *terminations,
 				  const struct pool_upstream *upstream,
 				  struct loss loss);
-/** It is known that this upstream has ended. */
-void direct_terminations_confirm(struct direct_terminations *ends,
+/** Records that an upstream has terminated, and reports its lost requests. */
+void direct_terminations_confirm(struct direct_terminations *terminations,
 				 const struct pool_upstream *upstream,
-				 enum direct_termination_cause how);
+				 enum direct_termination_evidence evidence);
 
 #endif
