--- a/direct/direct_quarantine.c
+++ b/direct/direct_quarantine.c
@@ -4,69 +4,71 @@
 #include "base/lp_timer.h"
 #include "direct/direct_request.h"
 
-/* A word about one request: what, request, life of the upstream, round, and
- * two times in us (an age, how long a run took or may take). */
-#define KIND_WORDS 'W'
-#define WORDS_TYPE "a(yttuxx)"
-#define WORD_ENDED 'E'	/* life, round, age, ran */
-#define WORD_SERVED 'S' /* age */
-#define WORD_TRIES 'T'	/* us that its try may take yet; 0: over */
-/* In a datagram, about 4 KB. */
-#define WORDS_MAX 96
-/* A word is sent so often, this long after each other: three that are lost are
- * one in 64,000 where one in 40 is. */
-#define TELLS 3
-#define TELL_MS 150
-/* What is held against requests is told to one member more each time: it may
- * have heard nothing while it was cut off. */
-#define REMIND_MS 2000
-/* A loss is found out to be an end within some round trips. */
-#define FIND_OUT_US (1 * LP_US_PER_S)
-/* A run that lasts so many times the longest one to an end, and this beside it,
- * has outlived what ended those. */
-#define OUTLIVES 2
-#define OUTLIVES_US (1 * LP_US_PER_S)
-/* What another entry can mean: a round more each minute for a week. */
+/* Reports about requests: kind, request, incarnation of the upstream, round,
+ * a time in us that depends on the kind, and the length of the run in us. */
+#define KIND_REPORTS 'W'
+#define REPORTS_TYPE "a(yttuxx)"
+#define REPORT_TERMINATION 'E' /* incarnation, round, age, run */
+#define REPORT_CLEARED 'S'     /* age */
+#define REPORT_TRIAL 'T'       /* longest rest of the trial; 0: it is over */
+/* About 4 KB. */
+#define REPORTS_PER_DATAGRAM 96
+/* Each report is sent this often, at this interval: where one datagram in 40 is
+ * lost, all three are lost once in 64,000 times. */
+#define SENDS 3
+#define RESEND_MS 150
+/* Interval at which the records of suspects are sent to one member after the
+ * other, as a member may have missed reports while it was partitioned. */
+#define REFRESH_MS 2000
+/* A termination is detected within some round trips after a lost request. */
+#define DETECTION_US (1 * LP_US_PER_S)
+/* A run that lasts longer than this factor times the longest run up to a
+ * termination, plus this margin, is considered not to terminate its upstream.
+ */
+#define OUTLIVES_FACTOR 2
+#define OUTLIVES_MARGIN_US (1 * LP_US_PER_S)
+/* Bounds of received values: one round a minute for a week, and an age. */
 #define ROUND_MAX 10000
 #define AGE_MAX_US (INT64_C(24) * 3600 * LP_US_PER_S)
 
-struct word {
-	guint8 what;
+struct report {
+	guint8 kind;
 	uint64_t request;
-	uint64_t life;
+	uint64_t incarnation;
 	uint32_t round;
-	int64_t at_us; /* what its age counts from, or when the try is over */
-	int64_t ran_us;
-	uint32_t tells; /* still to be made */
+	int64_t at_us; /* time of the event, or latest end of the trial */
+	int64_t run_us;
+	uint32_t sends_left;
 };
 
 struct direct_quarantine {
 	struct direct *direct;
-	struct direct_peers *peers; /* NULL: nobody is told */
-	struct quarantine *known;
-	GArray *words; /* of struct word, to be told again */
-	guint tell_timer;
-	guint remind_timer;
-	guint reminded; /* members, so far */
+	struct direct_peers *peers; /* NULL: reports are not sent */
+	struct quarantine *records;
+	GArray *reports; /* of struct report, to be sent again */
+	guint resend_timer;
+	guint refresh_timer;
+	guint refreshed_members; /* so far */
 };
 
-static struct word word_of_end(const struct quarantine_termination *end)
+static struct report
+termination_report(const struct quarantine_termination *termination)
 {
-	return (struct word){
-		.what = WORD_ENDED,
-		.request = end->request,
-		.life = end->incarnation,
-		.round = end->round,
-		.at_us = end->terminated_us,
-		.ran_us = end->run_us,
+	return (struct report){
+		.kind = REPORT_TERMINATION,
+		.request = termination->request,
+		.incarnation = termination->incarnation,
+		.round = termination->round,
+		.at_us = termination->terminated_us,
+		.run_us = termination->run_us,
 	};
 }
 
-/* Of WORD_SERVED and WORD_TRIES. */
-static struct word word_of_time(guint8 what, uint64_t request, int64_t at_us)
+/* A REPORT_CLEARED or REPORT_TRIAL. */
+static struct report time_report(guint8 kind, uint64_t request, int64_t at_us)
 {
-	return (struct word){
-		.what = what,
+	return (struct report){
+		.kind = kind,
 		.request = request,
 		.at_us = at_us,
 	};
@@ -77,128 +79,133 @@
 	return lp_now_us(quarantine->direct->options.clock);
 }
 
-/* ---- telling ---- */
+/* ---- sending reports ---- */
 
-static void add_word(GVariantBuilder *builder, const struct word *word,
-		     int64_t now_us)
+static void append_report(GVariantBuilder *builder, const struct report *report,
+			  int64_t now_us)
 {
-	int64_t time_us = word->what == WORD_TRIES ? word->at_us - now_us
-						   : now_us - word->at_us;
+	int64_t time_us = report->kind == REPORT_TRIAL ? report->at_us - now_us
+						       : now_us - report->at_us;
 
-	g_variant_builder_add(builder, "(yttuxx)", word->what,
-			      (guint64)word->request, (guint64)word->life,
-			      (guint32)word->round, (gint64)MAX(time_us, 0),
-			      (gint64)word->ran_us);
+	g_variant_builder_add(
+		builder, "(yttuxx)", report->kind, (guint64)report->request,
+		(guint64)report->incarnation, (guint32)report->round,
+		(gint64)MAX(time_us, 0), (gint64)report->run_us);
 }
 
-static GVariant *write_words(const struct direct_quarantine *quarantine,
-			     const struct word *words, guint count)
+static GVariant *encode_reports(const struct direct_quarantine *quarantine,
+				const struct report *reports, guint count)
 {
 	GVariantBuilder builder;
 
-	g_variant_builder_init(&builder, G_VARIANT_TYPE(WORDS_TYPE));
+	g_variant_builder_init(&builder, G_VARIANT_TYPE(REPORTS_TYPE));
 	for (guint i = 0; i < count; i++)
-		add_word(&builder, &words[i], now(quarantine));
+		append_report(&builder, &reports[i], now(quarantine));
 	return g_variant_builder_end(&builder);
 }
 
-/* To one member, or to all (0). */
-static void send_words(struct direct_quarantine *quarantine, uint64_t peer,
-		       const struct word *words, guint count)
+/* Sends reports to one member, or to all (0). */
+static void send_reports(struct direct_quarantine *quarantine, uint64_t peer,
+			 const struct report *reports, guint count)
 {
-	for (guint i = 0; i < count; i += WORDS_MAX) {
-		g_autoptr(GVariant) body = g_variant_ref_sink(write_words(
-			quarantine, words + i, MIN(count - i, WORDS_MAX)));
+	for (guint i = 0; i < count; i += REPORTS_PER_DATAGRAM) {
+		g_autoptr(GVariant) body = g_variant_ref_sink(
+			encode_reports(quarantine, reports + i,
+				       MIN(count - i, REPORTS_PER_DATAGRAM)));
 
 		if (peer)
-			direct_peers_send(quarantine->peers, peer, KIND_WORDS,
+			direct_peers_send(quarantine->peers, peer, KIND_REPORTS,
 					  body);
 		else
-			direct_peers_send_all(quarantine->peers, KIND_WORDS,
+			direct_peers_send_all(quarantine->peers, KIND_REPORTS,
 					      body);
 	}
 }
 
-/* Returns whether there are words left. */
-static bool tell_words(struct direct_quarantine *quarantine)
+/* Returns whether reports remain to be sent again. */
+static bool resend_reports(struct direct_quarantine *quarantine)
 {
-	GArray *words = quarantine->words;
-	struct word *cells = (struct word *)words->data;
+	GArray *reports = quarantine->reports;
+	struct report *items = (struct report *)reports->data;
 
-	send_words(quarantine, 0, cells, words->len);
-	for (guint i = words->len; i-- > 0;)
-		if (!--cells[i].tells)
-			g_array_remove_index_fast(words, i);
-	return words->len > 0;
+	send_reports(quarantine, 0, items, reports->len);
+	for (guint i = reports->len; i-- > 0;)
+		if (!--items[i].sends_left)
+			g_array_remove_index_fast(reports, i);
+	return reports->len > 0;
 }
 
-static gboolean on_tell(gpointer userdata)
+static gboolean on_resend(gpointer userdata)
 {
 	struct direct_quarantine *quarantine = userdata;
 
-	if (tell_words(quarantine))
+	if (resend_reports(quarantine))
 		return G_SOURCE_CONTINUE;
-	quarantine->tell_timer = 0;
+	quarantine->resend_timer = 0;
 	return G_SOURCE_REMOVE;
 }
 
-/* A newer word takes the place of an older one of the same matter. */
-static void drop_older(GArray *words, const struct word *word)
+/* Drops queued reports of the same kind, request and incarnation. */
+static void drop_superseded(GArray *reports, const struct report *report)
 {
-	for (guint i = words->len; i-- > 0;) {
-		const struct word *older =
-			&g_array_index(words, struct word, i);
+	for (guint i = reports->len; i-- > 0;) {
+		const struct report *other =
+			&g_array_index(reports, struct report, i);
 
-		if (older->what == word->what &&
-		    older->request == word->request &&
-		    older->life == word->life)
-			g_array_remove_index_fast(words, i);
+		if (other->kind == report->kind &&
+		    other->request == report->request &&
+		    other->incarnation == report->incarnation)
+			g_array_remove_index_fast(reports, i);
 	}
 }
 
-static void tell(struct direct_quarantine *quarantine, struct word word)
+static void broadcast(struct direct_quarantine *quarantine,
+		      struct report report)
 {
 	if (!quarantine->peers)
 		return;
-	word.tells = TELLS - 1;
-	drop_older(quarantine->words, &word);
-	send_words(quarantine, 0, &word, 1);
-	g_array_append_val(quarantine->words, word);
-	if (!quarantine->tell_timer)
-		quarantine->tell_timer =
-			lp_timer_add(TELL_MS, on_tell, quarantine);
+	report.sends_left = SENDS - 1;
+	drop_superseded(quarantine->reports, &report);
+	send_reports(quarantine, 0, &report, 1);
+	g_array_append_val(quarantine->reports, report);
+	if (!quarantine->resend_timer)
+		quarantine->resend_timer =
+			lp_timer_add(RESEND_MS, on_resend, quarantine);
 }
 
-/* ---- telling one member all ---- */
+/* ---- sending records to one member ---- */
 
-static void add_request(void *userdata, const struct quarantine_view *view)
+static void add_request_reports(void *userdata,
+				const struct quarantine_view *view)
 {
-	GArray *words = userdata;
-	struct word word =
-		word_of_time(WORD_SERVED, view->request, view->cleared_us);
+	GArray *reports = userdata;
+	struct report report =
+		time_report(REPORT_CLEARED, view->request, view->cleared_us);
 
 	if (view->cleared_us)
-		g_array_append_val(words, word);
+		g_array_append_val(reports, report);
 	for (uint32_t i = 0; i < view->terminations_count; i++) {
-		word = word_of_end(&view->terminations[i]);
-		g_array_append_val(words, word);
+		report = termination_report(&view->terminations[i]);
+		g_array_append_val(reports, report);
 	}
 }
 
-static void add_suspect(void *userdata, const struct quarantine_view *view)
+static void add_suspect_reports(void *userdata,
+				const struct quarantine_view *view)
 {
 	if (view->terminations_count >= QUARANTINE_SUSPECT_TERMINATIONS)
-		add_request(userdata, view);
+		add_request_reports(userdata, view);
 }
 
-static void on_met(void *userdata, uint64_t peer)
+static void on_discovered(void *userdata, uint64_t peer)
 {
 	struct direct_quarantine *quarantine = userdata;
-	g_autoptr(GArray) words =
-		g_array_new(FALSE, FALSE, sizeof(struct word));
+	g_autoptr(GArray) reports =
+		g_array_new(FALSE, FALSE, sizeof(struct report));
 
-	quarantine_foreach(quarantine->known, add_request, words);
-	send_words(quarantine, peer, (struct word *)words->data, words->len);
+	quarantine_foreach(quarantine->records, add_request_reports, reports);
+	send_reports(quarantine, peer, (struct report *)reports->data,
+		     reports->len);
 }
 
 static uint64_t next_member(struct direct_quarantine *quarantine)
@@ -208,30 +215,30 @@
 
 	direct_peers_members(quarantine->peers, members);
 	return g_array_index(members, struct dispatchers_member,
-			     quarantine->reminded++ % members->len)
+			     quarantine->refreshed_members++ % members->len)
 		.hash;
 }
 
-static gboolean on_remind(gpointer userdata)
+static gboolean on_refresh(gpointer userdata)
 {
 	struct direct_quarantine *quarantine = userdata;
-	g_autoptr(GArray) words =
-		g_array_new(FALSE, FALSE, sizeof(struct word));
+	g_autoptr(GArray) reports =
+		g_array_new(FALSE, FALSE, sizeof(struct report));
 
-	quarantine_expire(quarantine->known);
-	if (!quarantine->peers || quarantine_is_empty(quarantine->known))
+	quarantine_expire(quarantine->records);
+	if (!quarantine->peers || quarantine_is_empty(quarantine->records))
 		return G_SOURCE_CONTINUE;
-	quarantine_foreach(quarantine->known, add_suspect, words);
-	if (words->len)
-		send_words(quarantine, next_member(quarantine),
-			   (struct word *)words->data, words->len);
+	quarantine_foreach(quarantine->records, add_suspect_reports, reports);
+	if (reports->len)
+		send_reports(quarantine, next_member(quarantine),
+			     (struct report *)reports->data, reports->len);
 	return G_SOURCE_CONTINUE;
 }
 
-/* ---- what is held against a request ---- */
+/* ---- records ---- */
 
-static void log_change(struct direct_quarantine *quarantine, uint64_t request,
-		       const char *outcome, uint64_t peer)
+static void log_outcome(struct direct_quarantine *quarantine, uint64_t request,
+			const char *outcome, uint64_t peer)
 {
 	struct direct *direct = quarantine->direct;
 	struct lp_event_log *log = direct->options.log;
@@ -241,7 +248,7 @@
 	*direct_counter(direct, "linepier_quarantine_total", label) += 1;
 	if (!lp_event_begin(log, "quarantine", NULL))
 		return;
-	quarantine_get_view(quarantine->known, request, &view);
+	quarantine_get_view(quarantine->records, request, &view);
 	lp_event_digest(log, "content", request);
 	lp_event_text(log, "outcome", outcome);
 	lp_event_int(log, "ends", view.terminations_count);
@@ -253,12 +260,12 @@
 	lp_event_end(log);
 }
 
-static const char *standing(const struct direct_quarantine *quarantine,
-			    uint64_t request)
+static const char *standing_name(const struct direct_quarantine *quarantine,
+				 uint64_t request)
 {
 	struct quarantine_view view = { 0 };
 
-	quarantine_get_view(quarantine->known, request, &view);
+	quarantine_get_view(quarantine->records, request, &view);
 	if (view.blocked_until_us > now(quarantine))
 		return "kept_out";
 	return view.terminations_count >= QUARANTINE_SUSPECT_TERMINATIONS
@@ -266,60 +273,63 @@
 		       : "noted";
 }
 
-/* `peer`: who says so; 0: we saw it. Returns whether it is news. */
-static bool note_end(struct direct_quarantine *quarantine,
-		     const struct quarantine_termination *end, uint64_t peer)
+/* `peer`: sender of the report; 0: this entry. Returns false if the termination
+ * is known or was cleared. */
+static bool record_termination(struct direct_quarantine *quarantine,
+			       const struct quarantine_termination *termination,
+			       uint64_t peer)
 {
-	if (!quarantine_add_termination(quarantine->known, end))
+	if (!quarantine_add_termination(quarantine->records, termination))
 		return false;
-	log_change(quarantine, end->request, standing(quarantine, end->request),
-		   peer);
+	log_outcome(quarantine, termination->request,
+		    standing_name(quarantine, termination->request), peer);
 	return true;
 }
 
-static void note_served(struct direct_quarantine *quarantine, uint64_t request,
-			int64_t served_us, uint64_t peer)
+static void record_cleared(struct direct_quarantine *quarantine,
+			   uint64_t request, int64_t cleared_us, uint64_t peer)
 {
-	if (quarantine_clear(quarantine->known, request, served_us))
-		log_change(quarantine, request, "cleared", peer);
+	if (quarantine_clear(quarantine->records, request, cleared_us))
+		log_outcome(quarantine, request, "cleared", peer);
 }
 
-/* Here and at the others: it is tried until then; not any more, if that is now.
- */
-static void set_try(struct direct_quarantine *quarantine, uint64_t request,
-		    int64_t until_us)
+/* Sets the latest end of a trial here and at other entries; now: it is over. */
+static void share_trial(struct direct_quarantine *quarantine, uint64_t request,
+			int64_t until_us)
 {
-	quarantine_set_trial(quarantine->known, request, until_us);
-	tell(quarantine, word_of_time(WORD_TRIES, request, until_us));
+	quarantine_set_trial(quarantine->records, request, until_us);
+	broadcast(quarantine, time_report(REPORT_TRIAL, request, until_us));
 }
 
-/* Whoever tried it has an answer to what became of it. */
-static void free_try(struct direct_quarantine *quarantine, uint64_t request)
+/* Ends the running trial, if any, as its outcome is known. */
+static void end_running_trial(struct direct_quarantine *quarantine,
+			      uint64_t request)
 {
 	int64_t now_us = now(quarantine);
 	struct quarantine_view view;
 
-	if (quarantine_get_view(quarantine->known, request, &view) &&
+	if (quarantine_get_view(quarantine->records, request, &view) &&
 	    view.trial_until_us > now_us)
-		set_try(quarantine, request, now_us);
+		share_trial(quarantine, request, now_us);
 }
 
-/* What was until now is cleared, here and at the others. */
-static void clear_now(struct direct_quarantine *quarantine, uint64_t request)
+/* Clears all terminations up to now, here and at other entries. */
+static void clear_everywhere(struct direct_quarantine *quarantine,
+			     uint64_t request)
 {
 	int64_t now_us = now(quarantine);
 
-	note_served(quarantine, request, now_us, 0);
-	tell(quarantine, word_of_time(WORD_SERVED, request, now_us));
+	record_cleared(quarantine, request, now_us, 0);
+	broadcast(quarantine, time_report(REPORT_CLEARED, request, now_us));
 }
 
-static void tell_kept_out(struct direct_quarantine *quarantine,
-			  uint64_t request)
+static void notify_if_blocked(struct direct_quarantine *quarantine,
+			      uint64_t request)
 {
 	const struct direct_options *options = &quarantine->direct->options;
 	struct quarantine_view view = { 0 };
 
-	quarantine_get_view(quarantine->known, request, &view);
+	quarantine_get_view(quarantine->records, request, &view);
 	if (view.blocked_until_us > now(quarantine) && options->kept_out)
 		options->kept_out(options->userdata, request);
 }
@@ -328,7 +338,7 @@
 					const struct loss *lost, guint count)
 {
 	for (guint i = 0; i < count; i++) {
-		const struct quarantine_termination end = {
+		const struct quarantine_termination termination = {
 			.request = lost[i].request,
 			.incarnation = lost[i].life,
 			.round = lost[i].round,
@@ -336,69 +346,71 @@
 			.run_us = MAX(lost[i].lost_us - lost[i].began_us, 0),
 		};
 
-		if (note_end(quarantine, &end, 0))
-			tell(quarantine, word_of_end(&end));
-		tell_kept_out(quarantine, end.request);
-		/* A run of a later round can only have been a try. */
-		if (end.round > 1)
-			free_try(quarantine, end.request);
+		if (record_termination(quarantine, &termination, 0))
+			broadcast(quarantine, termination_report(&termination));
+		notify_if_blocked(quarantine, termination.request);
+		/* A run of a later round can only have been a trial. */
+		if (termination.round > 1)
+			end_running_trial(quarantine, termination.request);
 	}
 }
 
-/* ---- hearing ---- */
+/* ---- receiving reports ---- */
 
-static void take_word(struct direct_quarantine *quarantine, uint64_t peer,
-		      const struct word *word, int64_t time_us)
+static void apply_report(struct direct_quarantine *quarantine, uint64_t peer,
+			 const struct report *report, int64_t time_us)
 {
 	int64_t now_us = now(quarantine);
-	const struct quarantine_termination end = {
-		.request = word->request,
-		.incarnation = word->life,
-		.round = MIN(word->round, ROUND_MAX),
+	const struct quarantine_termination termination = {
+		.request = report->request,
+		.incarnation = report->incarnation,
+		.round = MIN(report->round, ROUND_MAX),
 		.terminated_us = now_us - time_us,
-		.run_us = CLAMP(word->ran_us, 0, AGE_MAX_US),
+		.run_us = CLAMP(report->run_us, 0, AGE_MAX_US),
 	};
 
-	switch (word->what) {
-	case WORD_ENDED:
-		note_end(quarantine, &end, peer);
+	switch (report->kind) {
+	case REPORT_TERMINATION:
+		record_termination(quarantine, &termination, peer);
 		break;
-	case WORD_SERVED:
-		note_served(quarantine, word->request, end.terminated_us, peer);
+	case REPORT_CLEARED:
+		record_cleared(quarantine, report->request,
+			       termination.terminated_us, peer);
 		break;
-	case WORD_TRIES:
-		quarantine_set_trial(quarantine->known, word->request,
+	case REPORT_TRIAL:
+		quarantine_set_trial(quarantine->records, report->request,
 				     now_us + time_us);
 		break;
-	default: /* of a newer entry */
+	default: /* from an entry of a newer version */
 		break;
 	}
 }
 
-static void on_words(void *userdata, uint64_t peer, GVariant *body)
+static void on_reports(void *userdata, uint64_t peer, GVariant *body)
 {
 	struct direct_quarantine *quarantine = userdata;
-	struct word word = { 0 };
+	struct report report = { 0 };
 	GVariantIter iter;
 	guint64 request;
-	guint64 life;
+	guint64 incarnation;
 	gint64 time_us;
-	gint64 ran_us;
+	gint64 run_us;
 
 	g_variant_iter_init(&iter, body);
-	while (g_variant_iter_next(&iter, "(yttuxx)", &word.what, &request,
-				   &life, &word.round, &time_us, &ran_us)) {
-		word.request = request;
-		word.life = life;
-		word.ran_us = ran_us;
-		take_word(quarantine, peer, &word,
-			  CLAMP(time_us, 0, AGE_MAX_US));
+	while (g_variant_iter_next(&iter, "(yttuxx)", &report.kind, &request,
+				   &incarnation, &report.round, &time_us,
+				   &run_us)) {
+		report.request = request;
+		report.incarnation = incarnation;
+		report.run_us = run_us;
+		apply_report(quarantine, peer, &report,
+			     CLAMP(time_us, 0, AGE_MAX_US));
 	}
 }
 
-/* ---- a request's way ---- */
+/* ---- requests ---- */
 
-static void log_refusal(struct direct_quarantine *quarantine,
+static void log_refused(struct direct_quarantine *quarantine,
 			struct direct_request *request, int64_t wait_us)
 {
 	struct lp_event_log *log = quarantine->direct->options.log;
@@ -418,37 +430,37 @@
 {
 	uint64_t digest;
 
-	if (request->is_try || quarantine_is_empty(quarantine->known))
+	if (request->is_try || quarantine_is_empty(quarantine->records))
 		return true;
 	digest = direct_request_digest(request);
 	if (request->was_try) {
-		*wait_us = FIND_OUT_US;
-		log_refusal(quarantine, request, *wait_us);
+		*wait_us = DETECTION_US;
+		log_refused(quarantine, request, *wait_us);
 		return false;
 	}
-	switch (quarantine_admit(quarantine->known, digest, request->give_up_us,
-				 wait_us)) {
+	switch (quarantine_admit(quarantine->records, digest,
+				 request->give_up_us, wait_us)) {
 	case QUARANTINE_PASS:
 		return true;
 	case QUARANTINE_TRIAL:
 		request->is_try = true;
 		request->was_try = true;
-		log_change(quarantine, digest, "tried", 0);
-		set_try(quarantine, digest, request->give_up_us);
+		log_outcome(quarantine, digest, "tried", 0);
+		share_trial(quarantine, digest, request->give_up_us);
 		return true;
 	case QUARANTINE_REFUSE:
 		break;
 	}
-	log_refusal(quarantine, request, *wait_us);
+	log_refused(quarantine, request, *wait_us);
 	return false;
 }
 
 uint32_t direct_quarantine_round(const struct direct_quarantine *quarantine,
 				 struct direct_request *request)
 {
-	if (quarantine_is_empty(quarantine->known))
+	if (quarantine_is_empty(quarantine->records))
 		return 1;
-	return quarantine_round(quarantine->known,
+	return quarantine_round(quarantine->records,
 				direct_request_digest(request));
 }
 
@@ -458,156 +470,159 @@
 	struct quarantine_view view;
 	uint64_t digest;
 
-	if (quarantine_is_empty(quarantine->known))
+	if (quarantine_is_empty(quarantine->records))
 		return;
 	digest = direct_request_digest(request);
 	request->is_try = false;
-	if (!quarantine_get_view(quarantine->known, digest, &view) ||
+	if (!quarantine_get_view(quarantine->records, digest, &view) ||
 	    !view.terminations_count)
 		return;
-	clear_now(quarantine, digest);
-	set_try(quarantine, digest, now(quarantine));
+	clear_everywhere(quarantine, digest);
+	share_trial(quarantine, digest, now(quarantine));
 }
 
 void direct_quarantine_request_progressed(struct direct_quarantine *quarantine,
 					  struct direct_request *request)
 {
 	struct quarantine_view view;
-	int64_t ran_us = now(quarantine) - request->sent_us;
+	int64_t run_us = now(quarantine) - request->sent_us;
 
 	if (!request->is_try ||
-	    !quarantine_get_view(quarantine->known,
+	    !quarantine_get_view(quarantine->records,
 				 direct_request_digest(request), &view))
 		return;
-	if (ran_us > OUTLIVES * view.longest_run_us + OUTLIVES_US)
+	if (run_us > OUTLIVES_FACTOR * view.longest_run_us + OUTLIVES_MARGIN_US)
 		direct_quarantine_request_served(quarantine, request);
 }
 
-static void end_try(struct direct_quarantine *quarantine,
-		    struct direct_request *request, int64_t until_us)
+static void end_own_trial(struct direct_quarantine *quarantine,
+			  struct direct_request *request, int64_t until_us)
 {
 	if (!request->is_try)
 		return;
 	request->is_try = false;
-	set_try(quarantine, direct_request_digest(request), until_us);
+	share_trial(quarantine, direct_request_digest(request), until_us);
 }
 
 void direct_quarantine_request_lost(struct direct_quarantine *quarantine,
 				    struct direct_request *request)
 {
-	end_try(quarantine, request, now(quarantine) + FIND_OUT_US);
+	end_own_trial(quarantine, request, now(quarantine) + DETECTION_US);
 }
 
 void direct_quarantine_request_ended(struct direct_quarantine *quarantine,
 				     struct direct_request *request)
 {
-	end_try(quarantine, request, now(quarantine));
+	end_own_trial(quarantine, request, now(quarantine));
 }
 
-/* ---- what is written down ---- */
+/* ---- stored records ---- */
 
 bool direct_quarantine_get_view(const struct direct_quarantine *quarantine,
 				uint64_t request, struct quarantine_view *out)
 {
-	return quarantine_get_view(quarantine->known, request, out);
+	return quarantine_get_view(quarantine->records, request, out);
 }
 
-/* Those that are met are told all that is known, this with it. */
+/* Members that are discovered later get this record with all others. */
 void direct_quarantine_restore(struct direct_quarantine *quarantine,
-			       const struct quarantine_termination *end)
+			       const struct quarantine_termination *termination)
 {
-	note_end(quarantine, end, 0);
+	record_termination(quarantine, termination, 0);
 }
 
 /* ---- operators ---- */
 
 void direct_quarantine_set_enabled(struct direct_quarantine *quarantine,
-				   bool on)
+				   bool enabled)
 {
-	quarantine_set_enabled(quarantine->known, on);
+	quarantine_set_enabled(quarantine->records, enabled);
 }
 
 void direct_quarantine_clear(struct direct_quarantine *quarantine,
 			     uint64_t request)
 {
-	clear_now(quarantine, request);
+	clear_everywhere(quarantine, request);
 }
 
-struct printing {
+struct print_context {
 	const struct direct_quarantine *quarantine;
 	GString *out;
 };
 
-static void print_end(const struct direct_quarantine *quarantine,
-		      const struct quarantine_termination *end, GString *out)
+static void print_termination(const struct direct_quarantine *quarantine,
+			      const struct quarantine_termination *termination,
+			      GString *out)
 {
-	char life[LP_DIGEST_SIZE];
+	char incarnation[LP_DIGEST_SIZE];
 
-	lp_digest_print(end->incarnation, life);
-	g_string_append_printf(out,
-			       "{\"life\":\"%s\",\"round\":%u,"
-			       "\"age_us\":%" G_GINT64_FORMAT
-			       ",\"ran_us\":%" G_GINT64_FORMAT "}",
-			       life, end->round,
-			       (gint64)(now(quarantine) - end->terminated_us),
-			       (gint64)end->run_us);
+	lp_digest_print(termination->incarnation, incarnation);
+	g_string_append_printf(
+		out,
+		"{\"life\":\"%s\",\"round\":%u,"
+		"\"age_us\":%" G_GINT64_FORMAT ",\"ran_us\":%" G_GINT64_FORMAT
+		"}",
+		incarnation, termination->round,
+		(gint64)(now(quarantine) - termination->terminated_us),
+		(gint64)termination->run_us);
 }
 
 static void print_request(void *userdata, const struct quarantine_view *view)
 {
-	const struct printing *printing = userdata;
-	const struct direct_quarantine *quarantine = printing->quarantine;
+	const struct print_context *print_context = userdata;
+	const struct direct_quarantine *quarantine = print_context->quarantine;
 	char content[LP_DIGEST_SIZE];
 
 	if (!view->terminations_count)
 		return;
 	lp_digest_print(view->request, content);
 	g_string_append_printf(
-		printing->out,
+		print_context->out,
 		"{\"content\":\"%s\",\"standing\":"
 		"\"%s\",\"rounds\":%u,\"out_us\":%" G_GINT64_FORMAT
 		",\"ends\":[",
-		content, standing(quarantine, view->request), view->rounds,
+		content, standing_name(quarantine, view->request), view->rounds,
 		(gint64)MAX(view->blocked_until_us - now(quarantine), 0));
 	for (uint32_t i = 0; i < view->terminations_count; i++) {
 		if (i)
-			g_string_append_c(printing->out, ',');
-		print_end(quarantine, &view->terminations[i], printing->out);
+			g_string_append_c(print_context->out, ',');
+		print_termination(quarantine, &view->terminations[i],
+				  print_context->out);
 	}
-	g_string_append(printing->out, "]}\n");
+	g_string_append(print_context->out, "]}\n");
 }
 
 void direct_quarantine_print(const struct direct_quarantine *quarantine,
 			     GString *out)
 {
-	struct printing printing = { quarantine, out };
+	struct print_context print_context = { quarantine, out };
 
-	quarantine_foreach(quarantine->known, print_request, &printing);
+	quarantine_foreach(quarantine->records, print_request, &print_context);
 }
 
-struct counting {
+struct count_context {
 	int64_t now_us;
-	uint32_t out;
+	uint32_t blocked;
 };
 
-static void count_out(void *userdata, const struct quarantine_view *view)
+static void count_blocked(void *userdata, const struct quarantine_view *view)
 {
-	struct counting *counting = userdata;
+	struct count_context *count_context = userdata;
 
-	if (view->blocked_until_us > counting->now_us)
-		counting->out++;
+	if (view->blocked_until_us > count_context->now_us)
+		count_context->blocked++;
 }
 
 uint32_t
 direct_quarantine_blocked_count(const struct direct_quarantine *quarantine)
 {
-	struct counting counting = { .now_us = now(quarantine) };
+	struct count_context count_context = { .now_us = now(quarantine) };
 
-	quarantine_foreach(quarantine->known, count_out, &counting);
-	return counting.out;
+	quarantine_foreach(quarantine->records, count_blocked, &count_context);
+	return count_context.blocked;
 }
 
-/* ---- start and end ---- */
+/* ---- creation ---- */
 
 void direct_quarantine_set_peers(struct direct_quarantine *quarantine,
 				 struct direct_peers *peers)
@@ -615,9 +630,9 @@
 	quarantine->peers = peers;
 	if (!peers)
 		return;
-	direct_peers_listen(peers, KIND_WORDS, WORDS_TYPE, on_words,
+	direct_peers_listen(peers, KIND_REPORTS, REPORTS_TYPE, on_reports,
 			    quarantine);
-	direct_peers_on_met(peers, on_met, quarantine);
+	direct_peers_on_met(peers, on_discovered, quarantine);
 }
 
 struct direct_quarantine *direct_quarantine_create(struct direct *direct)
@@ -626,18 +641,18 @@
 		g_new0(struct direct_quarantine, 1);
 
 	quarantine->direct = direct;
-	quarantine->known = quarantine_create(direct->options.clock);
-	quarantine->words = g_array_new(FALSE, FALSE, sizeof(struct word));
-	quarantine->remind_timer =
-		lp_timer_add(REMIND_MS, on_remind, quarantine);
+	quarantine->records = quarantine_create(direct->options.clock);
+	quarantine->reports = g_array_new(FALSE, FALSE, sizeof(struct report));
+	quarantine->refresh_timer =
+		lp_timer_add(REFRESH_MS, on_refresh, quarantine);
 	return quarantine;
 }
 
 void direct_quarantine_destroy(struct direct_quarantine *quarantine)
 {
-	direct_clear_timer(&quarantine->tell_timer);
-	direct_clear_timer(&quarantine->remind_timer);
-	g_array_unref(quarantine->words);
-	quarantine_destroy(quarantine->known);
+	direct_clear_timer(&quarantine->resend_timer);
+	direct_clear_timer(&quarantine->refresh_timer);
+	g_array_unref(quarantine->reports);
+	quarantine_destroy(quarantine->records);
 	g_free(quarantine);
 }
--- a/direct/direct_quarantine.h
+++ b/direct/direct_quarantine.h
@@ -1,11 +1,16 @@
 /**
- * Requests under which upstreams ended, for the whole fleet: what this entry
- * finds out, what it hears of others, and what it tells them.
+ * The quarantine of an entry (policy/quarantine.h), kept in step with those of
+ * the other entries of the fleet.
  *
- * Each word is sent three times and may come in any order; a member that is met
- * is told all, and what is held against requests is told one member after the
- * other again. A word holds digests and times, nothing of a request. An entry
- * that hears nobody decides by what it has seen itself.
+ * Terminations, clearings and trials of requests that this entry detects are
+ * reported to all members, and reports of members are applied. Each report is
+ * sent three times, and reports may arrive in any order. A newly discovered
+ * member gets all records, and the records of suspects are sent again to one
+ * member after the other. Reports hold digests and times, but no content of a
+ * request. An entry without contact to others decides by its own records.
+ *
+ * All functions must be called on the event loop's thread. `request` is the
+ * digest of a request's content.
  */
 #ifndef DIRECT_QUARANTINE_H
 #define DIRECT_QUARANTINE_H
@@ -24,48 +29,53 @@
 void direct_quarantine_destroy(struct direct_quarantine *quarantine);
 void direct_quarantine_set_peers(struct direct_quarantine *quarantine,
 				 struct direct_peers *peers);
-/** Refuse nothing, or go on as usual. */
+/** Disabled, the quarantine refuses nothing but continues to keep records. */
 void direct_quarantine_set_enabled(struct direct_quarantine *quarantine,
-				   bool on);
-/** An operator lets a request in again, at all entries. */
+				   bool enabled);
+/** Clears a request at all entries, for an operator. */
 void direct_quarantine_clear(struct direct_quarantine *quarantine,
 			     uint64_t request);
-/** An upstream has ended with these of our requests. */
+/** An upstream has terminated with these requests of this entry. */
 void direct_quarantine_add_terminations(struct direct_quarantine *quarantine,
 					const struct loss *lost, guint count);
 /**
- * May it go to an upstream now? Refused: `*wait_us` is when to come back. One
- * that is tried goes on without being asked again, until it is lost: that was
- * its try.
+ * Whether a request may be sent to an upstream now. False: `*wait_us` is the
+ * time after which to retry. A request that runs as a trial is admitted again
+ * until it is lost, and then refused.
  */
 bool direct_quarantine_admit(struct direct_quarantine *quarantine,
 			     struct direct_request *request, int64_t *wait_us);
-/** It goes to an upstream: which round of ends its own would belong to. */
+/** The round of a run that is sent now. */
 uint32_t direct_quarantine_round(const struct direct_quarantine *quarantine,
 				 struct direct_request *request);
-/** It has come to an answer, or has run much longer than those that ended. */
+/** The request was answered, or has run much longer than the runs that
+ * terminated upstreams: clears it and ends its trial. */
 void direct_quarantine_request_served(struct direct_quarantine *quarantine,
 				      struct direct_request *request);
-/** Its stream goes on; one that outlives all ends so far is cleared. */
+/** The request's stream has made progress; clears a trial that has outlived all
+ * runs that terminated upstreams. */
 void direct_quarantine_request_progressed(struct direct_quarantine *quarantine,
 					  struct direct_request *request);
-/** It is lost with an upstream of which it is not known yet whether it has
- * ended: nothing is tried until then. */
+/** The request was lost, and it is not known yet whether its upstream has
+ * terminated: allows no other trial until that can be detected. */
 void direct_quarantine_request_lost(struct direct_quarantine *quarantine,
 				    struct direct_request *request);
-/** It ends without an answer; its try is over. */
+/** The request ends without an answer: ends its trial. */
 void direct_quarantine_request_ended(struct direct_quarantine *quarantine,
 				     struct direct_request *request);
-/** What is known of a request. False: nothing. */
+/** Fills in the record of a request. False: there is none. */
 bool direct_quarantine_get_view(const struct direct_quarantine *quarantine,
 				uint64_t request, struct quarantine_view *out);
-/** An end that was written down by an entry that may be gone. */
-void direct_quarantine_restore(struct direct_quarantine *quarantine,
-			       const struct quarantine_termination *end);
-/** Requests that are kept out, a JSON object a line, for operators. */
+/** Adds a stored termination, which was recorded by an entry that may no longer
+ * run. */
+void direct_quarantine_restore(
+	struct direct_quarantine *quarantine,
+	const struct quarantine_termination *termination);
+/** Prints the requests with terminations for operators, one JSON object a line.
+ */
 void direct_quarantine_print(const struct direct_quarantine *quarantine,
 			     GString *out);
-/** How many are kept out at this moment. */
+/** Number of requests that are blocked now. */
 uint32_t
 direct_quarantine_blocked_count(const struct direct_quarantine *quarantine);
 
