--- a/tests/poison_test.cc
+++ b/tests/poison_test.cc
@@ -1,18 +1,15 @@
 /*
- * Requests that end the upstreams that begin them.
+ * Tests of the quarantine of requests that crash the upstreams that run them.
  *
- * Seen: a stream of one caller came again and again, each time with an attempt
- * id of its own and at any entry, and ended the engine that began it within 0.2
- * s; 17 of 18 engines were lost to it in 15 s, and what others had there with
- * them.
+ * They guard against this failure: a caller retried one stream again and again,
+ * each time with a new attempt id and at any entry, and each try terminated its
+ * engine within 0.2 s. 17 of 18 engines were lost in 15 s, with all requests
+ * that were in flight there.
  *
- * How it came about: whatever an entry learns of a failure is about the
- * upstream. The request itself is forgotten with its try, so the next one is
- * new to all.
- *
- * Cause: nothing that outlives a try says what was under way when an upstream
- * ended, and entries have no word for it. Proof: with a digest of the content
- * in the log the same one stands at each end, and none is without it.
+ * Entries learnt from failures about upstreams only. Nothing recorded which
+ * requests were in flight when an upstream terminated, and a retry could not be
+ * recognised, as it had another id. With a digest of the content in the log,
+ * the same request showed at every termination.
  */
 #include "direct_rig.h"
 
@@ -24,27 +21,27 @@
 
 const char poison[] = "crash";
 
-pe_poison_options strikes(uint32_t after_ms = 5, uint32_t after_event = 0)
+pe_poison_options poison_after(uint32_t after_ms = 5, uint32_t after_event = 0)
 {
-	pe_poison_options how = {};
-
-	how.content = poison;
-	how.after_ms = after_ms;
-	how.after_event = after_event;
-	how.end.away_ms = 300;
-	how.end.told_ms = 150;
-	how.end.new_id = true;
-	return how;
+	pe_poison_options options = {};
+
+	options.content = poison;
+	options.after_ms = after_ms;
+	options.after_event = after_event;
+	options.end.away_ms = 300;
+	options.end.told_ms = 150;
+	options.end.new_id = true;
+	return options;
 }
 
-/* Two entries that hear each other, on one platform. */
+/* Two entries in contact with each other, on one platform. */
 struct Fleet {
 	Rig one;
 	Rig two{ &one };
 
-	explicit Fleet(const pe_poison_options &how = strikes())
+	explicit Fleet(const pe_poison_options &options = poison_after())
 	{
-		pe_poison(one.platform, &how);
+		pe_poison(one.platform, &options);
 	}
 	void settle()
 	{
@@ -57,9 +54,9 @@
 			       direct_peers_count(two.peers) == 2;
 		}));
 	}
-	Rig &at(int turn)
+	Rig &at(int index)
 	{
-		return turn % 2 ? two : one;
+		return index % 2 ? two : one;
 	}
 	void add_upstreams(int each)
 	{
@@ -70,26 +67,26 @@
 			one.add(PE_STAGE, "second");
 		}
 	}
-	std::string known()
+	std::string listing()
 	{
 		GString *text = g_string_new(nullptr);
-		std::string known;
+		std::string listing;
 
 		direct_print_quarantine(one.entry, text);
-		known = text->str;
+		listing = text->str;
 		g_string_free(text, TRUE);
-		return known;
+		return listing;
 	}
-	pe_poison_book book()
+	pe_poison_book poison_counts()
 	{
-		pe_poison_book worst;
+		pe_poison_book counts;
 
-		pe_poison_seen(one.platform, &worst);
-		return worst;
+		pe_poison_seen(one.platform, &counts);
+		return counts;
 	}
 };
 
-/* A caller's request, brought again to one entry after the other. */
+/* A caller that sends one request repeatedly, to the entries in turn. */
 struct Caller {
 	Fleet &fleet;
 	std::string target;
@@ -98,15 +95,15 @@
 	int tries = 0;
 	int refused = 0;
 
-	/* `at_once` tries at the same time, so often. */
-	void bring(int times, int at_once = 1)
+	/* Sends `at_once` tries concurrently, `times` times. */
+	void send(int times, int at_once = 1)
 	{
 		for (int i = 0; i < times; i++) {
-			std::vector<std::unique_ptr<Ask>> asks;
+			std::vector<std::unique_ptr<Ask>> tries_in_flight;
 
 			for (int j = 0; j < at_once; j++)
-				asks.push_back(ask());
-			for (auto &one : asks)
+				tries_in_flight.push_back(ask());
+			for (auto &one : tries_in_flight)
 				refused += one->wait().status == 503;
 			turn_until([] { return false; }, 50);
 		}
@@ -121,21 +118,21 @@
 	}
 };
 
-/* Brought twenty times, it ends four upstreams at the most. */
-void expect_kept_out(const pe_poison_options &how, const char *target)
+/* Sent twenty times, the request terminates at most four upstreams. */
+void expect_blocked(const pe_poison_options &options, const char *target)
 {
-	Fleet fleet(how);
+	Fleet fleet(options);
 	Caller caller{ fleet, target, poison, {} };
 
 	fleet.add_upstreams(8);
 	fleet.settle();
-	caller.bring(20);
-	EXPECT_LE(fleet.book().ends, 4u) << target;
+	caller.send(20);
+	EXPECT_LE(fleet.poison_counts().ends, 4u) << target;
 	EXPECT_GE(caller.refused, 15) << target;
 }
 
-/* One caller comes again at once for six seconds. */
-TEST(Poison, ARequestThatEndsItsUpstreamsSoonReachesNone)
+/* One caller retries 50 ms after each answer, for six seconds. */
+TEST(Poison, RepeatedRequestIsBlocked)
 {
 	Fleet fleet;
 	gint64 end_us;
@@ -152,46 +149,48 @@
 			poison);
 
 		if (ask.wait().status == 503) {
-			/* It has not run. */
+			/* A refused try has not run. */
 			EXPECT_EQ(pe_runs(fleet.one.platform, id.c_str()), 0u);
 			refused++;
 		}
 		tries++;
 		turn_until([] { return false; }, 50);
 	}
-	EXPECT_LE(fleet.book().arrivals_late, 3u);
-	EXPECT_LE(fleet.book().ends, 4u);
+	EXPECT_LE(fleet.poison_counts().arrivals_late, 3u);
+	EXPECT_LE(fleet.poison_counts().ends, 4u);
 	EXPECT_GT(refused, tries / 2);
 }
 
-/* What may be repeated is not repeated for ever within its try. */
-TEST(Poison, OnRoutesOfEachKind)
+/* Entries retry repeatable requests themselves; the quarantine bounds that too.
+ */
+TEST(Poison, IsBlockedOnRoutesOfEachKind)
 {
 	const char *const targets[] = { "/look/x", "/order/x", "/once/x",
 					"/again/x" };
 
 	for (const char *target : targets)
-		expect_kept_out(strikes(), target);
+		expect_blocked(poison_after(), target);
 }
 
-TEST(Poison, WithinAStream)
+TEST(Poison, IsBlockedIfItCrashesWithinAStream)
 {
 	for (const char *target : { "/once/x", "/again/x" })
-		expect_kept_out(strikes(0, 3), target);
+		expect_blocked(poison_after(0, 3), target);
 }
 
-/* Back in a moment under its id, with a new start. */
-TEST(Poison, UpstreamsThatKeepTheirIds)
+/* Upstreams restart after 30 ms under the same id, with a new start time. */
+TEST(Poison, IsBlockedIfUpstreamsKeepTheirIds)
 {
-	pe_poison_options how = strikes();
+	pe_poison_options options = poison_after();
 
-	how.end.new_id = false;
-	how.end.away_ms = 30;
-	expect_kept_out(how, "/once/x");
+	options.end.new_id = false;
+	options.end.away_ms = 30;
+	expect_blocked(options, "/once/x");
 }
 
-/* Back before anyone can ask whether it has ended: its new start tells. */
-TEST(Poison, UpstreamsThatAreBackAtOnce)
+/* The upstream is back before it can be probed; its new start time shows the
+ * termination. */
+TEST(Poison, TerminationIsDetectedIfTheUpstreamRestartsAtOnce)
 {
 	const pe_poison_options none = {};
 	const pe_restart_options at_once = {};
@@ -205,23 +204,23 @@
 	ASSERT_TRUE(turn_until([&] { return pe_arrivals(plain) == 1; }));
 	pe_restart(plain, &at_once);
 	EXPECT_EQ(ask.wait().status, 502u);
-	EXPECT_TRUE(turn_until([&] { return fleet.known() != ""; }, 4000));
+	EXPECT_TRUE(turn_until([&] { return fleet.listing() != ""; }, 4000));
 }
 
-/* Those that are under way at the first ends are not known yet. */
-TEST(Poison, BroughtSeveralTimesAtOnce)
+/* Tries in flight at the first terminations cannot be refused. */
+TEST(Poison, IsBlockedIfSentConcurrently)
 {
 	Fleet fleet;
 	Caller caller{ fleet, "/once/x", poison, {} };
 
 	fleet.add_upstreams(12);
 	fleet.settle();
-	caller.bring(20, 6);
-	EXPECT_LE(fleet.book().ends, 6u + 3u);
+	caller.send(20, 6);
+	EXPECT_LE(fleet.poison_counts().ends, 6u + 3u);
 	EXPECT_GE(caller.refused, 100);
 }
 
-TEST(Poison, OfTwoCallersEachIsKnown)
+TEST(Poison, RequestsOfTwoCallersAreBlocked)
 {
 	Fleet fleet;
 	Caller one{ fleet, "/once/x", "crash one", {} };
@@ -230,16 +229,17 @@
 	fleet.add_upstreams(8);
 	fleet.settle();
 	for (int i = 0; i < 20; i++) {
-		one.bring(1);
-		two.bring(1);
+		one.send(1);
+		two.send(1);
 	}
-	EXPECT_LE(fleet.book().ends, 4u);
+	EXPECT_LE(fleet.poison_counts().ends, 4u);
 	EXPECT_GE(one.refused, 15);
 	EXPECT_GE(two.refused, 15);
 }
 
-/* Its piece shares calls with pieces of others; those are made elsewhere. */
-TEST(Poison, InACallOfPieces)
+/* A poison piece shares calls with pieces of other requests, which are then
+ * completed at other upstreams. */
+TEST(Poison, PieceSharingACallDoesNotAffectOthers)
 {
 	Fleet fleet;
 	Caller bad{ fleet,
@@ -250,32 +250,32 @@
 		     "/staged/x",
 		     "",
 		     { { "X-Pieces", "2,2" }, { "X-Piece-Key", "sound" } } };
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<Ask>> tries_in_flight;
 
 	fleet.add_upstreams(8);
 	fleet.settle();
 	for (int i = 0; i < 12; i++) {
-		asks.push_back(bad.ask());
+		tries_in_flight.push_back(bad.ask());
 		good.body = "g" + std::to_string(i) + "-";
-		asks.push_back(good.ask());
+		tries_in_flight.push_back(good.ask());
 		turn_until([] { return false; }, 60);
 	}
-	for (size_t i = 0; i < asks.size(); i++) {
-		asks[i]->wait();
+	for (size_t i = 0; i < tries_in_flight.size(); i++) {
+		tries_in_flight[i]->wait();
 		if (i % 2) {
-			EXPECT_EQ(asks[i]->body, whole_stream);
+			EXPECT_EQ(tries_in_flight[i]->body, whole_stream);
 		}
 	}
-	EXPECT_LE(fleet.book().ends, 6u);
+	EXPECT_LE(fleet.poison_counts().ends, 6u);
 }
 
-/* Streams of others that may go on elsewhere do, whatever they share with it.
- */
-TEST(Poison, WhoSharesItsUpstreamsIsServed)
+/* Resumable streams that share upstreams with the poison request continue at
+ * other upstreams. */
+TEST(Poison, StreamsSharingItsUpstreamsAreServed)
 {
-	Fleet fleet(strikes(40));
+	Fleet fleet(poison_after(40));
 	Caller bad{ fleet, "/once/x", poison, {} };
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<Ask>> tries_in_flight;
 
 	fleet.add_upstreams(4);
 	fleet.settle();
@@ -283,30 +283,31 @@
 		std::string id = "g" + std::to_string(i);
 
 		if (i % 6 == 0)
-			asks.push_back(bad.ask());
+			tries_in_flight.push_back(bad.ask());
 		else
-			asks.push_back(std::make_unique<Ask>(
+			tries_in_flight.push_back(std::make_unique<Ask>(
 				fleet.at(i).address, id.c_str(), "/again/x",
 				Fields{}, id.c_str()));
 		turn_until([] { return false; }, 15);
 	}
-	for (size_t i = 0; i < asks.size(); i++) {
-		asks[i]->wait();
+	for (size_t i = 0; i < tries_in_flight.size(); i++) {
+		tries_in_flight[i]->wait();
 		if (i % 6) {
-			EXPECT_EQ(asks[i]->body, whole_stream) << i;
+			EXPECT_EQ(tries_in_flight[i]->body, whole_stream) << i;
 		}
 	}
 }
 
-/* What many ask for, while all upstreams end for another reason. */
-TEST(Poison, APopularRequestStaysServed)
+/* Many callers send the same request while all upstreams terminate for another
+ * reason. */
+TEST(Poison, PopularRequestIsNotBlocked)
 {
 	const pe_poison_options none = {};
 	const pe_end_options end = { 200, 100, true };
 	Fleet fleet(none);
 	Caller many{ fleet, "/once/x", "popular", {} };
 	std::vector<pe_upstream *> engines;
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<Ask>> tries_in_flight;
 	int served = 0;
 
 	for (int i = 0; i < 4; i++)
@@ -314,25 +315,27 @@
 	fleet.settle();
 	for (int round = 0; round < 2; round++) {
 		for (int i = 0; i < 12; i++)
-			asks.push_back(many.ask());
+			tries_in_flight.push_back(many.ask());
 		turn_until([] { return false; }, 30);
 		for (auto *engine : engines)
 			pe_end(engine, &end);
 		turn_until([] { return false; }, 700);
 	}
 	for (int i = 0; i < 40; i++) {
-		asks.push_back(many.ask());
+		tries_in_flight.push_back(many.ask());
 		turn_until([] { return false; }, 10);
 	}
-	/* The first of them is tried, the others are refused meanwhile. */
-	for (size_t i = asks.size() - 40; i < asks.size(); i++)
-		served += asks[i]->wait().body == whole_stream;
+	/* The first of them is the trial; others are refused meanwhile. */
+	for (size_t i = tries_in_flight.size() - 40; i < tries_in_flight.size();
+	     i++)
+		served += tries_in_flight[i]->wait().body == whole_stream;
 	EXPECT_GE(served, 25);
 	EXPECT_EQ(direct_kept_out(fleet.one.entry), 0u);
 }
 
-/* It resets, falls silent, garbles, is full, and lives: nobody ended it. */
-TEST(Poison, FaultsOfThoseThatLiveAreHeldAgainstNobody)
+/* Upstreams that reset connections, fall silent, garble answers or are full,
+ * but do not terminate. */
+TEST(Poison, FaultsWithoutTerminationDoNotCount)
 {
 	const pe_poison_options none = {};
 	Fleet fleet(none);
@@ -348,18 +351,18 @@
 			Ask(fleet.at(i).address, "a", "/look/x").wait();
 		turn_until([] { return false; }, 250);
 	}
-	EXPECT_EQ(fleet.known(), "");
+	EXPECT_EQ(fleet.listing(), "");
 }
 
-/* It resets a connection, lives, and ends a moment later: that is asked about
- * anew, and what the reset broke off is not held against its request. */
-TEST(Poison, AnEndAfterAResetIsFoundOut)
+/* An upstream resets a connection, stays alive, and terminates a moment later:
+ * it must be probed again, and the request of the reset does not count. */
+TEST(Poison, TerminationAfterAResetIsDetected)
 {
 	const pe_poison_options none = {};
 	const pe_end_options end = { 20000, 20000, true };
 	Fleet fleet(none);
 	pe_upstream *plain = fleet.one.add(PE_PLAIN, "plain");
-	std::string known;
+	std::string listing;
 
 	fleet.settle();
 	pe_fault(plain, PE_FAULT_RESET);
@@ -367,7 +370,7 @@
 
 	EXPECT_EQ(reset.wait().status, 502u);
 	turn_until([] { return false; }, 800);
-	EXPECT_EQ(fleet.known(), "");
+	EXPECT_EQ(fleet.listing(), "");
 	pe_fault(plain, PE_FAULT_NONE);
 	pe_set_work_ms(plain, 3000);
 	Ask lost(fleet.one.address, "b", "/order/lost");
@@ -375,13 +378,13 @@
 	ASSERT_TRUE(turn_until([&] { return pe_arrivals(plain) == 2; }));
 	pe_end(plain, &end);
 	EXPECT_EQ(lost.wait().status, 502u);
-	EXPECT_TRUE(turn_until([&] { return fleet.known() != ""; }, 2000));
-	known = fleet.known();
-	EXPECT_EQ(std::count(known.begin(), known.end(), '\n'), 1);
+	EXPECT_TRUE(turn_until([&] { return fleet.listing() != ""; }, 2000));
+	listing = fleet.listing();
+	EXPECT_EQ(std::count(listing.begin(), listing.end(), '\n'), 1);
 }
 
-/* An upstream that leaves ends with what it still has. */
-TEST(Poison, LeavingIsNoEnd)
+/* A draining upstream terminates with a request in flight. */
+TEST(Poison, TerminationAfterDrainingDoesNotCount)
 {
 	const pe_poison_options none = {};
 	const pe_end_options end = { 10000, 100, true };
@@ -398,11 +401,11 @@
 	pe_end(leaving, &end);
 	EXPECT_EQ(ask.wait().status, 502u);
 	turn_until([] { return false; }, 300);
-	EXPECT_EQ(fleet.known(), "");
+	EXPECT_EQ(fleet.listing(), "");
 }
 
-/* An entry that starts later learns it of those it meets. */
-TEST(Poison, AnEntryThatStartsIsTold)
+/* An entry that starts later gets the records from the members it discovers. */
+TEST(Poison, NewEntryGetsTheRecords)
 {
 	Fleet fleet;
 	Caller caller{ fleet, "/once/x", poison, {} };
@@ -410,8 +413,8 @@
 
 	fleet.add_upstreams(8);
 	fleet.settle();
-	caller.bring(6);
-	arrivals = fleet.book().arrivals;
+	caller.send(6);
+	arrivals = fleet.poison_counts().arrivals;
 	Rig third(&fleet.one);
 
 	third.join("127.0.0.3", 500, { "127.0.0.1" }, 1);
@@ -421,13 +424,13 @@
 
 	EXPECT_EQ(ask.wait().status, 503u);
 	EXPECT_LT(ask.took_us, 200000);
-	/* To come back when it may be tried again, not before. */
+	/* Retry-After is the end of the block. */
 	EXPECT_GT(atof(ask.retry_after.c_str()), 50.0);
-	EXPECT_EQ(fleet.book().arrivals, arrivals);
+	EXPECT_EQ(fleet.poison_counts().arrivals, arrivals);
 }
 
-/* All entries are killed at once: nobody is left to tell. */
-TEST(Poison, AFleetThatIsKilledAsAWholeKnowsItStill)
+/* All entries are killed at once, so that only the stored records remain. */
+TEST(Poison, RecordsSurviveAKillOfTheWholeFleet)
 {
 	Fleet fleet;
 	Caller caller{ fleet, "/once/x", poison, {} };
@@ -435,9 +438,9 @@
 
 	fleet.add_upstreams(8);
 	fleet.settle();
-	caller.bring(6);
-	arrivals = fleet.book().arrivals;
-	/* It is written within some round trips. */
+	caller.send(6);
+	arrivals = fleet.poison_counts().arrivals;
+	/* Records are stored within some round trips. */
 	turn_until([] { return false; }, 200);
 	fleet.two.end();
 	fleet.one.end();
@@ -450,11 +453,11 @@
 
 		EXPECT_EQ(ask.wait().status, 503u);
 	}
-	EXPECT_EQ(fleet.book().arrivals, arrivals);
+	EXPECT_EQ(fleet.poison_counts().arrivals, arrivals);
 }
 
-/* What another writer has put there keeps nobody out, and ends no entry. */
-TEST(Poison, WhatOthersWroteIsReadWholeOrNotAtAll)
+/* Malformed records of other writers block no request and crash no entry. */
+TEST(Poison, MalformedStoredRecordsAreIgnored)
 {
 	const std::string life = "\"life\":\"00000000000000ab\",";
 	const std::string end =
@@ -494,8 +497,9 @@
 	pe_destroy(platform);
 }
 
-/* ... and not while the service is away: then it is learnt anew. */
-TEST(Poison, WithoutTheKeyValueServiceItIsLearntAnew)
+/* While the key-value service does not respond, no stored records are read or
+ * written; entries block the request by what they detect themselves. */
+TEST(Poison, IsBlockedWithoutTheKeyValueService)
 {
 	Fleet fleet;
 	Caller caller{ fleet, "/once/x", poison, {} };
@@ -503,14 +507,15 @@
 	fleet.add_upstreams(8);
 	fleet.settle();
 	pe_store_fault(fleet.one.platform, PE_STORE_SILENT);
-	caller.bring(20);
-	EXPECT_LE(fleet.book().ends, 4u);
+	caller.send(20);
+	EXPECT_LE(fleet.poison_counts().ends, 4u);
 	pe_store_fault(fleet.one.platform, PE_STORE_FINE);
 }
 
-/* Which entries of a fleet are not ready or have not met all others, and why.
- */
-static std::string unmet(const std::vector<std::unique_ptr<Rig>> &rigs)
+/* Lists the entries of a fleet that are not ready or have not discovered all
+ * others, with their state. */
+static std::string
+missing_discovery(const std::vector<std::unique_ptr<Rig>> &rigs)
 {
 	std::string text;
 
@@ -540,21 +545,21 @@
 	return text;
 }
 
-/* Brought to all entries in turn, at three of them in the same millisecond,
- * before any can tell the others; some have been killed and started anew
- * meanwhile. */
+/* The request is sent to all entries in turn, to three of them in the same
+ * millisecond, before any can report to the others; some entries are killed and
+ * restarted meanwhile. */
 TEST(Poison, InFleetsOfEachSize)
 {
 	for (int size : { 5, 21, 68 }) {
-		const pe_poison_options how = strikes();
+		const pe_poison_options options = poison_after();
 		std::vector<std::unique_ptr<Rig>> rigs;
 		std::vector<std::string> ips;
 		pe *platform = pe_create();
-		pe_poison_book book;
+		pe_poison_book poison_counts;
 		int tries = 0;
 		int refused = 0;
 
-		pe_poison(platform, &how);
+		pe_poison(platform, &options);
 		for (int i = 0; i < 12; i++)
 			pe_add(platform, PE_ENGINE, "engine", "a");
 		for (int i = 0; i < size; i++) {
@@ -570,9 +575,9 @@
 			return true;
 		})) << size
 		    << " entries\n"
-		    << unmet(rigs);
+		    << missing_discovery(rigs);
 		for (int i = 0; i < 30; i++) {
-			std::vector<std::unique_ptr<Ask>> asks;
+			std::vector<std::unique_ptr<Ask>> tries_in_flight;
 
 			if (i % 10 == 5) {
 				int at = i % size;
@@ -583,42 +588,43 @@
 					       { ips[(at + 1) % size] }, 1);
 			}
 			for (int j = 0; j < 3; j++, tries++)
-				asks.push_back(std::make_unique<Ask>(
+				tries_in_flight.push_back(std::make_unique<Ask>(
 					rigs[tries % size]->address,
 					std::to_string(tries).c_str(),
 					"/once/x", Fields{}, poison));
-			for (auto &ask : asks)
+			for (auto &ask : tries_in_flight)
 				refused += ask->wait().status == 503;
 			turn_until([] { return false; }, 30);
 		}
-		pe_poison_seen(platform, &book);
-		EXPECT_LE(book.arrivals, 3u * QUARANTINE_BLOCK_ROUNDS) << size;
+		pe_poison_seen(platform, &poison_counts);
+		EXPECT_LE(poison_counts.arrivals, 3u * QUARANTINE_BLOCK_ROUNDS)
+			<< size;
 		EXPECT_GE(refused, tries - 3 * QUARANTINE_BLOCK_ROUNDS) << size;
 		rigs.clear();
 		pe_destroy(platform);
 	}
 }
 
-TEST(Poison, OperatorsLetItInOrTurnItOff)
+TEST(Poison, OperatorsCanClearOrDisable)
 {
 	Fleet fleet;
 	Caller caller{ fleet, "/once/x", poison, {} };
-	std::string known;
+	std::string listing;
 	uint64_t content;
 
 	fleet.add_upstreams(8);
 	fleet.settle();
-	caller.bring(6);
-	known = fleet.known();
-	ASSERT_EQ(known.find("{\"content\":\""), 0u);
-	EXPECT_NE(known.find("kept_out"), std::string::npos);
-	EXPECT_EQ(known.find(poison), std::string::npos);
-	content = g_ascii_strtoull(known.substr(12, 16).c_str(), nullptr, 16);
+	caller.send(6);
+	listing = fleet.listing();
+	ASSERT_EQ(listing.find("{\"content\":\""), 0u);
+	EXPECT_NE(listing.find("kept_out"), std::string::npos);
+	EXPECT_EQ(listing.find(poison), std::string::npos);
+	content = g_ascii_strtoull(listing.substr(12, 16).c_str(), nullptr, 16);
 	direct_let_in(fleet.one.entry, content);
 	ASSERT_TRUE(
 		turn_until([&] { return !direct_kept_out(fleet.two.entry); }));
 	EXPECT_EQ(caller.ask()->wait().status, 502u);
-	caller.bring(6);
+	caller.send(6);
 	EXPECT_EQ(caller.ask()->wait().status, 503u);
 	direct_set_quarantine(fleet.one.entry, false);
 	direct_set_quarantine(fleet.two.entry, false);
