--- a/policy/quarantine.h
+++ b/policy/quarantine.h
@@ -68,7 +68,7 @@
 };
 
 enum quarantine_decision {
-	QUARANTINE_PASS,   /**< no suspect */
+	QUARANTINE_PASS,   /**< no suspect, or disabled */
 	QUARANTINE_TRIAL,  /**< passes as the only run of it in the fleet */
 	QUARANTINE_REFUSE, /**< blocked, or a trial is running */
 };
--- a/tests/direct_policy_test.cc
+++ b/tests/direct_policy_test.cc
@@ -165,11 +165,11 @@
 	std::vector<dispatchers_member> members = {
 		{ 11, 500 }, { 12, 500 }, { 13, 90 }, { 14, 400 }, { 15, 0 }
 	};
-	std::map<uint64_t, int> held;
+	std::map<uint64_t, int> task_counts;
 
 	for (const auto &task : assign_tasks({ 1, 2, 3, 4, 5, 6 }, members))
-		held[task.dispatcher]++;
-	EXPECT_EQ(held,
+		task_counts[task.dispatcher]++;
+	EXPECT_EQ(task_counts,
 		  (std::map<uint64_t, int>{ { 11, 2 }, { 12, 2 }, { 14, 2 } }));
 }
 
@@ -519,11 +519,11 @@
 	{
 		graph_destroy(it);
 	}
-	void make(uint32_t stage, uint32_t piece, const char *handle)
+	void complete_piece(uint32_t stage, uint32_t piece, const char *handle)
 	{
 		graph_complete_piece(it, stage, piece, handle, 7, 10);
 	}
-	std::vector<std::string> inputs(uint32_t stage)
+	std::vector<std::string> input_handles(uint32_t stage)
 	{
 		g_autoptr(GPtrArray) out = g_ptr_array_new();
 		std::vector<std::string> handles;
@@ -534,7 +534,7 @@
 				(const char *)g_ptr_array_index(out, i));
 		return handles;
 	}
-	std::vector<std::string> unneeded(bool all)
+	std::vector<std::string> take_unused(bool all)
 	{
 		GArray *out = g_array_new(FALSE, FALSE, sizeof(graph_result));
 		std::vector<std::string> handles;
@@ -557,19 +557,21 @@
 
 	EXPECT_TRUE(graph_stage_ready(graph.it, 0));
 	EXPECT_FALSE(graph_stage_ready(graph.it, 2));
-	graph.make(1, 0, "b0");
+	graph.complete_piece(1, 0, "b0");
 	EXPECT_FALSE(graph_stage_ready(graph.it, 2));
-	graph.make(1, 1, "b1");
+	graph.complete_piece(1, 1, "b1");
 	EXPECT_TRUE(graph_stage_ready(graph.it, 2));
-	EXPECT_EQ(graph.inputs(2), (std::vector<std::string>{ "b0", "b1" }));
-	graph.make(2, 0, "c0");
+	EXPECT_EQ(graph.input_handles(2),
+		  (std::vector<std::string>{ "b0", "b1" }));
+	graph.complete_piece(2, 0, "c0");
 	EXPECT_FALSE(graph_is_complete(graph.it));
-	EXPECT_EQ(graph.unneeded(false),
+	EXPECT_EQ(graph.take_unused(false),
 		  (std::vector<std::string>{ "b0", "b1" }));
-	graph.make(0, 0, "a0");
+	graph.complete_piece(0, 0, "a0");
 	EXPECT_TRUE(graph_is_complete(graph.it));
-	EXPECT_EQ(graph.inputs(3), (std::vector<std::string>{ "a0", "c0" }));
-	EXPECT_EQ(graph.unneeded(true),
+	EXPECT_EQ(graph.input_handles(3),
+		  (std::vector<std::string>{ "a0", "c0" }));
+	EXPECT_EQ(graph.take_unused(true),
 		  (std::vector<std::string>{ "a0", "c0" }));
 }
 
@@ -578,10 +580,10 @@
 	Graph graph(0, 0, 1);
 
 	EXPECT_TRUE(graph_stage_ready(graph.it, 2));
-	EXPECT_TRUE(graph.inputs(2).empty());
-	graph.make(2, 0, "c0");
+	EXPECT_TRUE(graph.input_handles(2).empty());
+	graph.complete_piece(2, 0, "c0");
 	EXPECT_TRUE(graph_is_complete(graph.it));
-	EXPECT_EQ(graph.inputs(3), (std::vector<std::string>{ "c0" }));
+	EXPECT_EQ(graph.input_handles(3), (std::vector<std::string>{ "c0" }));
 }
 
 TEST(StageGraph, LostInputsAreMissingAgain)
@@ -589,7 +591,7 @@
 	Graph graph(0, 1, 1);
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(graph_result));
 
-	graph.make(1, 0, "b0");
+	graph.complete_piece(1, 0, "b0");
 	graph_discard_inputs(graph.it, 2, out);
 	EXPECT_EQ(out->len, 1u);
 	EXPECT_FALSE(graph_inputs_available(graph.it, 2));
--- a/tests/poison_test.cc
+++ b/tests/poison_test.cc
@@ -54,7 +54,7 @@
 			       direct_peers_count(two.peers) == 2;
 		}));
 	}
-	Rig &at(int index)
+	Rig &entry_at(int index)
 	{
 		return index % 2 ? two : one;
 	}
@@ -112,7 +112,7 @@
 	{
 		std::string id = body + std::to_string(++tries);
 
-		return std::make_unique<Ask>(fleet.at(tries).address,
+		return std::make_unique<Ask>(fleet.entry_at(tries).address,
 					     id.c_str(), target.c_str(), fields,
 					     body.c_str());
 	}
@@ -145,8 +145,8 @@
 	end_us = g_get_monotonic_time() + 6 * LP_US_PER_S;
 	while (g_get_monotonic_time() < end_us) {
 		std::string id = "p" + std::to_string(tries);
-		Ask ask(fleet.at(tries).address, id.c_str(), "/once/x", {},
-			poison);
+		Ask ask(fleet.entry_at(tries).address, id.c_str(), "/once/x",
+			{}, poison);
 
 		if (ask.wait().status == 503) {
 			/* A refused try has not run. */
@@ -286,8 +286,8 @@
 			tries_in_flight.push_back(bad.ask());
 		else
 			tries_in_flight.push_back(std::make_unique<Ask>(
-				fleet.at(i).address, id.c_str(), "/again/x",
-				Fields{}, id.c_str()));
+				fleet.entry_at(i).address, id.c_str(),
+				"/again/x", Fields{}, id.c_str()));
 		turn_until([] { return false; }, 15);
 	}
 	for (size_t i = 0; i < tries_in_flight.size(); i++) {
@@ -348,7 +348,7 @@
 		for (auto *upstream : plain)
 			pe_fault(upstream, (enum pe_fault)fault);
 		for (int i = 0; i < 4; i++)
-			Ask(fleet.at(i).address, "a", "/look/x").wait();
+			Ask(fleet.entry_at(i).address, "a", "/look/x").wait();
 		turn_until([] { return false; }, 250);
 	}
 	EXPECT_EQ(fleet.listing(), "");
