--- a/agent/agent.c
+++ b/agent/agent.c
@@ -178,7 +178,7 @@
 		trace_add(node_trace(agent->node), &call->id, TRACE_ENDED, NULL,
 			  call->result.error, call->result.run_us, 0);
 	else
-		trace_add(node_trace(agent->node), &call->id, TRACE_GIVEN_BACK,
+		trace_add(node_trace(agent->node), &call->id, TRACE_RETURNED,
 			  NULL, call->result.error, call->result.queue_us, 0);
 	send_result(agent, call->peer, &call->id, &call->result);
 }
@@ -190,7 +190,7 @@
 	struct agent *agent = userdata;
 
 	*agent->refused += 1;
-	trace_add(node_trace(agent->node), id, TRACE_GIVEN_BACK, NULL,
+	trace_add(node_trace(agent->node), id, TRACE_RETURNED, NULL,
 		  result->error, 0, 0);
 	send_result(agent, peer, id, result);
 }
@@ -271,7 +271,7 @@
 {
 	struct agent *agent = userdata;
 
-	worker_set_inside(agent->worker, waiting);
+	worker_set_upstream_queued(agent->worker, waiting);
 }
 
 /* ---- the entries' words ---- */
@@ -280,7 +280,7 @@
 {
 	struct payload *payload = g_new0(struct payload, 1);
 	struct worker_load load;
-	const struct worker_offer offer = {
+	const struct worker_submit offer = {
 		.id = call->id,
 		.peer = peer,
 		.organisation = call->organisation,
@@ -300,7 +300,7 @@
 	worker_get_load(agent->worker, &load);
 	trace_add(node_trace(agent->node), &offer.id, TRACE_QUEUED, NULL, 0,
 		  load.queued, load.running);
-	worker_offer(agent->worker, &offer);
+	worker_submit(agent->worker, &offer);
 }
 
 static void on_message(void *userdata, const char *name, struct wire_msg *msg)
@@ -319,7 +319,7 @@
 				    G_MAXUINT32);
 		offer(agent, name, &msg->u.call);
 	} else if (msg->type == WIRE_QUERY) {
-		const struct worker_question question = {
+		const struct worker_state_query question = {
 			.id = msg->u.query.id,
 			.peer = name,
 			.incarnation = msg->u.query.incarnation,
@@ -377,7 +377,7 @@
 	struct agent *agent = userdata;
 
 	drain_begin(agent->drain);
-	worker_leave(agent->worker);
+	worker_drain(agent->worker);
 }
 
 static void log_end(const struct agent *agent, enum drain_state state)
@@ -399,7 +399,7 @@
 	struct agent *agent = userdata;
 	enum drain_state state = drain_look(agent->drain);
 
-	if (!worker_idle(agent->worker) || state == DRAIN_WAITING)
+	if (!worker_is_idle(agent->worker) || state == DRAIN_WAITING)
 		return false;
 	log_end(agent, state);
 	return true;
@@ -422,7 +422,7 @@
 	lp_json_int(builder, "limit", load.limit);
 	lp_json_int(builder, "wait_us", load.wait_us);
 	lp_json_int(builder, "run_us", load.run_us);
-	lp_json_int(builder, "remembered", worker_remembered(agent->worker));
+	lp_json_int(builder, "remembered", worker_call_count(agent->worker));
 	lp_json_int(builder, "peers", g_hash_table_size(agent->peers));
 	agent_orders_status(agent->orders, builder);
 }
--- a/agent/agent_orders.c
+++ b/agent/agent_orders.c
@@ -35,7 +35,7 @@
 	struct agent_orders *orders = userdata;
 	const struct store_pair *pair = own_pair(orders, answer);
 
-	order_fenced(orders->order, pair ? pair->mod_revision : 0);
+	order_fence_taken(orders->order, pair ? pair->mod_revision : 0);
 	if (pair)
 		lp_log(LP_LOG_INFO, "agent", NULL,
 		       "fencing number %" G_GINT64_FORMAT,
@@ -66,7 +66,7 @@
 	struct agent_orders *orders = userdata;
 	bool ours = own_pair(orders, answer);
 
-	order_confirmed(orders->order, !answer->error, ours);
+	order_fence_checked(orders->order, !answer->error, ours);
 	if (!answer->error && !ours)
 		lp_log(LP_LOG_WARN, "agent", NULL,
 		       "a successor gives the orders now");
@@ -87,17 +87,17 @@
 			    const struct store_http_answer *answer)
 {
 	struct agent_orders *orders = userdata;
-	enum order_end end = ORDER_FAILED;
+	enum order_result end = ORDER_FAILED;
 
 	if (!answer->error && answer->status == SOUP_STATUS_OK)
-		end = ORDER_TAKEN;
+		end = ORDER_ACCEPTED;
 	else if (!answer->error && answer->status == STATUS_FENCED_OFF)
-		end = ORDER_FENCED_OFF;
-	order_done(orders->order, end);
+		end = ORDER_REFUSED_FENCE;
+	order_finished(orders->order, end);
 	lp_log(LP_LOG_INFO, "agent", NULL, "order: %s",
-	       end == ORDER_TAKEN	 ? "taken"
-	       : end == ORDER_FENCED_OFF ? "a successor's number is known"
-					 : "no answer");
+	       end == ORDER_ACCEPTED	    ? "taken"
+	       : end == ORDER_REFUSED_FENCE ? "a successor's number is known"
+					    : "no answer");
 }
 
 static void send_order(void *userdata, int64_t fence, const char *model)
@@ -164,9 +164,9 @@
 				     ? service->order_timeout_ms
 				     : DEFAULT_TIMEOUT_MS;
 
-	order_want(orders->order, service->model,
-		   service->fencing == CFG_FENCING_CHECKED,
-		   timeout_ms * LP_US_PER_MS);
+	order_set_target(orders->order, service->model,
+			 service->fencing == CFG_FENCING_CHECKED,
+			 timeout_ms * LP_US_PER_MS);
 }
 
 void agent_orders_tick(struct agent_orders *orders)
@@ -177,7 +177,7 @@
 void agent_orders_status(const struct agent_orders *orders,
 			 JsonBuilder *builder)
 {
-	lp_json_text(builder, "model", order_in_force(orders->order));
+	lp_json_text(builder, "model", order_active_model(orders->order));
 	lp_json_int(builder, "fence", order_fence(orders->order));
 	lp_json_bool(builder, "superseded", order_superseded(orders->order));
 }
--- a/bench/bench_claims.c
+++ b/bench/bench_claims.c
@@ -17,7 +17,7 @@
 	struct claims *claims;
 	GMainLoop *loop;
 	char **keys;
-	uint32_t keys_count;
+	uint32_t idempotency_record_count;
 	uint32_t rate;
 	uint32_t sent;
 	uint32_t settled;
@@ -32,7 +32,8 @@
 {
 	struct run *run = userdata;
 
-	claims_written(run->claims, answer->error, answer->succeeded, NULL, 0);
+	claims_write_done(run->claims, answer->error, answer->succeeded, NULL,
+			  0);
 }
 
 static void write_claims(void *userdata, const struct claim_item *items,
--- a/bench/bench_decide.c
+++ b/bench/bench_decide.c
@@ -33,14 +33,15 @@
 	for (uint32_t i = 0; i < upstreams; i++) {
 		g_autofree char *name = g_strdup_printf("u%u", i);
 		const char *domain = i % 3 ? (i % 3 == 1 ? "d1" : "d2") : "d0";
-		const struct route_word word = {
+		const struct route_report word = {
 			.incarnation = 1,
 			.agent_time_us = 1,
 			.limit = 8,
 			.run_us = 5000 + i,
 		};
 
-		route_heard(route, route_add(route, name, domain), &word);
+		route_apply_report(
+			route, route_find_or_add(route, name, domain), &word);
 	}
 	start_us = cpu_us();
 	for (uint32_t i = 0; i < PICKS; i++) {
@@ -49,8 +50,8 @@
 		if (affinity)
 			query.affinity = lp_hash_pair(i % 1000, 1);
 		upstream = route_pick(route, &query);
-		route_sent(route, upstream);
-		route_ended(route, upstream, false);
+		route_call_sent(route, upstream);
+		route_call_ended(route, upstream, false);
 	}
 	start_us = cpu_us() - start_us;
 	route_destroy(route);
@@ -122,7 +123,7 @@
 		names[i] = g_strdup_printf("organisation-%u", i);
 	start_us = cpu_us();
 	for (uint32_t i = 0; i < CALLS; i++) {
-		const struct worker_offer offer = {
+		const struct worker_submit offer = {
 			.id = { 1, i + 1, 0, 1 },
 			.peer = "entry",
 			.organisation = names[i % organisations],
@@ -134,7 +135,7 @@
 		const struct worker_result result = { .run = LP_RUN_RAN };
 
 		fake_now_us += 25;
-		worker_offer(worker, &offer);
+		worker_submit(worker, &offer);
 		if (i > 1000)
 			worker_finished(worker, g_queue_pop_head(&bed.running),
 					&result);
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -72,8 +72,8 @@
 static double grant(struct entry *entry, const char *organisation,
 		    const char *host, double demand, int64_t *lease_us)
 {
-	return quota_holder_ask(entry->holder, organisation, host, demand,
-				rate_of(entry, organisation), lease_us);
+	return quota_holder_grant(entry->holder, organisation, host, demand,
+				  rate_of(entry, organisation), lease_us);
 }
 
 static void quota_ask(void *userdata, const char *organisation, double demand)
@@ -87,7 +87,7 @@
 
 	if (!strcmp(holder, entry->settings->host)) {
 		rate = grant(entry, organisation, holder, demand, &lease_us);
-		quota_granted(entry->quota, organisation, rate, lease_us);
+		quota_apply_grant(entry->quota, organisation, rate, lease_us);
 		return;
 	}
 	msg.u.quota_ask.organisation = (char *)organisation;
@@ -125,19 +125,19 @@
 		.body = wire->body,
 	};
 
-	struct flow_word word;
+	struct flow_report word;
 	bool known = entry_peers_word(entry->peers, peer, &wire->load, &word);
 
-	flow_result(entry->flow, &result, known ? &word : NULL);
+	flow_handle_result(entry->flow, &result, known ? &word : NULL);
 }
 
 static void take_beat(struct entry *entry, const char *peer,
 		      const struct wire_load *load)
 {
-	struct flow_word word;
+	struct flow_report word;
 
 	if (entry_peers_word(entry->peers, peer, load, &word))
-		flow_heard(entry->flow, &word);
+		flow_handle_report(entry->flow, &word);
 }
 
 static void take_state(struct entry *entry, const struct wire_state *wire)
@@ -152,7 +152,7 @@
 	};
 
 	if (wire->state < G_N_ELEMENTS(states))
-		flow_state(entry->flow, &wire->id, states[wire->state]);
+		flow_handle_state(entry->flow, &wire->id, states[wire->state]);
 }
 
 static void on_message(void *userdata, const char *peer, struct wire_msg *msg)
@@ -164,8 +164,9 @@
 		take_beat(entry, peer, &msg->u.beat);
 		break;
 	case WIRE_CHUNK:
-		flow_chunk(entry->flow, &msg->u.chunk.id, msg->u.chunk.seq,
-			   msg->u.chunk.text, msg->u.chunk.tokens);
+		flow_handle_chunk(entry->flow, &msg->u.chunk.id,
+				  msg->u.chunk.seq, msg->u.chunk.text,
+				  msg->u.chunk.tokens);
 		break;
 	case WIRE_RESULT:
 		take_result(entry, peer, &msg->u.result);
@@ -182,9 +183,9 @@
 		answer_quota(entry, peer, &msg->u.quota_ask);
 		break;
 	case WIRE_QUOTA_GRANT:
-		quota_granted(entry->quota, msg->u.quota_grant.organisation,
-			      msg->u.quota_grant.rate_per_s,
-			      msg->u.quota_grant.lease_ms * LP_US_PER_MS);
+		quota_apply_grant(entry->quota, msg->u.quota_grant.organisation,
+				  msg->u.quota_grant.rate_per_s,
+				  msg->u.quota_grant.lease_ms * LP_US_PER_MS);
 		break;
 	default:
 		entry_count(entry, "linepier_wire_unexpected_total", NULL,
@@ -207,7 +208,7 @@
 	struct entry *entry = userdata;
 
 	entry_peers_hosts(entry->peers, hosts);
-	flow_set_entries(entry->flow, entry_peers_entries(entry->peers));
+	flow_set_entry_count(entry->flow, entry_peers_entries(entry->peers));
 	entry_rearm(entry);
 }
 
@@ -293,7 +294,8 @@
 	struct entry *entry = userdata;
 
 	drain_begin(entry->drain);
-	flow_end_by(entry->flow, node_ends_us(entry->node) - LAST_ANSWERS_US);
+	flow_cap_deadlines(entry->flow,
+			   node_ends_us(entry->node) - LAST_ANSWERS_US);
 	entry_rearm(entry);
 }
 
--- a/entry/entry_keys.c
+++ b/entry/entry_keys.c
@@ -27,7 +27,7 @@
 
 struct entry_owners {
 	struct entry *entry;
-	struct keys *keys;
+	struct idempotency_keys *keys;
 	struct claims *claims;
 	GHashTable *forwards; /* serial to forward */
 	GHashTable *keyed;    /* entry_request to struct pending, claimed now */
@@ -92,7 +92,7 @@
 /* ---- this entry owns the key ---- */
 
 static void wake_waiter(void *userdata, void *waiter,
-			const struct keys_answer *kept)
+			const struct idempotency_answer *kept)
 {
 	const struct entry_answer answer = {
 		.error = kept->error,
@@ -107,27 +107,27 @@
 bool entry_owners_begin(struct entry_owners *owners,
 			const struct entry_keyed *keyed)
 {
-	const struct keys_request request = {
+	const struct idempotency_request request = {
 		.key = keyed->scoped,
 		.fingerprint = keyed->fingerprint,
 		.deadline_us = keyed->deadline_us,
 		.waiter = keyed->request,
 	};
-	struct keys_answer kept;
+	struct idempotency_answer kept;
 
-	switch (keys_begin(owners->keys, &request, &kept)) {
-	case KEYS_NEW:
+	switch (idempotency_begin(owners->keys, &request, &kept)) {
+	case IDEMPOTENCY_NEW:
 		return true;
-	case KEYS_WAIT:
+	case IDEMPOTENCY_WAIT:
 		break;
-	case KEYS_ANSWERED:
+	case IDEMPOTENCY_ANSWERED:
 		wake_waiter(owners, keyed->request, &kept);
 		break;
-	case KEYS_MISMATCH:
+	case IDEMPOTENCY_MISMATCH:
 		end_with(keyed->request, LP_ERROR_KEY_MISMATCH, LP_RUN_NOT_RUN,
 			 NULL);
 		break;
-	case KEYS_FULL:
+	case IDEMPOTENCY_FULL:
 		end_with(keyed->request, LP_ERROR_OVERLOADED, LP_RUN_NOT_RUN,
 			 "this entry can keep no more keys");
 		break;
@@ -138,13 +138,13 @@
 void entry_owners_end(struct entry_owners *owners, const char *scoped,
 		      const struct entry_answer *answer)
 {
-	const struct keys_answer kept = {
+	const struct idempotency_answer kept = {
 		.error = answer->error,
 		.run = answer->run,
 		.body = answer->body,
 	};
 
-	keys_end(owners->keys, scoped, &kept);
+	idempotency_finish(owners->keys, scoped, &kept);
 }
 
 static gboolean is_of_request(gpointer key, gpointer value, gpointer userdata)
@@ -157,9 +157,9 @@
 void entry_owners_forget(struct entry_owners *owners,
 			 struct entry_request *request)
 {
-	claims_forget(owners->claims, request);
+	claims_remove_waiter(owners->claims, request);
 	g_hash_table_remove(owners->keyed, request);
-	keys_forget_waiter(owners->keys, request);
+	idempotency_remove_waiter(owners->keys, request);
 	g_hash_table_foreach_remove(owners->forwards, is_of_request, request);
 }
 
@@ -318,7 +318,8 @@
 	owners->batch_keys = NULL;
 	if (answer->error) {
 		owners->lease = 0; /* it may be what the KV refused */
-		claims_written(owners->claims, answer->error, false, NULL, 0);
+		claims_write_done(owners->claims, answer->error, false, NULL,
+				  0);
 		return;
 	}
 	found = g_new0(struct claim_found, answer->pairs_count + 1);
@@ -326,8 +327,8 @@
 		found[i].key = answer->pairs[i].key;
 		found[i].owner = answer->pairs[i].value;
 	}
-	claims_written(owners->claims, LP_OK, answer->succeeded, found,
-		       answer->pairs_count);
+	claims_write_done(owners->claims, LP_OK, answer->succeeded, found,
+			  answer->pairs_count);
 }
 
 static void send_claims(struct entry_owners *owners)
@@ -444,7 +445,7 @@
 
 static void find_by_ticket(struct entry_owners *owners,
 			   const struct entry_keyed *keyed,
-			   const struct keys_ticket *ticket)
+			   const struct idempotency_ticket *ticket)
 {
 	struct entry *entry = owners->entry;
 	int64_t now_s = g_get_real_time() / LP_US_PER_S;
@@ -464,10 +465,10 @@
 void entry_owners_find(struct entry_owners *owners,
 		       const struct entry_keyed *keyed)
 {
-	struct keys_ticket ticket;
+	struct idempotency_ticket ticket;
 	g_autofree char *kv_key = NULL;
 
-	if (keys_ticket_parse(keyed->key, &ticket)) {
+	if (idempotency_ticket_parse(keyed->key, &ticket)) {
 		find_by_ticket(owners, keyed, &ticket);
 		g_free(ticket.host);
 		return;
@@ -487,9 +488,9 @@
 	int64_t keep_s =
 		entry->settings->key_keep_ms / (LP_US_PER_S / LP_US_PER_MS);
 
-	return keys_ticket_mint(entry->settings->host,
-				node_incarnation(entry->node),
-				g_get_real_time() / LP_US_PER_S + keep_s);
+	return idempotency_ticket_create(
+		entry->settings->host, node_incarnation(entry->node),
+		g_get_real_time() / LP_US_PER_S + keep_s);
 }
 
 /* ---- life ---- */
@@ -497,7 +498,7 @@
 struct entry_owners *entry_owners_create(struct entry *entry)
 {
 	struct entry_owners *owners = g_new0(struct entry_owners, 1);
-	const struct keys_options keys = {
+	const struct idempotency_options keys = {
 		.clock = node_clock(entry->node),
 		/* Longer than tickets and claims last. */
 		.keep_us = entry->settings->key_keep_ms * LP_US_PER_MS * 2,
@@ -512,7 +513,7 @@
 	};
 
 	owners->entry = entry;
-	owners->keys = keys_create(&keys);
+	owners->keys = idempotency_create(&keys);
 	owners->claims = claims_create(&claims);
 	owners->forwards = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						 NULL, g_free);
@@ -531,7 +532,7 @@
 	if (owners->batch_keys)
 		g_ptr_array_unref(owners->batch_keys);
 	claims_destroy(owners->claims);
-	keys_destroy(owners->keys);
+	idempotency_destroy(owners->keys);
 	g_hash_table_unref(owners->forwards);
 	g_hash_table_unref(owners->keyed);
 	g_free(owners->self);
@@ -574,11 +575,11 @@
 void entry_owners_tick(struct entry_owners *owners)
 {
 	claims_tick(owners->claims);
-	keys_tick(owners->keys);
+	idempotency_tick(owners->keys);
 	expire_forwards(owners);
 }
 
 uint32_t entry_owners_count(const struct entry_owners *owners)
 {
-	return keys_count(owners->keys);
+	return idempotency_record_count(owners->keys);
 }
--- a/entry/entry_peers.c
+++ b/entry/entry_peers.c
@@ -1,7 +1,7 @@
 /* Connections of an entry: to its subset of agents, to other entries. */
 #include "base/lp_log.h"
 #include "entry/entry_private.h"
-#include "policy/member.h"
+#include "policy/rendezvous.h"
 
 #include <string.h>
 
@@ -110,8 +110,8 @@
 
 	g_hash_table_insert(peers->agents, conn->host, conn);
 	g_hash_table_insert(peers->by_name, conn->name, conn);
-	route_add(flow_route(peers->entry->flow, conn->service), conn->host,
-		  conn->domain);
+	route_find_or_add(flow_route(peers->entry->flow, conn->service),
+			  conn->host, conn->domain);
 	hello(peers, conn);
 }
 
@@ -182,7 +182,8 @@
 			      const struct store_hosts *hosts,
 			      const GArray *group, uint32_t most)
 {
-	struct member *members = g_new0(struct member, group->len + 1);
+	struct rendezvous_host *members =
+		g_new0(struct rendezvous_host, group->len + 1);
 	bool *chosen = g_new0(bool, group->len + 1);
 	const char *self = peers->entry->settings->host;
 
@@ -193,7 +194,7 @@
 		members[i].id = host->id;
 		members[i].domain = host->domain;
 	}
-	member_subset(self, members, group->len, most, chosen);
+	rendezvous_subset(self, members, group->len, most, chosen);
 	for (guint i = 0; i < group->len; i++)
 		if (chosen[i])
 			take_host(peers, &hosts->hosts[g_array_index(
@@ -387,7 +388,7 @@
 }
 
 bool entry_peers_word(struct entry_peers *peers, const char *peer,
-		      const struct wire_load *load, struct flow_word *out)
+		      const struct wire_load *load, struct flow_report *out)
 {
 	const struct conn *conn = g_hash_table_lookup(peers->by_name, peer);
 
@@ -396,7 +397,7 @@
 	out->service = conn->service;
 	out->agent = conn->host;
 	out->domain = conn->domain;
-	out->load = (struct route_word){
+	out->load = (struct route_report){
 		.incarnation = load->incarnation,
 		.agent_time_us = load->agent_time_us,
 		.revision = load->revision,
@@ -422,15 +423,16 @@
 const char *entry_peers_quota_holder(const struct entry_peers *peers,
 				     const char *organisation)
 {
-	struct member *members = g_new0(struct member, peers->live->len + 1);
-	const struct member *owner;
+	struct rendezvous_host *members =
+		g_new0(struct rendezvous_host, peers->live->len + 1);
+	const struct rendezvous_host *owner;
 	const char *host = peers->entry->settings->host;
 
 	for (guint i = 0; i < peers->live->len; i++) {
 		members[i].id = g_ptr_array_index(peers->live, i);
 		members[i].domain = "";
 	}
-	owner = member_owner(organisation, members, peers->live->len);
+	owner = rendezvous_owner(organisation, members, peers->live->len);
 	if (owner)
 		host = owner->id;
 	g_free(members);
--- a/entry/entry_private.h
+++ b/entry/entry_private.h
@@ -7,7 +7,7 @@
 #include "policy/claim.h"
 #include "policy/drain.h"
 #include "policy/flow.h"
-#include "policy/keys.h"
+#include "policy/idempotency.h"
 #include "policy/quota.h"
 
 struct entry_peers;
@@ -150,7 +150,7 @@
  * strings are borrowed until the connection is closed.
  */
 bool entry_peers_word(struct entry_peers *peers, const char *peer,
-		      const struct wire_load *load, struct flow_word *out);
+		      const struct wire_load *load, struct flow_report *out);
 /** Live entries, this one included. */
 uint32_t entry_peers_entries(const struct entry_peers *peers);
 /** The entry that holds an organisation's quota. */
--- a/node/node.c
+++ b/node/node.c
@@ -5,7 +5,7 @@
 #include "base/lp_log.h"
 #include "base/lp_timer.h"
 #include "node/node_admin.h"
-#include "policy/member.h"
+#include "policy/rendezvous.h"
 
 #include <errno.h>
 #include <glib-unix.h>
@@ -27,7 +27,7 @@
 	struct wire_sock *sock;
 	struct store_kv *kv;
 	struct store_hosts_client *hosts;
-	struct spread *spread;
+	struct config_propagation *spread;
 	struct cfg_snapshot *snapshot;
 	struct node_admin *admin;
 	GMainLoop *loop;
@@ -43,7 +43,7 @@
 static void take_snapshot(struct node *node, struct cfg_snapshot *snapshot,
 			  const char *from)
 {
-	if (!spread_take(node->spread, snapshot->revision)) {
+	if (!config_propagation_accept(node->spread, snapshot->revision)) {
 		cfg_snapshot_unref(snapshot);
 		return;
 	}
@@ -76,10 +76,11 @@
 		reject_record(node, "the KV");
 		return;
 	}
-	if (record->revision < spread_revision(node->spread)) {
+	if (record->revision < config_propagation_revision(node->spread)) {
 		*lp_counter(node->counters, "linepier_config_old_reads_total",
 			    NULL) += 1;
-	} else if (record->revision > spread_revision(node->spread)) {
+	} else if (record->revision >
+		   config_propagation_revision(node->spread)) {
 		if (cfg_snapshot_create(record, &snapshot))
 			reject_record(node, "the KV");
 		else
@@ -94,7 +95,7 @@
 
 	if (!answer->error && answer->pairs_count)
 		take_pair(node, &answer->pairs[0]);
-	spread_read_done(node->spread, !answer->error);
+	config_propagation_read_done(node->spread, !answer->error);
 }
 
 static void read_whole(struct node *node)
@@ -110,10 +111,10 @@
 
 	if (!answer->error && answer->pairs_count)
 		revision = g_ascii_strtoull(answer->pairs[0].value, NULL, 10);
-	if (revision > spread_revision(node->spread))
+	if (revision > config_propagation_revision(node->spread))
 		read_whole(node);
 	else
-		spread_read_done(node->spread, !answer->error);
+		config_propagation_read_done(node->spread, !answer->error);
 }
 
 /* The number is a key of its own: looking often costs little. */
@@ -134,7 +135,7 @@
 {
 	struct node *node = userdata;
 
-	spread_watch_ended(node->spread);
+	config_propagation_watch_ended(node->spread);
 }
 
 static void spread_watch(void *userdata, bool on)
@@ -158,13 +159,13 @@
 	struct node *node = userdata;
 	const struct wire_msg msg = {
 		.type = WIRE_CONFIG_GET,
-		.u.config_get.have = spread_revision(node->spread),
+		.u.config_get.have = config_propagation_revision(node->spread),
 	};
 
 	node_send(node, peer, &msg);
 }
 
-static const struct spread_ops spread_ops = {
+static const struct config_propagation_ops config_propagation_ops = {
 	.read = spread_read,
 	.watch = spread_watch,
 	.pull = spread_pull,
@@ -189,7 +190,7 @@
 {
 	struct cfg_snapshot *snapshot;
 
-	if (body->revision <= spread_revision(node->spread))
+	if (body->revision <= config_propagation_revision(node->spread))
 		return;
 	if (cfg_snapshot_unpack(body->packed, &snapshot))
 		reject_record(node, peer);
@@ -200,13 +201,15 @@
 void node_heard_revision(struct node *node, const char *peer, uint64_t revision,
 			 uint32_t kv_age_ms)
 {
-	spread_heard(node->spread, peer, revision);
-	spread_heard_age(node->spread, kv_age_ms * LP_US_PER_MS);
+	config_propagation_handle_revision(node->spread, peer, revision);
+	config_propagation_handle_kv_age(node->spread,
+					 kv_age_ms * LP_US_PER_MS);
 }
 
 uint32_t node_kv_age_ms(const struct node *node)
 {
-	int64_t age_ms = spread_age_us(node->spread) / LP_US_PER_MS;
+	int64_t age_ms =
+		config_propagation_kv_age_us(node->spread) / LP_US_PER_MS;
 
 	return (uint32_t)MIN(age_ms, G_MAXUINT32);
 }
@@ -244,7 +247,8 @@
 
 static void elect(struct node *node, const struct store_hosts *hosts)
 {
-	struct member *members = g_new0(struct member, hosts->count + 1);
+	struct rendezvous_host *members =
+		g_new0(struct rendezvous_host, hosts->count + 1);
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < hosts->count; i++) {
@@ -254,11 +258,12 @@
 		members[count].domain = hosts->hosts[i].domain;
 		count += 1;
 	}
-	spread_elected(node->spread,
-		       member_is_reader(node->settings->host,
-					node->settings->domain, members, count,
-					READERS),
-		       hosts->count);
+	config_propagation_set_reader(
+		node->spread,
+		rendezvous_is_reader(node->settings->host,
+				     node->settings->domain, members, count,
+				     READERS),
+		hosts->count);
 	g_free(members);
 }
 
@@ -306,7 +311,7 @@
 		set_gauge(node, "linepier_config_packed_bytes",
 			  (int64_t)g_bytes_get_size(node->snapshot->packed));
 	set_gauge(node, "linepier_config_reader",
-		  spread_is_reader(node->spread));
+		  config_propagation_is_reader(node->spread));
 	if (node->options.role->gauges)
 		node->options.role->gauges(node->options.userdata);
 	lp_counters_print(node->counters, out);
@@ -345,8 +350,9 @@
 	lp_json_int(builder, "revision_since_us",
 		    node->snapshot ? node->snapshot->since_us : 0);
 	lp_json_int(builder, "revision_heard",
-		    (int64_t)spread_highest(node->spread));
-	lp_json_bool(builder, "reader", spread_is_reader(node->spread));
+		    (int64_t)config_propagation_highest_revision(node->spread));
+	lp_json_bool(builder, "reader",
+		     config_propagation_is_reader(node->spread));
 	lp_json_text(builder, "state",
 		     node->leave_us ? "leaving"
 		     : why	    ? "unready"
@@ -405,7 +411,7 @@
 {
 	struct node *node = userdata;
 
-	spread_tick(node->spread);
+	config_propagation_tick(node->spread);
 	node->options.role->tick(node->options.userdata);
 	if (node->leave_us)
 		check_left(node);
@@ -464,9 +470,9 @@
 		.failed = on_hosts_failed,
 		.userdata = node,
 	};
-	const struct spread_options spread = {
+	const struct config_propagation_options spread = {
 		.clock = node->clock,
-		.ops = &spread_ops,
+		.ops = &config_propagation_ops,
 		.userdata = node,
 		.seed = node->incarnation,
 		.patience_us = node->settings->role == NODE_ROLE_AGENT
@@ -476,7 +482,7 @@
 	};
 
 	node->kv = store_etcd_create(&kv);
-	node->spread = spread_create(&spread);
+	node->spread = config_propagation_create(&spread);
 	node->hosts = store_hosts_create(&hosts);
 }
 
@@ -519,7 +525,7 @@
 			g_source_remove(node->signals[i]);
 	store_hosts_destroy(node->hosts);
 	store_kv_destroy(node->kv);
-	spread_destroy(node->spread);
+	config_propagation_destroy(node->spread);
 	node_admin_destroy(node->admin);
 	wire_sock_destroy(node->sock);
 	cfg_snapshot_unref(node->snapshot);
@@ -566,7 +572,7 @@
 
 uint64_t node_revision(const struct node *node)
 {
-	return spread_revision(node->spread);
+	return config_propagation_revision(node->spread);
 }
 
 uint64_t node_incarnation(const struct node *node)
--- a/node/node.h
+++ b/node/node.h
@@ -10,7 +10,7 @@
 #include "base/lp_counter.h"
 #include "base/lp_settings.h"
 #include "config/cfg_record.h"
-#include "policy/spread.h"
+#include "policy/config_propagation.h"
 #include "policy/trace.h"
 #include "store/store_etcd.h"
 #include "store/store_hosts.h"
--- a/policy/claim.c
+++ b/policy/claim.c
@@ -67,7 +67,7 @@
 	free_claim(claim);
 }
 
-static void write_flight(struct claims *claims)
+static void write_batch(struct claims *claims)
 {
 	struct claim_item items[CLAIM_BATCH_MAX];
 
@@ -86,7 +86,7 @@
 }
 
 /* The same key twice in one write would be refused: it waits its turn. */
-static bool in_flight(const struct claims *claims, const char *key)
+static bool is_in_batch(const struct claims *claims, const char *key)
 {
 	for (guint i = 0; i < claims->flight->len; i++) {
 		const struct claim *claim =
@@ -98,14 +98,14 @@
 	return false;
 }
 
-static void fill_flight(struct claims *claims)
+static void fill_batch(struct claims *claims)
 {
 	guint max = claims->options.naive ? 1 : CLAIM_BATCH_MAX;
 
 	while (claims->flight->len < max) {
 		struct claim *claim = g_queue_peek_head(&claims->waiting);
 
-		if (!claim || in_flight(claims, claim->key))
+		if (!claim || is_in_batch(claims, claim->key))
 			return;
 		g_ptr_array_add(claims->flight,
 				g_queue_pop_head(&claims->waiting));
@@ -116,9 +116,9 @@
 {
 	if (claims->writing || claims->retry_us)
 		return;
-	fill_flight(claims);
+	fill_batch(claims);
 	if (claims->flight->len)
-		write_flight(claims);
+		write_batch(claims);
 }
 
 void claims_add(struct claims *claims, const char *key, const char *owner,
@@ -134,18 +134,18 @@
 	advance(claims);
 }
 
-static void forget_in(struct claim *claim, const void *waiter)
+static void clear_waiter(struct claim *claim, const void *waiter)
 {
 	if (claim->waiter == waiter)
 		claim->waiter = NULL;
 }
 
-void claims_forget(struct claims *claims, void *waiter)
+void claims_remove_waiter(struct claims *claims, void *waiter)
 {
 	for (GList *link = claims->waiting.head; link; link = link->next)
-		forget_in(link->data, waiter);
+		clear_waiter(link->data, waiter);
 	for (guint i = 0; i < claims->flight->len; i++)
-		forget_in(g_ptr_array_index(claims->flight, i), waiter);
+		clear_waiter(g_ptr_array_index(claims->flight, i), waiter);
 }
 
 static const char *find_owner(const char *key, const struct claim_found *found,
@@ -170,8 +170,8 @@
 }
 
 /* Those that exist are settled by what stands there; the rest go again. */
-static void settle_found(struct claims *claims, const struct claim_found *found,
-			 uint32_t count)
+static void settle_existing(struct claims *claims,
+			    const struct claim_found *found, uint32_t count)
 {
 	g_autoptr(GPtrArray) done = claims->flight;
 
@@ -187,8 +187,8 @@
 	}
 }
 
-void claims_written(struct claims *claims, int error, bool created,
-		    const struct claim_found *found, uint32_t found_count)
+void claims_write_done(struct claims *claims, int error, bool created,
+		       const struct claim_found *found, uint32_t found_count)
 {
 	claims->writing = false;
 	if (error) {
@@ -200,7 +200,7 @@
 	if (created)
 		settle_all(claims);
 	else
-		settle_found(claims, found, found_count);
+		settle_existing(claims, found, found_count);
 	advance(claims);
 }
 
--- a/policy/claim.h
+++ b/policy/claim.h
@@ -27,7 +27,7 @@
 struct claims_ops {
 	/**
 	 * Create all keys, if none exists; else read those that do. Answer
-	 * with claims_written().
+	 * with claims_write_done().
 	 */
 	void (*write)(void *userdata, const struct claim_item *items,
 		      uint32_t count);
@@ -53,7 +53,7 @@
 void claims_add(struct claims *claims, const char *key, const char *owner,
 		int64_t until_us, void *waiter);
 /** The waiter is gone; its claim may still be written. */
-void claims_forget(struct claims *claims, void *waiter);
+void claims_remove_waiter(struct claims *claims, void *waiter);
 
 /** A key that a failed write found. */
 struct claim_found {
@@ -65,8 +65,8 @@
  * The answer to write(). error: nothing is known. `created`: all were.
  * Else `found` lists those that exist.
  */
-void claims_written(struct claims *claims, int error, bool created,
-		    const struct claim_found *found, uint32_t found_count);
+void claims_write_done(struct claims *claims, int error, bool created,
+		       const struct claim_found *found, uint32_t found_count);
 void claims_tick(struct claims *claims);
 uint64_t claims_writes(const struct claims *claims);
 
--- a/policy/limit.c
+++ b/policy/concurrency_limit.c
@@ -1,4 +1,4 @@
-#include "policy/limit.h"
+#include "policy/concurrency_limit.h"
 
 #include <glib.h>
 
@@ -9,12 +9,12 @@
 #define BEST_DRIFT 1.02 /* a window: forgets a best that is out of date */
 #define SMOOTHING 0.1
 
-void limit_init(struct limit *limit, uint32_t max)
+void concurrency_limit_init(struct concurrency_limit *limit, uint32_t max)
 {
-	*limit = (struct limit){ .value = max, .max = max };
+	*limit = (struct concurrency_limit){ .value = max, .max = max };
 }
 
-static void close_window(struct limit *limit)
+static void close_window(struct concurrency_limit *limit)
 {
 	double mean_us = (double)limit->sum_us / limit->samples;
 	uint32_t floor = MAX(1, limit->max / 8);
@@ -31,7 +31,8 @@
 	limit->best_us *= BEST_DRIFT;
 }
 
-void limit_sample(struct limit *limit, int64_t run_us)
+void concurrency_limit_add_sample(struct concurrency_limit *limit,
+				  int64_t run_us)
 {
 	if (limit->usual_us == 0)
 		limit->usual_us = (double)run_us;
--- a/policy/limit.h
+++ b/policy/concurrency_limit.h
@@ -6,12 +6,12 @@
  * they inflate past the tolerance it shrinks, since more concurrency then
  * only adds waiting.
  */
-#ifndef LIMIT_H
-#define LIMIT_H
+#ifndef CONCURRENCY_LIMIT_H
+#define CONCURRENCY_LIMIT_H
 
 #include <stdint.h>
 
-struct limit {
+struct concurrency_limit {
 	uint32_t value; /**< in force now */
 	uint32_t max;	/**< configured */
 	uint32_t samples;
@@ -20,8 +20,9 @@
 	double usual_us; /**< smoothed time of a call */
 };
 
-void limit_init(struct limit *limit, uint32_t max);
+void concurrency_limit_init(struct concurrency_limit *limit, uint32_t max);
 /** A call ended after run_us. */
-void limit_sample(struct limit *limit, int64_t run_us);
+void concurrency_limit_add_sample(struct concurrency_limit *limit,
+				  int64_t run_us);
 
 #endif
--- a/policy/spread.c
+++ b/policy/config_propagation.c
@@ -1,4 +1,4 @@
-#include "policy/spread.h"
+#include "policy/config_propagation.h"
 
 #include <glib.h>
 
@@ -11,8 +11,8 @@
 #define BACKOFF_MIN_US (250 * LP_US_PER_MS)
 #define BACKOFF_MAX_US (10 * LP_US_PER_S)
 
-struct spread {
-	struct spread_options options;
+struct config_propagation {
+	struct config_propagation_options options;
 	GRand *random;
 	uint64_t revision;
 	uint64_t highest;
@@ -28,21 +28,23 @@
 	uint32_t hosts;
 };
 
-static int64_t now_us(const struct spread *spread)
+static int64_t now_us(const struct config_propagation *spread)
 {
 	return lp_now_us(spread->options.clock);
 }
 
 /* Between half of it and one and a half. */
-static int64_t jitter(struct spread *spread, int64_t base_us)
+static int64_t jitter(struct config_propagation *spread, int64_t base_us)
 {
 	return (int64_t)((double)base_us *
 			 g_rand_double_range(spread->random, 0.5, 1.5));
 }
 
-struct spread *spread_create(const struct spread_options *options)
+struct config_propagation *
+config_propagation_create(const struct config_propagation_options *options)
 {
-	struct spread *spread = g_new0(struct spread, 1);
+	struct config_propagation *spread =
+		g_new0(struct config_propagation, 1);
 
 	spread->options = *options;
 	spread->random = g_rand_new_with_seed((guint32)options->seed);
@@ -53,11 +55,11 @@
 	spread->patience_us = jitter(spread, spread->options.patience_us);
 	spread->next_read_us = now_us(spread) + jitter(spread, FIRST_READ_US);
 	if (options->watch_always)
-		spread_elected(spread, true, 1);
+		config_propagation_set_reader(spread, true, 1);
 	return spread;
 }
 
-void spread_destroy(struct spread *spread)
+void config_propagation_destroy(struct config_propagation *spread)
 {
 	if (!spread)
 		return;
@@ -65,7 +67,8 @@
 	g_free(spread);
 }
 
-void spread_elected(struct spread *spread, bool reader, uint32_t hosts)
+void config_propagation_set_reader(struct config_propagation *spread,
+				   bool reader, uint32_t hosts)
 {
 	bool first = !spread->hosts;
 
@@ -85,7 +88,8 @@
 		spread->next_read_us = 0;
 }
 
-void spread_heard(struct spread *spread, const char *peer, uint64_t revision)
+void config_propagation_handle_revision(struct config_propagation *spread,
+					const char *peer, uint64_t revision)
 {
 	int64_t now = now_us(spread);
 
@@ -98,7 +102,8 @@
 	spread->options.ops->pull(spread->options.userdata, peer);
 }
 
-bool spread_take(struct spread *spread, uint64_t revision)
+bool config_propagation_accept(struct config_propagation *spread,
+			       uint64_t revision)
 {
 	if (revision <= spread->revision)
 		return false;
@@ -108,30 +113,31 @@
 	return true;
 }
 
-void spread_heard_age(struct spread *spread, int64_t age_us)
+void config_propagation_handle_kv_age(struct config_propagation *spread,
+				      int64_t age_us)
 {
 	spread->reached_us = MAX(spread->reached_us, now_us(spread) - age_us);
 }
 
-int64_t spread_age_us(const struct spread *spread)
+int64_t config_propagation_kv_age_us(const struct config_propagation *spread)
 {
 	return now_us(spread) - spread->reached_us;
 }
 
 /* Nobody has reached the KV for so long that this process tries. */
-static bool must_step_in(struct spread *spread)
+static bool must_step_in(struct config_propagation *spread)
 {
-	return spread_age_us(spread) > spread->patience_us;
+	return config_propagation_kv_age_us(spread) > spread->patience_us;
 }
 
 /* The whole fleet may be trying: its size bounds how often one does. */
-static int64_t backoff_max_us(const struct spread *spread)
+static int64_t backoff_max_us(const struct config_propagation *spread)
 {
 	return BACKOFF_MAX_US +
 	       (int64_t)(spread->hosts / HOSTS_PER_S * LP_US_PER_S);
 }
 
-static int64_t back_off(struct spread *spread)
+static int64_t back_off(struct config_propagation *spread)
 {
 	int64_t wait_us = jitter(spread, spread->backoff_us);
 
@@ -140,7 +146,7 @@
 	return now_us(spread) + wait_us;
 }
 
-void spread_read_done(struct spread *spread, bool ok)
+void config_propagation_read_done(struct config_propagation *spread, bool ok)
 {
 	spread->reading = false;
 	if (!ok) {
@@ -156,14 +162,14 @@
 			now_us(spread) + jitter(spread, 2 * BACKOFF_MIN_US);
 }
 
-void spread_watch_ended(struct spread *spread)
+void config_propagation_watch_ended(struct config_propagation *spread)
 {
 	spread->watching = false;
 	spread->next_watch_us = back_off(spread);
 	spread->next_read_us = MIN(spread->next_read_us, spread->next_watch_us);
 }
 
-void spread_tick(struct spread *spread)
+void config_propagation_tick(struct config_propagation *spread)
 {
 	int64_t now = now_us(spread);
 	bool wants =
@@ -180,17 +186,18 @@
 	}
 }
 
-uint64_t spread_revision(const struct spread *spread)
+uint64_t config_propagation_revision(const struct config_propagation *spread)
 {
 	return spread->revision;
 }
 
-bool spread_is_reader(const struct spread *spread)
+bool config_propagation_is_reader(const struct config_propagation *spread)
 {
 	return spread->reader;
 }
 
-uint64_t spread_highest(const struct spread *spread)
+uint64_t
+config_propagation_highest_revision(const struct config_propagation *spread)
 {
 	return spread->highest;
 }
--- a/policy/flow.c
+++ b/policy/flow.c
@@ -5,9 +5,9 @@
 	return lp_now_us(flow->options.clock);
 }
 
-void flow_note(struct flow *flow, const struct lp_call_id *id,
-	       enum trace_kind kind, const char *who, int error, int64_t a,
-	       int64_t b)
+void flow_add_trace(struct flow *flow, const struct lp_call_id *id,
+		    enum trace_kind kind, const char *who, int error, int64_t a,
+		    int64_t b)
 {
 	if (flow->options.trace)
 		trace_add(flow->options.trace, id, kind, who, error, a, b);
@@ -17,17 +17,18 @@
 
 static void free_service(gpointer data)
 {
-	struct service *service = data;
+	struct flow_service *service = data;
 
 	route_destroy(service->route);
-	quant_destroy(service->total_us);
+	quantile_destroy(service->total_us);
 	g_free(service->name);
 	g_free(service);
 }
 
-struct service *flow_service(struct flow *flow, const char *name)
+struct flow_service *flow_get_service(struct flow *flow, const char *name)
 {
-	struct service *service = g_hash_table_lookup(flow->services, name);
+	struct flow_service *service =
+		g_hash_table_lookup(flow->services, name);
 	struct route_options options = {
 		.clock = flow->options.clock,
 		.domain = flow->domain,
@@ -38,18 +39,18 @@
 
 	if (service)
 		return service;
-	service = g_new0(struct service, 1);
+	service = g_new0(struct flow_service, 1);
 	service->name = g_strdup(name);
 	service->route = route_create(&options);
-	service->total_us = quant_create();
-	bucket_init(&service->budget, 0, BUDGET_BURST, flow_now_us(flow));
+	service->total_us = quantile_create();
+	bucket_init(&service->budget, 0, RETRY_BUDGET_BURST, flow_now_us(flow));
 	g_hash_table_insert(flow->services, service->name, service);
 	return service;
 }
 
 struct route *flow_route(struct flow *flow, const char *service)
 {
-	return flow_service(flow, service)->route;
+	return flow_get_service(flow, service)->route;
 }
 
 /* ---- requests ---- */
@@ -93,15 +94,15 @@
 	g_free(flow);
 }
 
-const struct flow_stage *flow_stage_of(const struct flow_request *request)
+const struct flow_stage *flow_current_stage(const struct flow_request *request)
 {
 	return &request->stages[request->stage];
 }
 
-struct service *flow_service_of(struct flow *flow,
-				const struct flow_request *request)
+struct flow_service *flow_current_service(struct flow *flow,
+					  const struct flow_request *request)
 {
-	return flow_service(flow, flow_stage_of(request)->service);
+	return flow_get_service(flow, flow_current_stage(request)->service);
 }
 
 static struct flow_request *find_request(struct flow *flow,
@@ -146,10 +147,10 @@
  * the entries have let in that has not arrived there (they are alike, so
  * what is coming from here stands for each of them).
  */
-static int64_t door_wait_us(struct flow *flow, struct service *service,
-			    const char *organisation)
+static int64_t estimate_wait_us(struct flow *flow, struct flow_service *service,
+				const char *organisation)
 {
-	int64_t run_us = quant_get(service->total_us, 0.5, 0);
+	int64_t run_us = quantile_get(service->total_us, 0.5, 0);
 	int64_t coming_us = run_us * service->coming * flow->entries /
 			    route_slots(service->route);
 
@@ -163,17 +164,17 @@
 	int64_t wait_us;     /* of that, in queues */
 };
 
-static struct door look_ahead(struct flow *flow,
-			      const struct flow_submit *submit)
+static struct door estimate_request(struct flow *flow,
+				    const struct flow_submit *submit)
 {
 	struct door door = { 0 };
 
 	for (uint32_t i = 0; i < submit->stages_count; i++) {
-		struct service *service =
-			flow_service(flow, submit->stages[i].service);
+		struct flow_service *service =
+			flow_get_service(flow, submit->stages[i].service);
 		int64_t stage_us = route_estimate_us(service->route);
 		int64_t wait_us =
-			door_wait_us(flow, service, submit->organisation);
+			estimate_wait_us(flow, service, submit->organisation);
 
 		if (stage_us < 0)
 			return (struct door){ -1, 0 };
@@ -183,7 +184,8 @@
 	return door;
 }
 
-static bool admit_all(struct flow *flow, const struct flow_submit *submit)
+static bool throttle_admits_stages(struct flow *flow,
+				   const struct flow_submit *submit)
 {
 	int64_t now = flow_now_us(flow);
 
@@ -194,17 +196,17 @@
 	return true;
 }
 
-static int64_t deadline_of(const struct flow *flow,
-			   const struct flow_submit *submit)
+static int64_t capped_deadline_us(const struct flow *flow,
+				  const struct flow_submit *submit)
 {
 	return MIN(submit->deadline_us, flow->end_us);
 }
 
-static int check_door(struct flow *flow, const struct flow_submit *submit,
-		      int64_t *estimate_us)
+static int check_admission(struct flow *flow, const struct flow_submit *submit,
+			   int64_t *estimate_us)
 {
-	int64_t left_us = deadline_of(flow, submit) - flow_now_us(flow);
-	struct door door = look_ahead(flow, submit);
+	int64_t left_us = capped_deadline_us(flow, submit) - flow_now_us(flow);
+	struct door door = estimate_request(flow, submit);
 	int64_t spare_us = left_us - (door.estimate_us - door.wait_us);
 
 	*estimate_us = door.estimate_us;
@@ -215,17 +217,18 @@
 	if (flow->options.naive)
 		return LP_OK;
 	if (spare_us < 0 ||
-	    door.wait_us > (int64_t)((double)spare_us * DOOR_QUEUE_SHARE))
+	    door.wait_us > (int64_t)((double)spare_us * ADMISSION_QUEUE_SHARE))
 		return LP_ERROR_DEADLINE_UNREACHABLE;
-	if (!admit_all(flow, submit))
+	if (!throttle_admits_stages(flow, submit))
 		return LP_ERROR_OVERLOADED;
 	return LP_OK;
 }
 
-static void count_coming(struct flow *flow, const struct flow_request *request)
+static void add_expected_calls(struct flow *flow,
+			       const struct flow_request *request)
 {
 	for (uint32_t i = 0; i < request->stages_count; i++)
-		flow_service(flow, request->stages[i].service)->coming += 1;
+		flow_get_service(flow, request->stages[i].service)->coming += 1;
 }
 
 static struct flow_request *add_request(struct flow *flow,
@@ -241,17 +244,17 @@
 	request->weight = submit->weight;
 	request->affinity = submit->affinity;
 	request->arrived_us = flow_now_us(flow);
-	request->deadline_us = deadline_of(flow, submit);
+	request->deadline_us = capped_deadline_us(flow, submit);
 	request->costs = g_new0(struct flow_cost, submit->stages_count);
 	request->text = g_string_new(NULL);
 	request->owner = submit->owner;
 	g_hash_table_insert(flow->requests, GUINT_TO_POINTER(id->serial),
 			    request);
-	flow_set_wake(flow, request);
+	flow_update_wake(flow, request);
 	return request;
 }
 
-static void new_id(struct flow *flow, struct lp_call_id *id)
+static void assign_request_id(struct flow *flow, struct lp_call_id *id)
 {
 	*id = (struct lp_call_id){ .entry = flow->options.entry };
 	do
@@ -262,13 +265,13 @@
 int flow_submit(struct flow *flow, const struct flow_submit *submit,
 		struct lp_call_id *id, struct flow_outcome *outcome)
 {
-	int64_t left_us = deadline_of(flow, submit) - flow_now_us(flow);
+	int64_t left_us = capped_deadline_us(flow, submit) - flow_now_us(flow);
 	int64_t estimate_us;
 	struct flow_request *request;
 	int error;
 
-	new_id(flow, id);
-	error = check_door(flow, submit, &estimate_us);
+	assign_request_id(flow, id);
+	error = check_admission(flow, submit, &estimate_us);
 	if (error) {
 		*outcome = (struct flow_outcome){
 			.error = error,
@@ -277,21 +280,21 @@
 				MAX(estimate_us - left_us, 100 * LP_US_PER_MS),
 		};
 		flow->stats.refused_door += 1;
-		flow_note(flow, id, TRACE_REFUSED, NULL, error, estimate_us,
-			  left_us);
+		flow_add_trace(flow, id, TRACE_REFUSED, NULL, error,
+			       estimate_us, left_us);
 		return error;
 	}
 	request = add_request(flow, submit, id);
 	flow->stats.accepted += 1;
-	count_coming(flow, request);
-	flow_note(flow, id, TRACE_ACCEPTED, NULL, 0, estimate_us, left_us);
+	add_expected_calls(flow, request);
+	flow_add_trace(flow, id, TRACE_ACCEPTED, NULL, 0, estimate_us, left_us);
 	flow_start_stage(flow, request);
 	return LP_OK;
 }
 
 /* ---- the agents ---- */
 
-void flow_lose_attempts_of(struct flow *flow,
+void flow_lose_attempts_at(struct flow *flow,
 			   const struct route_upstream *upstream,
 			   bool any_incarnation)
 {
@@ -319,17 +322,17 @@
 	}
 }
 
-void flow_heard(struct flow *flow, const struct flow_word *word)
+void flow_handle_report(struct flow *flow, const struct flow_report *word)
 {
 	struct route *route = flow_route(flow, word->service);
 	struct route_upstream *upstream =
-		route_add(route, word->agent, word->domain);
+		route_find_or_add(route, word->agent, word->domain);
 
-	if (route_heard(route, upstream, &word->load))
-		flow_lose_attempts_of(flow, upstream, false);
+	if (route_apply_report(route, upstream, &word->load))
+		flow_lose_attempts_at(flow, upstream, false);
 }
 
-void flow_set_entries(struct flow *flow, uint32_t entries)
+void flow_set_entry_count(struct flow *flow, uint32_t entries)
 {
 	flow->entries = MAX(1, entries);
 }
@@ -343,8 +346,8 @@
 	if (!upstream)
 		return;
 	upstream->leaving = true; /* nothing moves back to it */
-	flow_lose_attempts_of(flow, upstream, true);
-	flow_lose_attempts_of(flow, upstream, true); /* a hedge beside it */
+	flow_lose_attempts_at(flow, upstream, true);
+	flow_lose_attempts_at(flow, upstream, true); /* a hedge beside it */
 	route_remove(route, agent);
 }
 
@@ -354,8 +357,8 @@
 
 	if (!request)
 		return;
-	flow_abandon(flow, request);
-	flow_drop(flow, request);
+	flow_withdraw_all(flow, request);
+	flow_remove_request(flow, request);
 }
 
 /* ---- time ---- */
@@ -363,42 +366,43 @@
 static void ask(struct flow *flow, struct flow_request *request,
 		struct flow_attempt *attempt)
 {
-	if (attempt->asked >= ASKS_MAX && flow_stage_of(request)->repeatable) {
+	if (attempt->asked >= UNANSWERED_QUERIES_MAX &&
+	    flow_current_stage(request)->repeatable) {
 		flow_lose_attempt(flow, request, attempt);
 		return;
 	}
 	attempt->asked += 1;
-	attempt->ask_us = flow_now_us(flow) + ASK_AGAIN_US;
+	attempt->ask_us = flow_now_us(flow) + QUERY_INTERVAL_US;
 	flow->stats.asked += 1;
-	flow_note(flow, &attempt->id, TRACE_ASKED, attempt->agent, 0,
-		  flow_now_us(flow) - attempt->sent_us, 0);
+	flow_add_trace(flow, &attempt->id, TRACE_QUERIED, attempt->agent, 0,
+		       flow_now_us(flow) - attempt->sent_us, 0);
 	flow->options.ops->ask(flow->options.userdata, attempt, false);
-	flow_set_wake(flow, request);
+	flow_update_wake(flow, request);
 }
 
 static void hedge(struct flow *flow, struct flow_request *request)
 {
-	struct service *service = flow_service_of(flow, request);
+	struct flow_service *service = flow_current_service(flow, request);
 	const struct flow_attempt *first = &request->attempts[0];
 
 	request->hedge_us = 0;
 	if (!first->live)
 		first = &request->attempts[1];
 	if (flow_live_attempts(request) == 1 &&
-	    service->budget.tokens > HEDGE_RESERVE &&
+	    service->budget.tokens > HEDGE_BUDGET_RESERVE &&
 	    bucket_take(&service->budget, flow_now_us(flow)) &&
 	    !flow_dispatch(flow, request, first->upstream, true)) {
 		flow->stats.hedged += 1;
-		flow_note(flow, &request->id, TRACE_HEDGED,
-			  request->attempts[1].hedge
-				  ? request->attempts[1].agent
-				  : request->attempts[0].agent,
-			  0, flow_now_us(flow) - request->stage_started_us, 0);
+		flow_add_trace(
+			flow, &request->id, TRACE_HEDGED,
+			request->attempts[1].hedge ? request->attempts[1].agent
+						   : request->attempts[0].agent,
+			0, flow_now_us(flow) - request->stage_started_us, 0);
 	}
-	flow_set_wake(flow, request);
+	flow_update_wake(flow, request);
 }
 
-static void begin_withdrawal(struct flow *flow, struct flow_request *request)
+static void start_withdrawal(struct flow *flow, struct flow_request *request)
 {
 	request->withdrawing = true;
 	request->hedge_us = 0;
@@ -406,7 +410,7 @@
 		if (request->attempts[i].live)
 			flow_withdraw_attempt(flow, request,
 					      &request->attempts[i]);
-	flow_set_wake(flow, request);
+	flow_update_wake(flow, request);
 }
 
 /* One thing that is due; the request may be gone after it. */
@@ -415,12 +419,12 @@
 	int64_t now = flow_now_us(flow);
 
 	if (now >= request->deadline_us) {
-		flow_end(flow, request, LP_ERROR_DEADLINE_PASSED);
+		flow_finish_request(flow, request, LP_ERROR_DEADLINE_PASSED);
 		return;
 	}
 	if (!request->withdrawing &&
 	    now >= request->deadline_us - WITHDRAW_LEAD_US) {
-		begin_withdrawal(flow, request);
+		start_withdrawal(flow, request);
 		return;
 	}
 	if (request->hedge_us && now >= request->hedge_us) {
@@ -435,10 +439,10 @@
 			return;
 		}
 	}
-	flow_set_wake(flow, request);
+	flow_update_wake(flow, request);
 }
 
-void flow_end_by(struct flow *flow, int64_t end_us)
+void flow_cap_deadlines(struct flow *flow, int64_t end_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -449,11 +453,11 @@
 		struct flow_request *request = value;
 
 		request->deadline_us = MIN(request->deadline_us, end_us);
-		flow_set_wake(flow, request);
+		flow_update_wake(flow, request);
 	}
 }
 
-static void tick_services(struct flow *flow)
+static void tick_routes(struct flow *flow)
 {
 	GHashTableIter iter;
 	gpointer service;
@@ -463,12 +467,12 @@
 	flow->services_tick_us = flow_now_us(flow) + SERVICE_TICK_US;
 	g_hash_table_iter_init(&iter, flow->services);
 	while (g_hash_table_iter_next(&iter, NULL, &service))
-		route_tick(((struct service *)service)->route);
+		route_tick(((struct flow_service *)service)->route);
 }
 
 void flow_tick(struct flow *flow)
 {
-	tick_services(flow);
+	tick_routes(flow);
 	while (true) {
 		GSequenceIter *first = g_sequence_get_begin_iter(flow->wakes);
 		struct flow_request *request;
@@ -493,7 +497,7 @@
 	return request->wake_us;
 }
 
-uint32_t flow_live(const struct flow *flow)
+uint32_t flow_request_count(const struct flow *flow)
 {
 	return g_hash_table_size(flow->requests);
 }
--- a/policy/flow.h
+++ b/policy/flow.h
@@ -13,7 +13,7 @@
 #include "base/lp_error.h"
 #include "base/lp_id.h"
 #include "policy/bucket.h"
-#include "policy/quant.h"
+#include "policy/quantile.h"
 #include "policy/route.h"
 #include "policy/trace.h"
 
@@ -39,7 +39,7 @@
 	uint32_t total_us; /**< as seen by the entry, over all attempts */
 	uint32_t tokens;
 	uint32_t attempts;
-	char upstream[TRACE_WHO_SIZE];
+	char upstream[TRACE_HOST_SIZE];
 };
 
 struct flow_attempt {
@@ -48,7 +48,7 @@
 	bool hedge;
 	struct lp_call_id id;
 	struct route_upstream *upstream; /**< NULL once it is removed */
-	char agent[TRACE_WHO_SIZE];
+	char agent[TRACE_HOST_SIZE];
 	uint64_t incarnation;
 	int64_t agent_sent_us; /**< sending time on the agent's clock */
 	int64_t sent_us;
@@ -89,11 +89,11 @@
 };
 
 /** An agent's word about itself, and which agent it is. */
-struct flow_word {
+struct flow_report {
 	const char *service;
 	const char *agent;
 	const char *domain;
-	struct route_word load;
+	struct route_report load;
 };
 
 enum flow_state {
@@ -196,9 +196,9 @@
 /** The routing table of a service, created when first asked for. */
 struct route *flow_route(struct flow *flow, const char *service);
 /** An agent's word; attempts on its earlier incarnation are lost. */
-void flow_heard(struct flow *flow, const struct flow_word *word);
+void flow_handle_report(struct flow *flow, const struct flow_report *word);
 /** How many entries share the upstreams; 1 until told. */
-void flow_set_entries(struct flow *flow, uint32_t entries);
+void flow_set_entry_count(struct flow *flow, uint32_t entries);
 /** The host list no longer has this agent. */
 void flow_agent_removed(struct flow *flow, const char *service,
 			const char *agent);
@@ -215,24 +215,24 @@
  * answer is judged first: "did not run" from a new incarnation is certain,
  * while other attempts on the old one are lost.
  */
-void flow_result(struct flow *flow, const struct flow_result *result,
-		 const struct flow_word *word);
-void flow_chunk(struct flow *flow, const struct lp_call_id *id, uint32_t seq,
-		const char *text, uint32_t tokens);
-void flow_state(struct flow *flow, const struct lp_call_id *id,
-		enum flow_state state);
+void flow_handle_result(struct flow *flow, const struct flow_result *result,
+			const struct flow_report *word);
+void flow_handle_chunk(struct flow *flow, const struct lp_call_id *id,
+		       uint32_t seq, const char *text, uint32_t tokens);
+void flow_handle_state(struct flow *flow, const struct lp_call_id *id,
+		       enum flow_state state);
 /** Nobody waits any more: withdraw and forget. finish() is not called. */
 void flow_cancel(struct flow *flow, const struct lp_call_id *id);
 /**
  * Every request, also one that comes later, ends by then: its deadline is cut
  * to it, and the door refuses what would take longer.
  */
-void flow_end_by(struct flow *flow, int64_t end_us);
+void flow_cap_deadlines(struct flow *flow, int64_t end_us);
 /** Do what is due. */
 void flow_tick(struct flow *flow);
 /** When flow_tick() is next needed; INT64_MAX: no request waits. */
 int64_t flow_next_us(const struct flow *flow);
-uint32_t flow_live(const struct flow *flow);
+uint32_t flow_request_count(const struct flow *flow);
 const struct flow_stats *flow_stats(const struct flow *flow);
 
 #endif
--- a/policy/flow_attempt.c
+++ b/policy/flow_attempt.c
@@ -3,7 +3,8 @@
 
 /* ---- waking up ---- */
 
-static int by_wake(gconstpointer a, gconstpointer b, gpointer userdata)
+static int compare_wake_times(gconstpointer a, gconstpointer b,
+			      gpointer userdata)
 {
 	const struct flow_request *left = a;
 	const struct flow_request *right = b;
@@ -26,14 +27,15 @@
 	return wake_us;
 }
 
-void flow_set_wake(struct flow *flow, struct flow_request *request)
+void flow_update_wake(struct flow *flow, struct flow_request *request)
 {
 	request->wake_us = next_wake_us(request);
 	if (request->wake)
-		g_sequence_sort_changed(request->wake, by_wake, NULL);
+		g_sequence_sort_changed(request->wake, compare_wake_times,
+					NULL);
 	else
-		request->wake = g_sequence_insert_sorted(flow->wakes, request,
-							 by_wake, NULL);
+		request->wake = g_sequence_insert_sorted(
+			flow->wakes, request, compare_wake_times, NULL);
 }
 
 /* ---- attempts ---- */
@@ -43,8 +45,8 @@
 {
 	attempt->live = false;
 	if (attempt->upstream)
-		route_ended(flow_service_of(flow, request)->route,
-			    attempt->upstream, failed);
+		route_call_ended(flow_current_service(flow, request)->route,
+				 attempt->upstream, failed);
 }
 
 void flow_withdraw_attempt(struct flow *flow, struct flow_request *request,
@@ -56,7 +58,7 @@
 }
 
 /* End what is still out there; whether it ran is then unknown. */
-void flow_abandon(struct flow *flow, struct flow_request *request)
+void flow_withdraw_all(struct flow *flow, struct flow_request *request)
 {
 	for (int i = 0; i < FLOW_ATTEMPTS; i++) {
 		struct flow_attempt *attempt = &request->attempts[i];
@@ -71,25 +73,27 @@
 }
 
 /* Stages that were never reached are no longer coming. */
-static void forget_coming(struct flow *flow, const struct flow_request *request)
+static void remove_unreached_calls(struct flow *flow,
+				   const struct flow_request *request)
 {
 	for (uint32_t i = request->stage + 1; i < request->stages_count; i++)
-		flow_service(flow, request->stages[i].service)->coming -= 1;
+		flow_get_service(flow, request->stages[i].service)->coming -= 1;
 }
 
-void flow_drop(struct flow *flow, struct flow_request *request)
+void flow_remove_request(struct flow *flow, struct flow_request *request)
 {
-	forget_coming(flow, request);
+	remove_unreached_calls(flow, request);
 	g_sequence_remove(request->wake);
 	g_hash_table_remove(flow->requests,
 			    GUINT_TO_POINTER(request->id.serial));
 }
 
-void flow_end(struct flow *flow, struct flow_request *request, int error)
+void flow_finish_request(struct flow *flow, struct flow_request *request,
+			 int error)
 {
 	struct flow_outcome outcome = { .error = error };
 
-	flow_abandon(flow, request);
+	flow_withdraw_all(flow, request);
 	outcome.run = error ? request->run : LP_RUN_RAN;
 	outcome.retry_us = request->retry_us;
 	outcome.stage = request->stage;
@@ -97,22 +101,23 @@
 		flow->stats.finished_error += 1;
 	else
 		flow->stats.finished_ok += 1;
-	flow_note(flow, &request->id, TRACE_FINISHED, NULL, error,
-		  flow_now_us(flow) - request->arrived_us, 0);
+	flow_add_trace(flow, &request->id, TRACE_FINISHED, NULL, error,
+		       flow_now_us(flow) - request->arrived_us, 0);
 	flow->options.ops->finish(flow->options.userdata, request, &outcome);
-	flow_drop(flow, request);
+	flow_remove_request(flow, request);
 }
 
 /* Time later stages are expected to take. */
-static int64_t later_us(struct flow *flow, const struct flow_request *request)
+static int64_t later_stages_us(struct flow *flow,
+			       const struct flow_request *request)
 {
 	int64_t sum_us = 0;
 
 	for (uint32_t i = request->stage + 1; i < request->stages_count; i++) {
-		struct service *service =
-			flow_service(flow, request->stages[i].service);
+		struct flow_service *service =
+			flow_get_service(flow, request->stages[i].service);
 
-		sum_us += quant_get(service->total_us, 0.5, 0);
+		sum_us += quantile_get(service->total_us, 0.5, 0);
 	}
 	return sum_us;
 }
@@ -124,10 +129,10 @@
 
 	if (flow->options.naive)
 		return left_us;
-	return left_us - later_us(flow, request);
+	return left_us - later_stages_us(flow, request);
 }
 
-static struct flow_attempt *free_slot(struct flow_request *request)
+static struct flow_attempt *find_free_attempt(struct flow_request *request)
 {
 	for (int i = 0; i < FLOW_ATTEMPTS; i++)
 		if (!request->attempts[i].live)
@@ -135,17 +140,17 @@
 	return NULL;
 }
 
-int64_t flow_ask_after_us(const struct flow *flow,
-			  const struct service *service)
+int64_t flow_query_delay_us(const struct flow *flow,
+			    const struct flow_service *service)
 {
-	int64_t usual_us = quant_get(service->total_us, 0.95, 0);
+	int64_t usual_us = quantile_get(service->total_us, 0.95, 0);
 
 	if (flow->options.naive)
 		return G_MAXINT64 / 2;
-	return MAX(ASK_MIN_US, usual_us * ASK_AFTER);
+	return MAX(QUERY_DELAY_MIN_US, usual_us * QUERY_DELAY_FACTOR);
 }
 
-static void fill_attempt(struct flow *flow, struct flow_request *request,
+static void init_attempt(struct flow *flow, struct flow_request *request,
 			 struct flow_attempt *attempt,
 			 struct route_upstream *upstream)
 {
@@ -159,8 +164,9 @@
 		.agent_sent_us =
 			upstream->agent_time_us + (now - upstream->heard_us),
 		.sent_us = now,
-		.ask_us = now + flow_ask_after_us(
-					flow, flow_service_of(flow, request)),
+		.ask_us = now +
+			  flow_query_delay_us(
+				  flow, flow_current_service(flow, request)),
 	};
 	attempt->id.stage = (uint16_t)request->stage;
 	attempt->id.attempt = ++request->attempt_serial;
@@ -181,26 +187,27 @@
 	};
 	int error;
 
-	fill_attempt(flow, request, attempt, upstream);
+	init_attempt(flow, request, attempt, upstream);
 	error = flow->options.ops->send(flow->options.userdata, request, &send);
 	if (error) {
 		attempt->live = false;
 		return error;
 	}
-	route_sent(flow_service_of(flow, request)->route, upstream);
+	route_call_sent(flow_current_service(flow, request)->route, upstream);
 	flow->stats.sent += 1;
 	request->costs[request->stage].attempts += 1;
-	flow_note(flow, &attempt->id, TRACE_SENT, upstream->name, 0,
-		  (int64_t)upstream->wait_us + upstream->run_us, send.left_us);
+	flow_add_trace(flow, &attempt->id, TRACE_SENT, upstream->name, 0,
+		       (int64_t)upstream->wait_us + upstream->run_us,
+		       send.left_us);
 	return LP_OK;
 }
 
-static struct route_upstream *pick(struct flow *flow,
-				   struct flow_request *request,
-				   const struct route_upstream *avoid)
+static struct route_upstream *pick_upstream(struct flow *flow,
+					    struct flow_request *request,
+					    const struct route_upstream *avoid)
 {
-	const struct flow_stage *stage = flow_stage_of(request);
-	struct route *route = flow_service_of(flow, request)->route;
+	const struct flow_stage *stage = flow_current_stage(request);
+	struct route *route = flow_current_service(flow, request)->route;
 	struct route_query query = { .avoid = avoid };
 
 	if (stage->affinity && !flow->options.no_affinity)
@@ -215,14 +222,14 @@
 int flow_dispatch(struct flow *flow, struct flow_request *request,
 		  const struct route_upstream *avoid, bool hedge)
 {
-	struct flow_attempt *attempt = free_slot(request);
+	struct flow_attempt *attempt = find_free_attempt(request);
 	struct route_upstream *upstream;
 	int error = LP_ERROR_NO_UPSTREAM;
 
-	for (int i = 0; attempt && i <= MOVES_MAX; i++) {
-		upstream = pick(flow, request, avoid);
+	for (int i = 0; attempt && i <= FAILOVERS_MAX; i++) {
+		upstream = pick_upstream(flow, request, avoid);
 		if (!upstream && avoid && !hedge)
-			upstream = pick(flow, request, NULL);
+			upstream = pick_upstream(flow, request, NULL);
 		if (!upstream)
 			return LP_ERROR_NO_UPSTREAM;
 		error = send_attempt(flow, request, attempt, upstream);
@@ -235,11 +242,11 @@
 	return error;
 }
 
-static void plan_hedge(struct flow *flow, struct flow_request *request)
+static void schedule_hedge(struct flow *flow, struct flow_request *request)
 {
-	const struct flow_stage *stage = flow_stage_of(request);
-	int64_t slow_us =
-		quant_get(flow_service_of(flow, request)->total_us, 0.95, 0);
+	const struct flow_stage *stage = flow_current_stage(request);
+	int64_t slow_us = quantile_get(
+		flow_current_service(flow, request)->total_us, 0.95, 0);
 
 	request->hedge_us = 0;
 	if (flow->options.naive || !stage->repeatable || stage->stream ||
@@ -257,52 +264,53 @@
 	request->stage_started_us = flow_now_us(flow);
 	request->tokens = 0;
 	g_string_truncate(request->text, 0);
-	flow_service_of(flow, request)->coming -= 1;
-	bucket_add(&flow_service_of(flow, request)->budget, BUDGET_SHARE);
+	flow_current_service(flow, request)->coming -= 1;
+	bucket_add(&flow_current_service(flow, request)->budget,
+		   RETRY_BUDGET_SHARE);
 	error = flow_dispatch(flow, request, NULL, false);
 	if (error) {
-		flow_end(flow, request, error);
+		flow_finish_request(flow, request, error);
 		return;
 	}
-	plan_hedge(flow, request);
-	flow_set_wake(flow, request);
+	schedule_hedge(flow, request);
+	flow_update_wake(flow, request);
 }
 
 /* ---- moving on after a failed attempt ---- */
 
-bool flow_refused_for_load(int error)
+bool flow_is_load_refusal(int error)
 {
 	return error == LP_ERROR_OVERLOADED ||
 	       error == LP_ERROR_DEADLINE_UNREACHABLE;
 }
 
 /* Refusals that say nothing of load cost no budget: they cannot storm. */
-static bool may_move(struct flow *flow, struct flow_request *request, int error,
-		     enum lp_run run)
+static bool may_fail_over(struct flow *flow, struct flow_request *request,
+			  int error, enum lp_run run)
 {
-	struct service *service = flow_service_of(flow, request);
+	struct flow_service *service = flow_current_service(flow, request);
 
-	if (request->moves >= MOVES_MAX)
+	if (request->moves >= FAILOVERS_MAX)
 		return false;
-	if (run == LP_RUN_NOT_RUN && !flow_refused_for_load(error))
+	if (run == LP_RUN_NOT_RUN && !flow_is_load_refusal(error))
 		return true;
 	if (flow->options.naive)
 		return true;
 	if (bucket_take(&service->budget, flow_now_us(flow)))
 		return true;
 	flow->stats.no_budget += 1;
-	flow_note(flow, &request->id, TRACE_NO_BUDGET, NULL, error, 0, 0);
+	flow_add_trace(flow, &request->id, TRACE_NO_BUDGET, NULL, error, 0, 0);
 	return false;
 }
 
 static bool repeat_allowed(const struct flow_request *request, enum lp_run run)
 {
-	return run == LP_RUN_NOT_RUN || flow_stage_of(request)->repeatable;
+	return run == LP_RUN_NOT_RUN || flow_current_stage(request)->repeatable;
 }
 
 /* An attempt has ended without an answer: go elsewhere, or end here. */
-void flow_move_on(struct flow *flow, struct flow_request *request,
-		  struct flow_attempt *attempt, int error, enum lp_run run)
+void flow_fail_over(struct flow *flow, struct flow_request *request,
+		    struct flow_attempt *attempt, int error, enum lp_run run)
 {
 	struct route_upstream *from = attempt->upstream;
 
@@ -310,41 +318,42 @@
 		request->run = MAX(request->run, LP_RUN_MAY_HAVE_RUN);
 	request->last_error = error;
 	if (flow_live_attempts(request)) {
-		flow_set_wake(flow, request);
+		flow_update_wake(flow, request);
 		return;
 	}
 	if (request->withdrawing) {
-		flow_end(flow, request, LP_ERROR_DEADLINE_PASSED);
+		flow_finish_request(flow, request, LP_ERROR_DEADLINE_PASSED);
 		return;
 	}
 	if (!repeat_allowed(request, run) ||
-	    !may_move(flow, request, error, run)) {
-		flow_end(flow, request, error);
+	    !may_fail_over(flow, request, error, run)) {
+		flow_finish_request(flow, request, error);
 		return;
 	}
 	request->moves += 1;
 	flow->stats.moved += 1;
 	if (run != LP_RUN_NOT_RUN)
 		flow->stats.retried += 1;
-	flow_note(flow, &attempt->id, TRACE_MOVED, attempt->agent, error, 0, 0);
+	flow_add_trace(flow, &attempt->id, TRACE_FAILED_OVER, attempt->agent,
+		       error, 0, 0);
 	if (request->text->len) {
 		flow->stats.resumed += 1;
-		flow_note(flow, &attempt->id, TRACE_RESUMED, attempt->agent, 0,
-			  request->tokens, 0);
+		flow_add_trace(flow, &attempt->id, TRACE_RESUMED,
+			       attempt->agent, 0, request->tokens, 0);
 	}
 	if (flow_dispatch(flow, request, from, false))
-		flow_end(flow, request, error);
+		flow_finish_request(flow, request, error);
 	else
-		flow_set_wake(flow, request);
+		flow_update_wake(flow, request);
 }
 
 void flow_lose_attempt(struct flow *flow, struct flow_request *request,
 		       struct flow_attempt *attempt)
 {
 	flow->stats.lost += 1;
-	flow_note(flow, &attempt->id, TRACE_LOST, attempt->agent, 0,
-		  flow_now_us(flow) - attempt->sent_us, 0);
+	flow_add_trace(flow, &attempt->id, TRACE_LOST, attempt->agent, 0,
+		       flow_now_us(flow) - attempt->sent_us, 0);
 	flow_end_attempt(flow, request, attempt, true);
-	flow_move_on(flow, request, attempt, LP_ERROR_UPSTREAM_GONE,
-		     LP_RUN_MAY_HAVE_RUN);
+	flow_fail_over(flow, request, attempt, LP_ERROR_UPSTREAM_GONE,
+		       LP_RUN_MAY_HAVE_RUN);
 }
--- a/policy/keys.c
+++ b/policy/idempotency.c
@@ -1,4 +1,4 @@
-#include "policy/keys.h"
+#include "policy/idempotency.h"
 
 #include "base/lp_id.h"
 
@@ -27,8 +27,8 @@
 	char *body;
 };
 
-struct keys {
-	struct keys_options options;
+struct idempotency_keys {
+	struct idempotency_options options;
 	GHashTable *records;
 	GQueue expiring;    /* ended records, oldest first */
 	GPtrArray *waiting; /* few: second tries of what runs now */
@@ -52,9 +52,10 @@
 	g_free(waiting);
 }
 
-struct keys *keys_create(const struct keys_options *options)
+struct idempotency_keys *
+idempotency_create(const struct idempotency_options *options)
 {
-	struct keys *keys = g_new0(struct keys, 1);
+	struct idempotency_keys *keys = g_new0(struct idempotency_keys, 1);
 
 	keys->options = *options;
 	if (!keys->options.bytes_max)
@@ -66,7 +67,7 @@
 	return keys;
 }
 
-void keys_destroy(struct keys *keys)
+void idempotency_destroy(struct idempotency_keys *keys)
 {
 	if (!keys)
 		return;
@@ -82,23 +83,24 @@
 	       (record->body ? strlen(record->body) : 0);
 }
 
-static enum keys_verdict begin_new(struct keys *keys, const char *key,
-				   uint64_t fingerprint)
+static enum idempotency_verdict begin_new(struct idempotency_keys *keys,
+					  const char *key, uint64_t fingerprint)
 {
 	struct record *record;
 
 	if (keys->bytes >= keys->options.bytes_max)
-		return KEYS_FULL;
+		return IDEMPOTENCY_FULL;
 	record = g_new0(struct record, 1);
 	record->key = g_strdup(key);
 	record->fingerprint = fingerprint;
 	record->running = true;
 	keys->bytes += size_of(record);
 	g_hash_table_insert(keys->records, record->key, record);
-	return KEYS_NEW;
+	return IDEMPOTENCY_NEW;
 }
 
-static void add_waiting(struct keys *keys, const struct keys_request *request)
+static void add_waiting(struct idempotency_keys *keys,
+			const struct idempotency_request *request)
 {
 	struct waiting *waiting = g_new0(struct waiting, 1);
 
@@ -108,9 +110,10 @@
 	g_ptr_array_add(keys->waiting, waiting);
 }
 
-enum keys_verdict keys_begin(struct keys *keys,
-			     const struct keys_request *request,
-			     struct keys_answer *answer)
+enum idempotency_verdict
+idempotency_begin(struct idempotency_keys *keys,
+		  const struct idempotency_request *request,
+		  struct idempotency_answer *answer)
 {
 	struct record *record =
 		g_hash_table_lookup(keys->records, request->key);
@@ -118,22 +121,22 @@
 	if (!record)
 		return begin_new(keys, request->key, request->fingerprint);
 	if (record->fingerprint != request->fingerprint)
-		return KEYS_MISMATCH;
+		return IDEMPOTENCY_MISMATCH;
 	if (record->running) {
 		add_waiting(keys, request);
-		return KEYS_WAIT;
+		return IDEMPOTENCY_WAIT;
 	}
-	*answer = (struct keys_answer){
+	*answer = (struct idempotency_answer){
 		.error = record->error,
 		.run = record->run,
 		.body = record->body,
 	};
-	return KEYS_ANSWERED;
+	return IDEMPOTENCY_ANSWERED;
 }
 
 /* Take out the waiters of a key, or those past their deadline; wake them. */
-static void wake(struct keys *keys, const char *key, int64_t now_us,
-		 const struct keys_answer *answer)
+static void wake(struct idempotency_keys *keys, const char *key, int64_t now_us,
+		 const struct idempotency_answer *answer)
 {
 	g_autoptr(GPtrArray) woken = g_ptr_array_new();
 
@@ -152,14 +155,14 @@
 				   g_ptr_array_index(woken, i), answer);
 }
 
-static void drop(struct keys *keys, struct record *record)
+static void drop(struct idempotency_keys *keys, struct record *record)
 {
 	keys->bytes -= size_of(record);
 	g_hash_table_remove(keys->records, record->key);
 }
 
-void keys_end(struct keys *keys, const char *key,
-	      const struct keys_answer *answer)
+void idempotency_finish(struct idempotency_keys *keys, const char *key,
+			const struct idempotency_answer *answer)
 {
 	struct record *record = g_hash_table_lookup(keys->records, key);
 
@@ -181,7 +184,7 @@
 	wake(keys, key, 0, answer);
 }
 
-void keys_forget_waiter(struct keys *keys, void *waiter)
+void idempotency_remove_waiter(struct idempotency_keys *keys, void *waiter)
 {
 	for (guint i = keys->waiting->len; i > 0; i--) {
 		const struct waiting *waiting =
@@ -192,10 +195,10 @@
 	}
 }
 
-void keys_tick(struct keys *keys)
+void idempotency_tick(struct idempotency_keys *keys)
 {
 	int64_t now_us = lp_now_us(keys->options.clock);
-	const struct keys_answer late = {
+	const struct idempotency_answer late = {
 		.error = LP_ERROR_DEADLINE_PASSED,
 		.run = LP_RUN_MAY_HAVE_RUN,
 	};
@@ -209,15 +212,15 @@
 	}
 }
 
-uint32_t keys_count(const struct keys *keys)
+uint32_t idempotency_record_count(const struct idempotency_keys *keys)
 {
 	return g_hash_table_size(keys->records);
 }
 
 /* ---- tickets ---- */
 
-char *keys_ticket_mint(const char *host, uint64_t incarnation,
-		       int64_t expires_s)
+char *idempotency_ticket_create(const char *host, uint64_t incarnation,
+				int64_t expires_s)
 {
 	return g_strdup_printf(
 		TICKET_PREFIX ":%s:%" G_GINT64_MODIFIER "x:%" G_GINT64_FORMAT
@@ -225,7 +228,7 @@
 		host, incarnation, (gint64)expires_s, lp_random_u64());
 }
 
-bool keys_ticket_parse(const char *key, struct keys_ticket *out)
+bool idempotency_ticket_parse(const char *key, struct idempotency_ticket *out)
 {
 	g_auto(GStrv) parts = g_strsplit(key, ":", TICKET_PARTS + 1);
 
--- a/policy/order.c
+++ b/policy/order.c
@@ -4,7 +4,7 @@
 
 #define RETRY_US (1 * LP_US_PER_S)
 /* Of the time an order may act: confirming, then sending, fit twice. */
-#define VALID_SHARE 3
+#define VALIDITY_DIVISOR 3
 
 enum state {
 	IDLE,	    /* nothing wanted */
@@ -59,8 +59,8 @@
 	return *order->model && g_strcmp0(order->model, order->in_force);
 }
 
-void order_want(struct order *order, const char *model, bool checked,
-		int64_t timeout_us)
+void order_set_target(struct order *order, const char *model, bool checked,
+		      int64_t timeout_us)
 {
 	g_free(order->model);
 	order->model = g_strdup(model ? model : "");
@@ -68,7 +68,7 @@
 	order->timeout_us = timeout_us;
 }
 
-void order_fenced(struct order *order, int64_t fence)
+void order_fence_taken(struct order *order, int64_t fence)
 {
 	if (order->state != FENCING)
 		return;
@@ -84,7 +84,7 @@
 		order->wait_until_us += order->timeout_us;
 }
 
-void order_confirmed(struct order *order, bool asked, bool ours)
+void order_fence_checked(struct order *order, bool asked, bool ours)
 {
 	if (order->state != CONFIRMING)
 		return;
@@ -99,14 +99,14 @@
 	}
 }
 
-void order_done(struct order *order, enum order_end end)
+void order_finished(struct order *order, enum order_result end)
 {
 	if (order->state != ORDERING)
 		return;
 	order->state = READY;
-	if (end == ORDER_FENCED_OFF) {
+	if (end == ORDER_REFUSED_FENCE) {
 		order->state = SUPERSEDED;
-	} else if (end == ORDER_TAKEN) {
+	} else if (end == ORDER_ACCEPTED) {
 		g_free(order->in_force);
 		order->in_force = g_strdup(order->model);
 	} else {
@@ -118,9 +118,9 @@
  * An upstream that ignores numbers gets an order only shortly after our
  * number was seen to stand: a process that stood still confirms again.
  */
-static bool may_order(const struct order *order)
+static bool is_fence_fresh(const struct order *order)
 {
-	int64_t valid_us = order->timeout_us / VALID_SHARE;
+	int64_t valid_us = order->timeout_us / VALIDITY_DIVISOR;
 
 	return order->checked ||
 	       (order->confirmed_us &&
@@ -150,7 +150,7 @@
 		order->state = READY;
 	if (order->state == IDLE) {
 		take_fence(order);
-	} else if (order->state == READY && !may_order(order)) {
+	} else if (order->state == READY && !is_fence_fresh(order)) {
 		confirm(order);
 	} else if (order->state == READY) {
 		order->state = ORDERING;
@@ -159,7 +159,7 @@
 	}
 }
 
-const char *order_in_force(const struct order *order)
+const char *order_active_model(const struct order *order)
 {
 	return order->in_force;
 }
--- a/policy/order.h
+++ b/policy/order.h
@@ -17,11 +17,11 @@
 struct order;
 
 struct order_ops {
-	/** Take a number; answer with order_fenced(). */
+	/** Take a number; answer with order_fence_taken(). */
 	void (*take_fence)(void *userdata);
-	/** Is our number still the one? Answer with order_confirmed(). */
+	/** Is our number still the one? Answer with order_fence_checked(). */
 	void (*check_fence)(void *userdata);
-	/** Give the order; answer with order_done(). */
+	/** Give the order; answer with order_finished(). */
 	void (*send)(void *userdata, int64_t fence, const char *model);
 };
 
@@ -32,10 +32,10 @@
 };
 
 /** What became of an order. */
-enum order_end {
-	ORDER_TAKEN,
-	ORDER_FAILED,	  /**< not known to be taken: ordered again */
-	ORDER_FENCED_OFF, /**< the upstream has seen a higher number */
+enum order_result {
+	ORDER_ACCEPTED,
+	ORDER_FAILED,	     /**< not known to be taken: ordered again */
+	ORDER_REFUSED_FENCE, /**< the upstream has seen a higher number */
 };
 
 struct order *order_create(const struct order_options *options);
@@ -44,15 +44,15 @@
  * What the upstream is to serve ("" or NULL: nothing is ordered), whether
  * it checks numbers, and how long an order may still act.
  */
-void order_want(struct order *order, const char *model, bool checked,
-		int64_t timeout_us);
+void order_set_target(struct order *order, const char *model, bool checked,
+		      int64_t timeout_us);
 /** Our number, 0 if the KV could not be asked. */
-void order_fenced(struct order *order, int64_t fence);
-void order_confirmed(struct order *order, bool asked, bool ours);
-void order_done(struct order *order, enum order_end end);
+void order_fence_taken(struct order *order, int64_t fence);
+void order_fence_checked(struct order *order, bool asked, bool ours);
+void order_finished(struct order *order, enum order_result end);
 void order_tick(struct order *order);
 /** The model last taken by the upstream from us, or "". */
-const char *order_in_force(const struct order *order);
+const char *order_active_model(const struct order *order);
 int64_t order_fence(const struct order *order);
 /** A successor has taken over; this agent orders nothing any more. */
 bool order_superseded(const struct order *order);
--- a/policy/quant.h
+++ b/policy/quantile.h
@@ -4,17 +4,18 @@
  * A histogram with buckets a fixed ratio apart; when the weight reaches a
  * bound all buckets are halved, so old samples fade. Error: one bucket, 10%.
  */
-#ifndef QUANT_H
-#define QUANT_H
+#ifndef QUANTILE_H
+#define QUANTILE_H
 
 #include <stdint.h>
 
-struct quant;
+struct quantile;
 
-struct quant *quant_create(void);
-void quant_destroy(struct quant *quant);
-void quant_add(struct quant *quant, int64_t sample_us);
+struct quantile *quantile_create(void);
+void quantile_destroy(struct quantile *quantile);
+void quantile_add(struct quantile *quantile, int64_t sample_us);
 /** The value at `share` (0 to 1), or `fallback_us` under 5 samples. */
-int64_t quant_get(const struct quant *quant, double share, int64_t fallback_us);
+int64_t quantile_get(const struct quantile *quantile, double share,
+		     int64_t fallback_us);
 
 #endif
--- a/policy/queue.c
+++ b/policy/queue.c
@@ -1,6 +1,6 @@
 #include "policy/queue.h"
 
-#define ORGS_KEPT 1024 /* idle organisations whose virtual time is kept */
+#define ORGS_MAX 1024 /* idle organisations whose virtual time is kept */
 
 struct queue_org {
 	char *name;
@@ -49,7 +49,8 @@
 	g_free(queue);
 }
 
-static int by_vtime(gconstpointer a, gconstpointer b, gpointer userdata)
+static int compare_virtual_times(gconstpointer a, gconstpointer b,
+				 gpointer userdata)
 {
 	const struct queue_org *left = a;
 	const struct queue_org *right = b;
@@ -57,7 +58,8 @@
 	return (left->vtime > right->vtime) - (left->vtime < right->vtime);
 }
 
-static int by_deadline(gconstpointer a, gconstpointer b, gpointer userdata)
+static int compare_deadlines(gconstpointer a, gconstpointer b,
+			     gpointer userdata)
 {
 	const struct queue_item *left = a;
 	const struct queue_item *right = b;
@@ -79,7 +81,7 @@
 
 	if (org)
 		return org;
-	if (g_hash_table_size(queue->orgs) > ORGS_KEPT)
+	if (g_hash_table_size(queue->orgs) > ORGS_MAX)
 		g_hash_table_foreach_remove(queue->orgs, is_idle, NULL);
 	org = g_new0(struct queue_org, 1);
 	org->name = g_strdup(name);
@@ -92,8 +94,8 @@
 static void activate(struct queue *queue, struct queue_org *org)
 {
 	org->vtime = MAX(org->vtime, queue->vtime);
-	org->place =
-		g_sequence_insert_sorted(queue->active, org, by_vtime, NULL);
+	org->place = g_sequence_insert_sorted(queue->active, org,
+					      compare_virtual_times, NULL);
 	queue->active_weight += org->weight;
 }
 
@@ -116,7 +118,7 @@
 		item->place = g_sequence_append(org->items, item);
 	else
 		item->place = g_sequence_insert_sorted(org->items, item,
-						       by_deadline, NULL);
+						       compare_deadlines, NULL);
 	queue->length += 1;
 	if (!org->place)
 		activate(queue, org);
@@ -148,11 +150,12 @@
 	org->vtime += 1.0 / org->weight;
 	queue_remove(queue, item);
 	if (org->place)
-		g_sequence_sort_changed(org->place, by_vtime, NULL);
+		g_sequence_sort_changed(org->place, compare_virtual_times,
+					NULL);
 	return item;
 }
 
-bool queue_holds(const struct queue_item *item)
+bool queue_item_is_queued(const struct queue_item *item)
 {
 	return item->place;
 }
@@ -170,8 +173,8 @@
 	return org ? (uint32_t)g_sequence_get_length(org->items) : 0;
 }
 
-double queue_ahead(const struct queue *queue, const char *organisation,
-		   uint32_t weight)
+double queue_calls_ahead(const struct queue *queue, const char *organisation,
+			 uint32_t weight)
 {
 	const struct queue_org *org =
 		g_hash_table_lookup(queue->orgs, organisation);
--- a/policy/queue.h
+++ b/policy/queue.h
@@ -33,7 +33,7 @@
 struct queue_item *queue_pop(struct queue *queue);
 /** Take out an item that waits. */
 void queue_remove(struct queue *queue, struct queue_item *item);
-bool queue_holds(const struct queue_item *item);
+bool queue_item_is_queued(const struct queue_item *item);
 uint32_t queue_length(const struct queue *queue);
 /** Calls waiting of one organisation. */
 uint32_t queue_org_length(const struct queue *queue, const char *organisation);
@@ -41,7 +41,7 @@
  * How many calls go before a new one of this organisation, by its share;
  * never more than all that wait.
  */
-double queue_ahead(const struct queue *queue, const char *organisation,
-		   uint32_t weight);
+double queue_calls_ahead(const struct queue *queue, const char *organisation,
+			 uint32_t weight);
 
 #endif
--- a/policy/quota.c
+++ b/policy/quota.c
@@ -67,8 +67,8 @@
 	double granted;
 };
 
-static struct totals sum_others(GHashTable *shares, const struct share *own,
-				int64_t now_us)
+static struct totals sum_other_shares(GHashTable *shares,
+				      const struct share *own, int64_t now_us)
 {
 	struct totals totals = { 0 };
 	GHashTableIter iter;
@@ -91,9 +91,9 @@
 }
 
 /* Shares still leased are kept back: grants never sum to over the rate. */
-double quota_holder_ask(struct quota_holder *holder, const char *organisation,
-			const char *entry, double demand_per_s, double rate,
-			int64_t *lease_us)
+double quota_holder_grant(struct quota_holder *holder, const char *organisation,
+			  const char *entry, double demand_per_s, double rate,
+			  int64_t *lease_us)
 {
 	GHashTable *shares = get_shares(holder, organisation);
 	struct share *share = g_hash_table_lookup(shares, entry);
@@ -107,18 +107,18 @@
 	}
 	share->demand = MAX(demand_per_s, DEMAND_FLOOR);
 	share->until_us = now_us + LEASE_US;
-	others = sum_others(shares, share, now_us);
+	others = sum_other_shares(shares, share, now_us);
 	fair = rate * share->demand / (others.demand + share->demand);
 	share->granted = CLAMP(rate - others.granted, 0, fair);
 	*lease_us = LEASE_US;
 	return share->granted;
 }
 
-double quota_holder_granted(struct quota_holder *holder,
-			    const char *organisation)
+double quota_holder_granted_total(struct quota_holder *holder,
+				  const char *organisation)
 {
-	return sum_others(get_shares(holder, organisation), NULL,
-			  lp_now_us(holder->clock))
+	return sum_other_shares(get_shares(holder, organisation), NULL,
+				lp_now_us(holder->clock))
 		.granted;
 }
 
@@ -158,13 +158,13 @@
 	g_free(quota);
 }
 
-static double burst_of(double rate)
+static double burst_for_rate(double rate)
 {
 	return MAX(1.0, rate * BURST_S);
 }
 
-static struct use *get_use(struct quota *quota, const char *organisation,
-			   double fallback)
+static struct use *get_usage(struct quota *quota, const char *organisation,
+			     double fallback)
 {
 	struct use *use = g_hash_table_lookup(quota->uses, organisation);
 	int64_t now_us = lp_now_us(quota->options.clock);
@@ -174,17 +174,17 @@
 	use = g_new0(struct use, 1);
 	use->current = fallback;
 	use->asked_us = now_us - ASK_US;
-	bucket_init(&use->bucket, fallback, burst_of(fallback), now_us);
+	bucket_init(&use->bucket, fallback, burst_for_rate(fallback), now_us);
 	g_hash_table_insert(quota->uses, g_strdup(organisation), use);
 	return use;
 }
 
-static void set_rate(struct use *use, double rate, int64_t now_us)
+static void set_bucket_rate(struct use *use, double rate, int64_t now_us)
 {
 	if (fabs(rate - use->current) < rate * 0.01)
 		return;
 	use->current = rate;
-	bucket_set_rate(&use->bucket, rate, burst_of(rate), now_us);
+	bucket_set_rate(&use->bucket, rate, burst_for_rate(rate), now_us);
 }
 
 bool quota_take(struct quota *quota, const char *organisation, uint32_t rate,
@@ -196,19 +196,20 @@
 
 	if (!rate)
 		return true;
-	use = get_use(quota, organisation, fallback);
+	use = get_usage(quota, organisation, fallback);
 	use->seen += 1;
 	use->used_us = now_us;
-	set_rate(use, use->lease_until_us > now_us ? use->leased : fallback,
-		 now_us);
+	set_bucket_rate(use,
+			use->lease_until_us > now_us ? use->leased : fallback,
+			now_us);
 	if (bucket_take(&use->bucket, now_us))
 		return true;
 	*retry_us = bucket_wait_us(&use->bucket, now_us);
 	return false;
 }
 
-void quota_granted(struct quota *quota, const char *organisation,
-		   double rate_per_s, int64_t lease_us)
+void quota_apply_grant(struct quota *quota, const char *organisation,
+		       double rate_per_s, int64_t lease_us)
 {
 	struct use *use = g_hash_table_lookup(quota->uses, organisation);
 
--- a/policy/quota.h
+++ b/policy/quota.h
@@ -23,12 +23,12 @@
  * An entry reports its demand; the answer is its share (per second) of
  * `rate`, valid for `*lease_us`.
  */
-double quota_holder_ask(struct quota_holder *holder, const char *organisation,
-			const char *entry, double demand_per_s, double rate,
-			int64_t *lease_us);
+double quota_holder_grant(struct quota_holder *holder, const char *organisation,
+			  const char *entry, double demand_per_s, double rate,
+			  int64_t *lease_us);
 /** Shares given out now for an organisation, summed. */
-double quota_holder_granted(struct quota_holder *holder,
-			    const char *organisation);
+double quota_holder_granted_total(struct quota_holder *holder,
+				  const char *organisation);
 
 /* ---- an entry's side ---- */
 
@@ -51,8 +51,8 @@
  */
 bool quota_take(struct quota *quota, const char *organisation, uint32_t rate,
 		uint32_t entries, int64_t *retry_us);
-void quota_granted(struct quota *quota, const char *organisation,
-		   double rate_per_s, int64_t lease_us);
+void quota_apply_grant(struct quota *quota, const char *organisation,
+		       double rate_per_s, int64_t lease_us);
 /** Ask for shares that are due. */
 void quota_tick(struct quota *quota);
 
--- a/policy/member.c
+++ b/policy/rendezvous.c
@@ -1,4 +1,4 @@
-#include "policy/member.h"
+#include "policy/rendezvous.h"
 
 #include "base/lp_id.h"
 
@@ -35,8 +35,9 @@
 	return by_hash(a, b);
 }
 
-uint32_t member_subset(const char *self, const struct member *members,
-		       uint32_t count, uint32_t max, bool *chosen)
+uint32_t rendezvous_subset(const char *self,
+			   const struct rendezvous_host *members,
+			   uint32_t count, uint32_t max, bool *chosen)
 {
 	struct ranked *ranked = g_new0(struct ranked, count + 1);
 	g_autoptr(GHashTable) places =
@@ -63,9 +64,9 @@
 	return MIN(count, max);
 }
 
-bool member_is_reader(const char *self, const char *domain,
-		      const struct member *members, uint32_t count,
-		      uint32_t readers)
+bool rendezvous_is_reader(const char *self, const char *domain,
+			  const struct rendezvous_host *members, uint32_t count,
+			  uint32_t readers)
 {
 	uint64_t own = weight_of(domain, self);
 	uint32_t above = 0;
@@ -80,10 +81,11 @@
 	return above < readers;
 }
 
-const struct member *member_owner(const char *key, const struct member *members,
-				  uint32_t count)
+const struct rendezvous_host *
+rendezvous_owner(const char *key, const struct rendezvous_host *members,
+		 uint32_t count)
 {
-	const struct member *owner = NULL;
+	const struct rendezvous_host *owner = NULL;
 	uint64_t best = 0;
 
 	for (uint32_t i = 0; i < count; i++) {
--- a/policy/route.c
+++ b/policy/route.c
@@ -7,21 +7,24 @@
 #include <string.h>
 
 #define DEFAULT_REMOTE_COST_US (1 * LP_US_PER_MS)
-#define DEFAULT_SILENCE_US (7 * LP_US_PER_S)
-#define RING_POINTS 32	   /* per upstream */
-#define RING_STEPS 8	   /* owners tried for an affinity */
-#define AFFINITY_BOUND 1.5 /* times the mean load */
-#define AFFINITY_GAIN 2.0  /* others must be this much faster to win */
-#define TRIES 8		   /* random draws before a scan */
-#define FAILURES_ASIDE 5   /* in a row */
-#define ERROR_SHARE_ASIDE 0.6
+#define DEFAULT_REPORT_TIMEOUT_US (7 * LP_US_PER_S)
+#define RING_POINTS 32		/* per upstream */
+#define RING_OWNERS_MAX 8	/* owners tried for an affinity */
+#define AFFINITY_LOAD_BOUND 1.5 /* times the mean load */
+#define AFFINITY_SPEED_ADVANTAGE \
+	2.0		    /* others must be this much faster to win */
+#define TRIES 8		    /* random draws before a scan */
+#define EJECTION_FAILURES 5 /* in a row */
+#define EJECTION_ERROR_RATE 0.6
 #define ERROR_SMOOTHING 0.1
-#define ASIDE_US (1 * LP_US_PER_S)
-#define ASIDE_DOUBLINGS 5
-#define ASIDE_SHARE_MAX 3		  /* at most one third of a service */
+#define EJECTION_US (1 * LP_US_PER_S)
+#define EJECTION_DOUBLINGS_MAX 5
+#define EJECTED_SHARE_DIVISOR 3		  /* at most one third of a service */
 #define ERROR_COST_US (50 * LP_US_PER_MS) /* what a failed call costs */
 #define ERROR_HALF_LIFE_US (5.0 * LP_US_PER_S) /* without calls */
-#define STALE_RUN_US (5 * LP_US_PER_S) /* a slow record fades after this */
+#define RUN_TIME_FADE_US                                    \
+	(5 * LP_US_PER_S) /* a slow record fades after this \
+			   */
 
 struct ring_point {
 	uint64_t hash;
@@ -65,7 +68,7 @@
 	if (!route->options.remote_cost_us)
 		route->options.remote_cost_us = DEFAULT_REMOTE_COST_US;
 	if (!route->options.silence_us)
-		route->options.silence_us = DEFAULT_SILENCE_US;
+		route->options.silence_us = DEFAULT_REPORT_TIMEOUT_US;
 	route->domain = g_strdup(options->domain);
 	route->random = g_rand_new_with_seed((guint32)options->seed);
 	route->by_name = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
@@ -91,8 +94,8 @@
 	g_free(route);
 }
 
-static GPtrArray *side_of(const struct route *route,
-			  const struct route_upstream *upstream)
+static GPtrArray *domain_upstreams(const struct route *route,
+				   const struct route_upstream *upstream)
 {
 	return strcmp(upstream->domain, route->domain) ? route->far
 						       : route->near;
@@ -103,8 +106,8 @@
 	return g_hash_table_lookup(route->by_name, name);
 }
 
-struct route_upstream *route_add(struct route *route, const char *name,
-				 const char *domain)
+struct route_upstream *route_find_or_add(struct route *route, const char *name,
+					 const char *domain)
 {
 	struct route_upstream *upstream = route_find(route, name);
 
@@ -116,7 +119,7 @@
 	upstream->silent = true; /* until its first word */
 	g_hash_table_insert(route->by_name, upstream->name, upstream);
 	g_ptr_array_add(route->all, upstream);
-	g_ptr_array_add(side_of(route, upstream), upstream);
+	g_ptr_array_add(domain_upstreams(route, upstream), upstream);
 	route->ring_stale = true;
 	return upstream;
 }
@@ -128,14 +131,14 @@
 	if (!upstream)
 		return;
 	route->inflight -= upstream->inflight;
-	g_ptr_array_remove_fast(side_of(route, upstream), upstream);
+	g_ptr_array_remove_fast(domain_upstreams(route, upstream), upstream);
 	g_ptr_array_remove_fast(route->all, upstream);
 	route->ring_stale = true;
 	g_hash_table_remove(route->by_name, name);
 }
 
-bool route_heard(struct route *route, struct route_upstream *upstream,
-		 const struct route_word *word)
+bool route_apply_report(struct route *route, struct route_upstream *upstream,
+			const struct route_report *word)
 {
 	bool changed = upstream->incarnation &&
 		       upstream->incarnation != word->incarnation;
@@ -165,8 +168,8 @@
 	return changed;
 }
 
-bool route_set_aside(const struct route *route,
-		     const struct route_upstream *upstream)
+bool route_is_ejected(const struct route *route,
+		      const struct route_upstream *upstream)
 {
 	return upstream->aside_until_us > now_us(route);
 }
@@ -179,7 +182,7 @@
 		return false;
 	if (query && query->avoid == upstream)
 		return false;
-	return route->options.naive || !route_set_aside(route, upstream);
+	return route->options.naive || !route_is_ejected(route, upstream);
 }
 
 /* Share of calls expected to fail; fades while nothing is tried. */
@@ -196,8 +199,8 @@
  * plus what we sent after that report, plus the usual run. A record of slow
  * runs fades, so that an upstream that recovered is tried again.
  */
-static int64_t score_us(const struct route *route,
-			const struct route_upstream *upstream)
+static int64_t expected_time_us(const struct route *route,
+				const struct route_upstream *upstream)
 {
 	int64_t age_us = now_us(route) - upstream->heard_us;
 	int64_t wait_us = MAX(0, (int64_t)upstream->wait_us - age_us);
@@ -206,8 +209,8 @@
 	uint32_t busy =
 		upstream->running + upstream->queued + upstream->sent_since;
 
-	if (!upstream->inflight && age_us > STALE_RUN_US)
-		run_us = run_us * STALE_RUN_US / age_us;
+	if (!upstream->inflight && age_us > RUN_TIME_FADE_US)
+		run_us = run_us * RUN_TIME_FADE_US / age_us;
 	if (busy >= limit)
 		wait_us += run_us * upstream->sent_since / limit;
 	if (upstream->error_share > 0)
@@ -248,7 +251,10 @@
 {
 	if (!a || !b)
 		return a ? a : b;
-	return score_us(route, b) + cost_b_us < score_us(route, a) ? b : a;
+	return expected_time_us(route, b) + cost_b_us <
+			       expected_time_us(route, a)
+		       ? b
+		       : a;
 }
 
 static struct route_upstream *pick_by_load(struct route *route,
@@ -308,12 +314,12 @@
 	return low;
 }
 
-static bool within_bound(const struct route *route,
-			 const struct route_upstream *upstream)
+static bool has_bounded_load(const struct route *route,
+			     const struct route_upstream *upstream)
 {
 	double mean = (route->inflight + 1.0) / route->all->len;
 
-	return upstream->inflight < mean * AFFINITY_BOUND + 1;
+	return upstream->inflight < mean * AFFINITY_LOAD_BOUND + 1;
 }
 
 static struct route_upstream *pick_by_affinity(struct route *route,
@@ -325,7 +331,7 @@
 	if (route->ring_stale)
 		build_ring(route);
 	at = ring_position(route, query->affinity);
-	for (int i = 0; i < RING_STEPS * RING_POINTS; i++) {
+	for (int i = 0; i < RING_OWNERS_MAX * RING_POINTS; i++) {
 		struct route_upstream *upstream =
 			g_array_index(route->ring, struct ring_point,
 				      (at + i) % route->ring->len)
@@ -335,7 +341,7 @@
 			continue;
 		last = upstream;
 		if (eligible(route, upstream, query) &&
-		    within_bound(route, upstream))
+		    has_bounded_load(route, upstream))
 			return upstream;
 	}
 	return NULL;
@@ -357,33 +363,34 @@
 	owner = pick_by_affinity(route, query);
 	if (!owner || !other)
 		return owner ? owner : other;
-	if (score_us(route, other) * AFFINITY_GAIN < score_us(route, owner))
+	if (expected_time_us(route, other) * AFFINITY_SPEED_ADVANTAGE <
+	    expected_time_us(route, owner))
 		return other;
 	return owner;
 }
 
-void route_sent(struct route *route, struct route_upstream *upstream)
+void route_call_sent(struct route *route, struct route_upstream *upstream)
 {
 	upstream->inflight += 1;
 	upstream->sent_since += 1;
 	route->inflight += 1;
 }
 
-static void put_aside(struct route *route, struct route_upstream *upstream)
+static void eject_upstream(struct route *route, struct route_upstream *upstream)
 {
-	uint32_t doublings = MIN(upstream->set_asides, ASIDE_DOUBLINGS);
+	uint32_t doublings = MIN(upstream->set_asides, EJECTION_DOUBLINGS_MAX);
 
-	if ((route->aside + 1) * ASIDE_SHARE_MAX > route->all->len)
+	if ((route->aside + 1) * EJECTED_SHARE_DIVISOR > route->all->len)
 		return;
-	upstream->aside_until_us = now_us(route) + (ASIDE_US << doublings);
+	upstream->aside_until_us = now_us(route) + (EJECTION_US << doublings);
 	upstream->set_asides += 1;
 	upstream->failures = 0;
 	upstream->error_share = 0;
 	route->aside += 1;
 }
 
-void route_ended(struct route *route, struct route_upstream *upstream,
-		 bool failed)
+void route_call_ended(struct route *route, struct route_upstream *upstream,
+		      bool failed)
 {
 	if (upstream->inflight) {
 		upstream->inflight -= 1;
@@ -401,11 +408,11 @@
 		return;
 	}
 	upstream->failures += 1;
-	if (route_set_aside(route, upstream))
+	if (route_is_ejected(route, upstream))
 		return;
-	if (upstream->failures >= FAILURES_ASIDE ||
-	    upstream->error_share > ERROR_SHARE_ASIDE)
-		put_aside(route, upstream);
+	if (upstream->failures >= EJECTION_FAILURES ||
+	    upstream->error_share > EJECTION_ERROR_RATE)
+		eject_upstream(route, upstream);
 }
 
 int64_t route_estimate_us(struct route *route)
@@ -416,7 +423,7 @@
 	if (!route->all->len)
 		return -1;
 	upstream = pick_by_load(route, &query);
-	return upstream ? score_us(route, upstream) : -1;
+	return upstream ? expected_time_us(route, upstream) : -1;
 }
 
 uint32_t route_slots(const struct route *route)
@@ -439,7 +446,7 @@
 		struct route_upstream *upstream =
 			g_ptr_array_index(route->all, i);
 
-		if (route_set_aside(route, upstream))
+		if (route_is_ejected(route, upstream))
 			route->aside += 1;
 		if (eligible(route, upstream, NULL))
 			route->slots += upstream->limit;
--- a/policy/route.h
+++ b/policy/route.h
@@ -44,7 +44,7 @@
 };
 
 /** An agent's word about itself. */
-struct route_word {
+struct route_report {
 	uint64_t incarnation;
 	int64_t agent_time_us;
 	uint64_t revision;
@@ -74,20 +74,20 @@
 struct route *route_create(const struct route_options *options);
 void route_destroy(struct route *route);
 /** Find or add an upstream. */
-struct route_upstream *route_add(struct route *route, const char *name,
-				 const char *domain);
+struct route_upstream *route_find_or_add(struct route *route, const char *name,
+					 const char *domain);
 struct route_upstream *route_find(const struct route *route, const char *name);
 void route_remove(struct route *route, const char *name);
 /** Take an agent's word. Returns true if its incarnation changed. */
-bool route_heard(struct route *route, struct route_upstream *upstream,
-		 const struct route_word *word);
+bool route_apply_report(struct route *route, struct route_upstream *upstream,
+			const struct route_report *word);
 /** The upstream for a call, or NULL when none is eligible. */
 struct route_upstream *route_pick(struct route *route,
 				  const struct route_query *query);
 /** A call was sent / has ended; failed: by the upstream's fault. */
-void route_sent(struct route *route, struct route_upstream *upstream);
-void route_ended(struct route *route, struct route_upstream *upstream,
-		 bool failed);
+void route_call_sent(struct route *route, struct route_upstream *upstream);
+void route_call_ended(struct route *route, struct route_upstream *upstream,
+		      bool failed);
 /** Estimated wait plus run at the better of two choices; -1: none. */
 int64_t route_estimate_us(struct route *route);
 /** Calls that all usable upstreams run at once, as of the last tick. */
@@ -96,7 +96,7 @@
 struct route_upstream *route_at(const struct route *route, uint32_t index);
 /** Mark what has been silent too long; returns how many became so. */
 uint32_t route_tick(struct route *route);
-bool route_set_aside(const struct route *route,
-		     const struct route_upstream *upstream);
+bool route_is_ejected(const struct route *route,
+		      const struct route_upstream *upstream);
 
 #endif
--- a/policy/throttle.c
+++ b/policy/throttle.c
@@ -88,8 +88,9 @@
 	return false;
 }
 
-void throttle_outcome(struct throttle *throttle, const char *organisation,
-		      const char *service, bool taken, int64_t now_us)
+void throttle_record_outcome(struct throttle *throttle,
+			     const char *organisation, const char *service,
+			     bool taken, int64_t now_us)
 {
 	struct pair *pair = get_pair(throttle, organisation, service, now_us);
 
@@ -105,8 +106,8 @@
 	return MAX(0, left_us);
 }
 
-void throttle_heard_wait(struct throttle *throttle, const char *organisation,
-			 const char *service, int64_t wait_us, int64_t now_us)
+void throttle_record_wait(struct throttle *throttle, const char *organisation,
+			  const char *service, int64_t wait_us, int64_t now_us)
 {
 	struct pair *pair = get_pair(throttle, organisation, service, now_us);
 	double before_us = drained(pair, now_us);
--- a/policy/throttle.h
+++ b/policy/throttle.h
@@ -21,11 +21,12 @@
 bool throttle_admit(struct throttle *throttle, const char *organisation,
 		    const char *service, int64_t now_us);
 /** What an agent said to a call: taken, or refused for load. */
-void throttle_outcome(struct throttle *throttle, const char *organisation,
-		      const char *service, bool taken, int64_t now_us);
+void throttle_record_outcome(struct throttle *throttle,
+			     const char *organisation, const char *service,
+			     bool taken, int64_t now_us);
 /** An agent's word: what a new call of this organisation would wait there. */
-void throttle_heard_wait(struct throttle *throttle, const char *organisation,
-			 const char *service, int64_t wait_us, int64_t now_us);
+void throttle_record_wait(struct throttle *throttle, const char *organisation,
+			  const char *service, int64_t wait_us, int64_t now_us);
 /** That wait now: it drains while time passes. */
 int64_t throttle_wait_us(struct throttle *throttle, const char *organisation,
 			 const char *service, int64_t now_us);
--- a/policy/trace.c
+++ b/policy/trace.c
@@ -111,14 +111,14 @@
 	case TRACE_FAILED:
 		return g_strdup_printf("%s refused or failed (%s): %s", who,
 				       lp_run_name(event->a), why);
-	case TRACE_MOVED:
+	case TRACE_FAILED_OVER:
 		return g_strdup_printf("moved away from %s because %s", who,
 				       why);
 	case TRACE_HEDGED:
 		return g_strdup_printf("a second try went to %s after %.1f ms "
 				       "without an answer",
 				       who, MS(event->a));
-	case TRACE_ASKED:
+	case TRACE_QUERIED:
 		return g_strdup_printf("asked %s what became of it after "
 				       "%.1f ms",
 				       who, MS(event->a));
@@ -154,7 +154,7 @@
 			return g_strdup_printf("ended after %.1f ms: %s",
 					       MS(event->a), why);
 		return g_strdup_printf("done after %.1f ms", MS(event->a));
-	case TRACE_GIVEN_BACK:
+	case TRACE_RETURNED:
 		return g_strdup_printf("given back without running after "
 				       "%.1f ms, because %s",
 				       MS(event->a), why);
--- a/policy/trace.h
+++ b/policy/trace.h
@@ -12,25 +12,25 @@
 #include <glib.h>
 
 enum trace_kind {
-	TRACE_ACCEPTED,	  /**< a: estimate us, b: time left us */
-	TRACE_REFUSED,	  /**< error; a: estimate us, b: time left us */
-	TRACE_SENT,	  /**< who: upstream; a: expected us, b: time left us */
-	TRACE_ANSWERED,	  /**< who; a: queue us, b: run us */
-	TRACE_FAILED,	  /**< who; error; a: enum lp_run */
-	TRACE_MOVED,	  /**< who: from; error: why */
-	TRACE_HEDGED,	  /**< who: second upstream; a: waited us */
-	TRACE_ASKED,	  /**< who; a: waited us */
-	TRACE_LOST,	  /**< who; a: waited us */
-	TRACE_RESUMED,	  /**< who: from; a: tokens had */
-	TRACE_NO_BUDGET,  /**< error: of the try not repeated */
-	TRACE_FINISHED,	  /**< error; a: total us */
-	TRACE_QUEUED,	  /**< at an agent; a: calls before it, b: running */
-	TRACE_STARTED,	  /**< at an agent; a: waited us, b: running */
-	TRACE_ENDED,	  /**< at an agent; error; a: run us */
-	TRACE_GIVEN_BACK, /**< at an agent; error; a: waited us */
+	TRACE_ACCEPTED, /**< a: estimate us, b: time left us */
+	TRACE_REFUSED,	/**< error; a: estimate us, b: time left us */
+	TRACE_SENT,	/**< who: upstream; a: expected us, b: time left us */
+	TRACE_ANSWERED, /**< who; a: queue us, b: run us */
+	TRACE_FAILED,	/**< who; error; a: enum lp_run */
+	TRACE_FAILED_OVER, /**< who: from; error: why */
+	TRACE_HEDGED,	   /**< who: second upstream; a: waited us */
+	TRACE_QUERIED,	   /**< who; a: waited us */
+	TRACE_LOST,	   /**< who; a: waited us */
+	TRACE_RESUMED,	   /**< who: from; a: tokens had */
+	TRACE_NO_BUDGET,   /**< error: of the try not repeated */
+	TRACE_FINISHED,	   /**< error; a: total us */
+	TRACE_QUEUED,	   /**< at an agent; a: calls before it, b: running */
+	TRACE_STARTED,	   /**< at an agent; a: waited us, b: running */
+	TRACE_ENDED,	   /**< at an agent; error; a: run us */
+	TRACE_RETURNED,	   /**< at an agent; error; a: waited us */
 };
 
-#define TRACE_WHO_SIZE 32
+#define TRACE_HOST_SIZE 32
 
 struct trace_event {
 	int64_t time_us; /**< wall clock, since 1970 */
@@ -39,7 +39,7 @@
 	int32_t error;
 	int64_t a;
 	int64_t b;
-	char who[TRACE_WHO_SIZE];
+	char who[TRACE_HOST_SIZE];
 };
 
 struct trace;
--- a/policy/worker.c
+++ b/policy/worker.c
@@ -1,35 +1,35 @@
 #include "policy/worker.h"
 
-#include "policy/limit.h"
-#include "policy/quant.h"
+#include "policy/concurrency_limit.h"
+#include "policy/quantile.h"
 
 #include <string.h>
 
 #define DEFAULT_CONCURRENCY 8
 #define DEFAULT_QUEUE_MAX 1000
 #define DEFAULT_AGE_LIMIT_US (8 * LP_US_PER_S)
-#define DEFAULT_KEEP_US (5 * LP_US_PER_S)
+#define DEFAULT_RESULT_TTL_US (5 * LP_US_PER_S)
 /*
  * Of the time a call has beyond its run, the queue may use this much: a
  * longer queue serves nobody sooner, and leaves none for the order by
  * deadline to trade with.
  */
-#define QUEUE_SHARE 0.6
-#define OVERDUE_US (200 * LP_US_PER_MS)
-#define UNKNOWN_RUN_US (1 * LP_US_PER_MS)
+#define QUEUE_TIME_SHARE 0.6
+#define OVERRUN_GRACE_US (200 * LP_US_PER_MS)
+#define DEFAULT_RUN_US (1 * LP_US_PER_MS)
 
 struct worker {
 	struct worker_options options;
-	struct limit limit;
+	struct concurrency_limit limit;
 	struct queue *queue;
-	struct quant *run_us;
+	struct quantile *run_us;
 	GHashTable *calls; /* lp_call_id to worker_call */
 	GQueue expiring;   /* worker_call by forget_us, which only grows */
 	GPtrArray *running_calls;
 	uint32_t running;
 	uint32_t inside; /* calls waiting within the upstream, it says */
 	bool leaving;
-	bool serving; /* guards against re-entry of start_waiting() */
+	bool serving; /* guards against re-entry of start_queued() */
 };
 
 static int64_t now_us(const struct worker *worker)
@@ -60,10 +60,10 @@
 	if (!own->age_limit_us)
 		own->age_limit_us = DEFAULT_AGE_LIMIT_US;
 	if (!own->keep_us)
-		own->keep_us = DEFAULT_KEEP_US;
-	limit_init(&worker->limit, own->concurrency);
+		own->keep_us = DEFAULT_RESULT_TTL_US;
+	concurrency_limit_init(&worker->limit, own->concurrency);
 	worker->queue = queue_create(own->naive);
-	worker->run_us = quant_create();
+	worker->run_us = quantile_create();
 	worker->calls = g_hash_table_new(lp_call_id_hash, lp_call_id_equal);
 	g_queue_init(&worker->expiring);
 	worker->running_calls = g_ptr_array_new();
@@ -79,7 +79,7 @@
 		return;
 	g_ptr_array_unref(worker->running_calls);
 	queue_destroy(worker->queue);
-	quant_destroy(worker->run_us);
+	quantile_destroy(worker->run_us);
 	g_hash_table_iter_init(&iter, worker->calls);
 	while (g_hash_table_iter_next(&iter, NULL, &call))
 		free_call(worker, call);
@@ -96,25 +96,25 @@
 	worker->limit.value = concurrency;
 }
 
-void worker_set_inside(struct worker *worker, uint32_t waiting)
+void worker_set_upstream_queued(struct worker *worker, uint32_t waiting)
 {
 	worker->inside = waiting;
 }
 
-static uint32_t run_estimate_us(const struct worker *worker)
+static uint32_t estimate_run_us(const struct worker *worker)
 {
-	return (uint32_t)quant_get(worker->run_us, 0.5, UNKNOWN_RUN_US);
+	return (uint32_t)quantile_get(worker->run_us, 0.5, DEFAULT_RUN_US);
 }
 
 /*
  * Slots free up at limit / usual time: what goes before a new call leaves
  * the queue at that rate.
  */
-static int64_t wait_estimate_us(const struct worker *worker,
-				const char *organisation, uint32_t weight)
+static int64_t estimate_queue_us(const struct worker *worker,
+				 const char *organisation, uint32_t weight)
 {
 	double usual_us = MAX(worker->limit.usual_us, 1.0);
-	double ahead = queue_ahead(worker->queue, organisation, weight) +
+	double ahead = queue_calls_ahead(worker->queue, organisation, weight) +
 		       worker->inside;
 
 	if (worker->running < worker->limit.value && ahead < 1)
@@ -126,7 +126,7 @@
  * Runs that do not end tell of an upstream that hangs: the mean age of what
  * runs, about half a run while all is well.
  */
-static uint32_t mean_age_us(const struct worker *worker)
+static uint32_t mean_running_age_us(const struct worker *worker)
 {
 	int64_t sum_us = 0;
 
@@ -145,8 +145,9 @@
 		.queued = queue_length(worker->queue),
 		.running = worker->running,
 		.limit = worker->limit.value,
-		.wait_us = (uint32_t)wait_estimate_us(worker, "", 1),
-		.run_us = MAX(run_estimate_us(worker), mean_age_us(worker)),
+		.wait_us = (uint32_t)estimate_queue_us(worker, "", 1),
+		.run_us = MAX(estimate_run_us(worker),
+			      mean_running_age_us(worker)),
 		.leaving = worker->leaving,
 	};
 }
@@ -190,7 +191,7 @@
 	remember(worker, call, call->arrived_us + worker->options.age_limit_us);
 }
 
-static void refuse(struct worker *worker, const struct worker_offer *offer,
+static void refuse(struct worker *worker, const struct worker_submit *offer,
 		   int error, int64_t retry_us)
 {
 	struct worker_result result = {
@@ -220,14 +221,14 @@
 	worker->options.ops->reply(worker->options.userdata, call);
 }
 
-static void give_back(struct worker *worker, struct worker_call *call,
-		      int error)
+static void refuse_queued(struct worker *worker, struct worker_call *call,
+			  int error)
 {
 	call->result.error = error;
 	call->result.run = LP_RUN_NOT_RUN;
 	call->result.queue_us = (uint32_t)(now_us(worker) - call->arrived_us);
 	call->result.retry_us =
-		(uint32_t)wait_estimate_us(worker, call->organisation, 1);
+		(uint32_t)estimate_queue_us(worker, call->organisation, 1);
 	settle(worker, call, WORKER_FENCED);
 }
 
@@ -241,19 +242,19 @@
 	worker->options.ops->start(worker->options.userdata, call);
 }
 
-static bool too_late(const struct worker *worker,
-		     const struct worker_call *call)
+static bool misses_deadline(const struct worker *worker,
+			    const struct worker_call *call)
 {
 	int64_t need_us;
 
 	if (worker->options.naive)
 		return false;
 	/* The lower quartile: refuse only what would hardly ever make it. */
-	need_us = quant_get(worker->run_us, 0.25, 0);
+	need_us = quantile_get(worker->run_us, 0.25, 0);
 	return now_us(worker) + need_us > call->item.deadline_us;
 }
 
-static void start_waiting(struct worker *worker)
+static void start_queued(struct worker *worker)
 {
 	struct queue_item *item;
 
@@ -264,9 +265,9 @@
 		item = queue_pop(worker->queue);
 		if (!item)
 			break;
-		if (too_late(worker, item->owner))
-			give_back(worker, item->owner,
-				  LP_ERROR_DEADLINE_UNREACHABLE);
+		if (misses_deadline(worker, item->owner))
+			refuse_queued(worker, item->owner,
+				      LP_ERROR_DEADLINE_UNREACHABLE);
 		else
 			start(worker, item->owner);
 	}
@@ -274,8 +275,8 @@
 }
 
 /* A call seen before is never run again: it is answered from memory. */
-static void offer_again(struct worker *worker, struct worker_call *call,
-			const struct worker_offer *offer)
+static void answer_duplicate(struct worker *worker, struct worker_call *call,
+			     const struct worker_submit *offer)
 {
 	if (call->state == WORKER_FENCED || call->state == WORKER_DONE)
 		worker->options.ops->reply(worker->options.userdata, call);
@@ -283,8 +284,8 @@
 		worker->options.ops->free_payload(offer->payload);
 }
 
-static int check_offer(const struct worker *worker,
-		       const struct worker_offer *offer, int64_t *retry_us)
+static int check_submit(const struct worker *worker,
+			const struct worker_submit *offer, int64_t *retry_us)
 {
 	const struct worker_options *options = &worker->options;
 	int64_t now = now_us(worker);
@@ -298,19 +299,19 @@
 		return LP_ERROR_STALE_CALL;
 	if (worker->leaving)
 		return LP_ERROR_LEAVING;
-	wait_us = wait_estimate_us(worker, offer->organisation, offer->weight);
+	wait_us = estimate_queue_us(worker, offer->organisation, offer->weight);
 	*retry_us = wait_us;
 	if (queue_length(worker->queue) >= options->queue_max)
 		return LP_ERROR_OVERLOADED;
 	if (options->naive)
 		return LP_OK;
-	spare_us = offer->left_us - run_estimate_us(worker);
-	if (spare_us < 0 || wait_us > (int64_t)(spare_us * QUEUE_SHARE))
+	spare_us = offer->left_us - estimate_run_us(worker);
+	if (spare_us < 0 || wait_us > (int64_t)(spare_us * QUEUE_TIME_SHARE))
 		return LP_ERROR_DEADLINE_UNREACHABLE;
 	return LP_OK;
 }
 
-void worker_offer(struct worker *worker, const struct worker_offer *offer)
+void worker_submit(struct worker *worker, const struct worker_submit *offer)
 {
 	struct worker_call *call =
 		g_hash_table_lookup(worker->calls, &offer->id);
@@ -318,10 +319,10 @@
 	int error;
 
 	if (call) {
-		offer_again(worker, call, offer);
+		answer_duplicate(worker, call, offer);
 		return;
 	}
-	error = check_offer(worker, offer, &retry_us);
+	error = check_submit(worker, offer, &retry_us);
 	if (error) {
 		/* A second copy must find the same answer. */
 		if (error != LP_ERROR_WRONG_INCARNATION &&
@@ -339,7 +340,7 @@
 	call->item.deadline_us = call->arrived_us + offer->left_us;
 	queue_push(worker->queue, &call->item, call->organisation,
 		   offer->weight);
-	start_waiting(worker);
+	start_queued(worker);
 }
 
 static void cancel_run(struct worker *worker, struct worker_call *call)
@@ -352,15 +353,15 @@
 {
 	if (call->state == WORKER_QUEUED) {
 		queue_remove(worker->queue, &call->item);
-		give_back(worker, call, LP_ERROR_WITHDRAWN);
+		refuse_queued(worker, call, LP_ERROR_WITHDRAWN);
 	} else if (call->state == WORKER_RUNNING) {
 		cancel_run(worker, call);
 	}
 }
 
 /* Memory holds every id that arrived within the age limit, none for ever. */
-static bool beyond_memory(const struct worker *worker,
-			  const struct worker_question *question)
+static bool is_outside_memory(const struct worker *worker,
+			      const struct worker_state_query *question)
 {
 	int64_t age_us = now_us(worker) - question->sent_us;
 
@@ -368,14 +369,15 @@
 	       age_us > worker->options.age_limit_us;
 }
 
-void worker_query(struct worker *worker, const struct worker_question *question)
+void worker_query(struct worker *worker,
+		  const struct worker_state_query *question)
 {
 	const struct worker_ops *ops = worker->options.ops;
 	void *userdata = worker->options.userdata;
 	const struct lp_call_id *id = &question->id;
 	struct worker_call *call = g_hash_table_lookup(worker->calls, id);
 
-	if (!call && beyond_memory(worker, question)) {
+	if (!call && is_outside_memory(worker, question)) {
 		ops->state(userdata, question->peer, id, WORKER_LOST);
 		return;
 	}
@@ -401,28 +403,28 @@
 	call->result.queue_us = queue_us;
 	call->result.run_us = (uint32_t)run_us;
 	call->result.chunks = call->chunks;
-	call->result.retry_us = (uint32_t)wait_estimate_us(
+	call->result.retry_us = (uint32_t)estimate_queue_us(
 		worker, call->organisation, call->weight);
 	worker->running -= 1;
 	g_ptr_array_remove_fast(worker->running_calls, call);
 	if (!result->error) {
-		quant_add(worker->run_us, run_us);
+		quantile_add(worker->run_us, run_us);
 		if (!worker->options.naive)
-			limit_sample(&worker->limit, run_us);
+			concurrency_limit_add_sample(&worker->limit, run_us);
 		else
 			worker->limit.usual_us = (double)run_us;
 	}
 	settle(worker, call, WORKER_DONE);
-	start_waiting(worker);
+	start_queued(worker);
 }
 
-void worker_leave(struct worker *worker)
+void worker_drain(struct worker *worker)
 {
 	struct queue_item *item;
 
 	worker->leaving = true;
 	while ((item = queue_pop(worker->queue)))
-		give_back(worker, item->owner, LP_ERROR_LEAVING);
+		refuse_queued(worker, item->owner, LP_ERROR_LEAVING);
 }
 
 /* Runs past their use: their entry died, or its withdrawal was lost. */
@@ -435,7 +437,7 @@
 			g_ptr_array_index(worker->running_calls, i - 1);
 
 		if (call->state == WORKER_RUNNING &&
-		    now > call->item.deadline_us + OVERDUE_US)
+		    now > call->item.deadline_us + OVERRUN_GRACE_US)
 			cancel_run(worker, call);
 	}
 }
@@ -454,15 +456,15 @@
 		g_hash_table_remove(worker->calls, &call->id);
 		free_call(worker, call);
 	}
-	start_waiting(worker);
+	start_queued(worker);
 }
 
-bool worker_idle(const struct worker *worker)
+bool worker_is_idle(const struct worker *worker)
 {
 	return !worker->running && !queue_length(worker->queue);
 }
 
-uint32_t worker_remembered(const struct worker *worker)
+uint32_t worker_call_count(const struct worker *worker)
 {
 	return g_hash_table_size(worker->calls);
 }
--- a/policy/worker.h
+++ b/policy/worker.h
@@ -25,7 +25,7 @@
 };
 
 /** A question about a call. */
-struct worker_question {
+struct worker_state_query {
 	struct lp_call_id id;
 	const char *peer;
 	uint64_t incarnation; /**< that the call was sent to */
@@ -64,7 +64,7 @@
 };
 
 /** A call as it comes in. Strings are copied; the payload is taken. */
-struct worker_offer {
+struct worker_submit {
 	struct lp_call_id id;
 	const char *peer;
 	const char *organisation;
@@ -118,25 +118,25 @@
 void worker_set_concurrency(struct worker *worker, uint32_t concurrency);
 
 /** The upstream says that this many calls wait inside it. */
-void worker_set_inside(struct worker *worker, uint32_t waiting);
+void worker_set_upstream_queued(struct worker *worker, uint32_t waiting);
 
-void worker_offer(struct worker *worker, const struct worker_offer *offer);
+void worker_submit(struct worker *worker, const struct worker_submit *offer);
 /**
  * Answer a question. A call never seen is refused for good, so that "it did
  * not run" stays true when the call itself arrives after the question.
  */
 void worker_query(struct worker *worker,
-		  const struct worker_question *question);
+		  const struct worker_state_query *question);
 /** The upstream ended a call. `result->body` is taken. */
 void worker_finished(struct worker *worker, struct worker_call *call,
 		     const struct worker_result *result);
 /** Refuse all new work from now on; queued work is given back. */
-void worker_leave(struct worker *worker);
+void worker_drain(struct worker *worker);
 /** Forget what is past its time; refuse what can no longer be in time. */
 void worker_tick(struct worker *worker);
 /** Nothing runs and nothing waits. */
-bool worker_idle(const struct worker *worker);
+bool worker_is_idle(const struct worker *worker);
 void worker_get_load(const struct worker *worker, struct worker_load *out);
-uint32_t worker_remembered(const struct worker *worker);
+uint32_t worker_call_count(const struct worker *worker);
 
 #endif
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -11,17 +11,17 @@
 
 TEST(Quant, QuantilesWithinABucket)
 {
-	quant *q = quant_create();
+	quantile *q = quantile_create();
 
-	EXPECT_EQ(quant_get(q, 0.5, 42), 42);
+	EXPECT_EQ(quantile_get(q, 0.5, 42), 42);
 	for (int i = 1; i <= 1000; i++)
-		quant_add(q, i * MS);
-	EXPECT_NEAR((double)quant_get(q, 0.5, 0), 500e3, 60e3);
-	EXPECT_NEAR((double)quant_get(q, 0.95, 0), 950e3, 100e3);
+		quantile_add(q, i * MS);
+	EXPECT_NEAR((double)quantile_get(q, 0.5, 0), 500e3, 60e3);
+	EXPECT_NEAR((double)quantile_get(q, 0.95, 0), 950e3, 100e3);
 	for (int i = 0; i < 20000; i++) /* old samples fade */
-		quant_add(q, 2 * MS);
-	EXPECT_LT(quant_get(q, 0.95, 0), 3 * MS);
-	quant_destroy(q);
+		quantile_add(q, 2 * MS);
+	EXPECT_LT(quantile_get(q, 0.95, 0), 3 * MS);
+	quantile_destroy(q);
 }
 
 TEST(Bucket, RateAndWait)
@@ -38,17 +38,17 @@
 
 TEST(Limit, ShrinksWhenTimesInflateAndGrowsBack)
 {
-	limit l;
+	concurrency_limit l;
 
-	limit_init(&l, 32);
+	concurrency_limit_init(&l, 32);
 	for (int i = 0; i < 200; i++)
-		limit_sample(&l, 10 * MS);
+		concurrency_limit_add_sample(&l, 10 * MS);
 	EXPECT_EQ(l.value, 32u);
 	for (int i = 0; i < 400; i++)
-		limit_sample(&l, 100 * MS);
+		concurrency_limit_add_sample(&l, 100 * MS);
 	EXPECT_LT(l.value, 20u);
 	for (int i = 0; i < 2000; i++)
-		limit_sample(&l, 10 * MS);
+		concurrency_limit_add_sample(&l, 10 * MS);
 	EXPECT_EQ(l.value, 32u);
 }
 
@@ -87,10 +87,10 @@
 
 	for (queue_item &item : items)
 		queue_push(q, &item, "flood", 1);
-	EXPECT_LE(queue_ahead(q, "other", 1), 1.0);
-	EXPECT_EQ(queue_ahead(q, "flood", 1), 100.0);
+	EXPECT_LE(queue_calls_ahead(q, "other", 1), 1.0);
+	EXPECT_EQ(queue_calls_ahead(q, "flood", 1), 100.0);
 	queue_remove(q, &items[5]);
-	EXPECT_FALSE(queue_holds(&items[5]));
+	EXPECT_FALSE(queue_item_is_queued(&items[5]));
 	EXPECT_EQ(queue_length(q), 99u);
 	queue_destroy(q);
 }
@@ -118,7 +118,8 @@
 	route_upstream *add(const char *name, const char *domain,
 			    uint32_t run_us, uint32_t wait_us = 0)
 	{
-		route_upstream *upstream = route_add(table, name, domain);
+		route_upstream *upstream =
+			route_find_or_add(table, name, domain);
 
 		hear(upstream, run_us, wait_us, 1);
 		return upstream;
@@ -126,7 +127,7 @@
 	bool hear(route_upstream *upstream, uint32_t run_us, uint32_t wait_us,
 		  uint64_t incarnation, bool leaving = false)
 	{
-		route_word word = {};
+		route_report word = {};
 
 		word.incarnation = incarnation;
 		word.agent_time_us = clock.now_us;
@@ -134,7 +135,7 @@
 		word.run_us = run_us;
 		word.wait_us = wait_us;
 		word.leaving = leaving;
-		return route_heard(table, upstream, &word);
+		return route_apply_report(table, upstream, &word);
 	}
 	std::map<std::string, int> picks(int count, uint64_t affinity = 0)
 	{
@@ -196,18 +197,18 @@
 	add("c", "near", 5 * MS);
 	route_upstream *bad = route_find(table, "a");
 	for (int i = 0; i < 5; i++) {
-		route_sent(table, bad);
-		route_ended(table, bad, true);
+		route_call_sent(table, bad);
+		route_call_ended(table, bad, true);
 	}
-	EXPECT_TRUE(route_set_aside(table, bad));
+	EXPECT_TRUE(route_is_ejected(table, bad));
 	EXPECT_EQ(picks(100)["a"], 0);
 	/* Never more than a third of a service. */
 	route_upstream *next = route_find(table, "b");
 	for (int i = 0; i < 9; i++) {
-		route_sent(table, next);
-		route_ended(table, next, true);
+		route_call_sent(table, next);
+		route_call_ended(table, next, true);
 	}
-	EXPECT_FALSE(route_set_aside(table, next));
+	EXPECT_FALSE(route_is_ejected(table, next));
 	clock.now_us += 2 * S;
 	hear(bad, 5 * MS, 0, 1);
 	hear(next, 5 * MS, 0, 1);
@@ -222,8 +223,8 @@
 	route_upstream *near = add("near", "near", 5 * MS);
 	add("far", "far", 5 * MS);
 	for (int i = 0; i < 50; i++) {
-		route_sent(table, near);
-		route_ended(table, near, i % 5 == 0);
+		route_call_sent(table, near);
+		route_call_ended(table, near, i % 5 == 0);
 	}
 	EXPECT_EQ(picks(50)["near"], 0);
 	clock.now_us += 30 * S; /* tried again after a while */
@@ -241,10 +242,10 @@
 	ASSERT_EQ(seen.size(), 1u);
 	route_upstream *owner = route_find(table, seen.begin()->first.c_str());
 	for (int i = 0; i < 4; i++)
-		route_sent(table, owner);
+		route_call_sent(table, owner);
 	EXPECT_EQ(picks(10, 77)[owner->name], 0);
 	for (int i = 0; i < 4; i++)
-		route_ended(table, owner, false);
+		route_call_ended(table, owner, false);
 	EXPECT_EQ(picks(10, 77)[owner->name], 10);
 }
 
@@ -271,10 +272,11 @@
 	for (int i = 0; i < 3000; i++, now += MS) {
 		if (throttle_admit(t, "flood", "s", now)) {
 			let_in++;
-			throttle_outcome(t, "flood", "s", i % 10 == 0, now);
+			throttle_record_outcome(t, "flood", "s", i % 10 == 0,
+						now);
 		}
 		EXPECT_TRUE(throttle_admit(t, "calm", "s", now));
-		throttle_outcome(t, "calm", "s", true, now);
+		throttle_record_outcome(t, "calm", "s", true, now);
 	}
 	EXPECT_LT(let_in, 1500);
 	EXPECT_GT(let_in, 100);
@@ -285,40 +287,40 @@
 
 struct KeysTest : testing::Test {
 	TestClock clock;
-	keys *table = nullptr;
+	idempotency_keys *table = nullptr;
 	std::vector<std::pair<void *, int>> woken;
 
 	void SetUp() override
 	{
 		make(0);
 	}
-	enum keys_verdict begin(const char *key, uint64_t fingerprint,
-				void *waiter, keys_answer *answer,
-				int64_t left = 100 * S)
+	enum idempotency_verdict begin(const char *key, uint64_t fingerprint,
+				       void *waiter, idempotency_answer *answer,
+				       int64_t left = 100 * S)
 	{
-		keys_request request = { key, fingerprint, clock.now_us + left,
-					 waiter };
+		idempotency_request request = { key, fingerprint,
+						clock.now_us + left, waiter };
 
-		return keys_begin(table, &request, answer);
+		return idempotency_begin(table, &request, answer);
 	}
 	void make(size_t bytes)
 	{
-		keys_options options = {};
+		idempotency_options options = {};
 
 		options.clock = &clock.clock;
 		options.keep_us = 10 * S;
 		options.bytes_max = bytes;
 		options.wake = wake;
 		options.userdata = this;
-		keys_destroy(table);
-		table = keys_create(&options);
+		idempotency_destroy(table);
+		table = idempotency_create(&options);
 	}
 	void TearDown() override
 	{
-		keys_destroy(table);
+		idempotency_destroy(table);
 	}
 	static void wake(void *userdata, void *waiter,
-			 const keys_answer *answer)
+			 const idempotency_answer *answer)
 	{
 		static_cast<KeysTest *>(userdata)->woken.push_back(
 			{ waiter, answer->error });
@@ -327,79 +329,79 @@
 
 TEST_F(KeysTest, SecondTryWaitsThenGetsTheAnswer)
 {
-	keys_answer answer = {};
+	idempotency_answer answer = {};
 	int second;
 
-	EXPECT_EQ(begin("k", 1, nullptr, &answer), KEYS_NEW);
-	EXPECT_EQ(begin("k", 1, &second, &answer), KEYS_WAIT);
-	EXPECT_EQ(begin("k", 2, &second, &answer), KEYS_MISMATCH);
+	EXPECT_EQ(begin("k", 1, nullptr, &answer), IDEMPOTENCY_NEW);
+	EXPECT_EQ(begin("k", 1, &second, &answer), IDEMPOTENCY_WAIT);
+	EXPECT_EQ(begin("k", 2, &second, &answer), IDEMPOTENCY_MISMATCH);
 	answer = { LP_OK, LP_RUN_RAN, "body" };
-	keys_end(table, "k", &answer);
+	idempotency_finish(table, "k", &answer);
 	ASSERT_EQ(woken.size(), 1u);
 	EXPECT_EQ(woken[0].first, &second);
 	answer = {};
-	EXPECT_EQ(begin("k", 1, nullptr, &answer), KEYS_ANSWERED);
+	EXPECT_EQ(begin("k", 1, nullptr, &answer), IDEMPOTENCY_ANSWERED);
 	EXPECT_STREQ(answer.body, "body");
 	clock.now_us += 11 * S;
-	keys_tick(table);
-	EXPECT_EQ(keys_count(table), 0u);
+	idempotency_tick(table);
+	EXPECT_EQ(idempotency_record_count(table), 0u);
 }
 
 TEST_F(KeysTest, NotRunFreesTheKeyAndUnknownDoesNot)
 {
-	keys_answer answer = {};
+	idempotency_answer answer = {};
 
 	begin("a", 1, nullptr, &answer);
 	answer = { LP_ERROR_OVERLOADED, LP_RUN_NOT_RUN, nullptr };
-	keys_end(table, "a", &answer);
-	EXPECT_EQ(begin("a", 1, nullptr, &answer), KEYS_NEW);
+	idempotency_finish(table, "a", &answer);
+	EXPECT_EQ(begin("a", 1, nullptr, &answer), IDEMPOTENCY_NEW);
 	answer = { LP_ERROR_UPSTREAM_GONE, LP_RUN_MAY_HAVE_RUN, nullptr };
-	keys_end(table, "a", &answer);
-	EXPECT_EQ(begin("a", 1, nullptr, &answer), KEYS_ANSWERED);
+	idempotency_finish(table, "a", &answer);
+	EXPECT_EQ(begin("a", 1, nullptr, &answer), IDEMPOTENCY_ANSWERED);
 	EXPECT_EQ(answer.run, LP_RUN_MAY_HAVE_RUN);
 }
 
 TEST_F(KeysTest, FullRefusesRatherThanForgets)
 {
-	keys_answer answer = {};
+	idempotency_answer answer = {};
 
 	make(400);
-	EXPECT_EQ(begin("a", 1, nullptr, &answer), KEYS_NEW);
-	EXPECT_EQ(begin("b", 1, nullptr, &answer), KEYS_NEW);
-	EXPECT_EQ(begin("c", 1, nullptr, &answer), KEYS_NEW);
-	EXPECT_EQ(begin("d", 1, nullptr, &answer), KEYS_FULL);
-	EXPECT_EQ(begin("a", 1, this, &answer), KEYS_WAIT);
+	EXPECT_EQ(begin("a", 1, nullptr, &answer), IDEMPOTENCY_NEW);
+	EXPECT_EQ(begin("b", 1, nullptr, &answer), IDEMPOTENCY_NEW);
+	EXPECT_EQ(begin("c", 1, nullptr, &answer), IDEMPOTENCY_NEW);
+	EXPECT_EQ(begin("d", 1, nullptr, &answer), IDEMPOTENCY_FULL);
+	EXPECT_EQ(begin("a", 1, this, &answer), IDEMPOTENCY_WAIT);
 }
 
 TEST_F(KeysTest, AWaiterIsNotHeldPastItsOwnDeadline)
 {
-	keys_answer answer = {};
+	idempotency_answer answer = {};
 	int second;
 
 	begin("k", 1, nullptr, &answer);
-	EXPECT_EQ(begin("k", 1, &second, &answer, S), KEYS_WAIT);
+	EXPECT_EQ(begin("k", 1, &second, &answer, S), IDEMPOTENCY_WAIT);
 	clock.now_us += 2 * S;
-	keys_tick(table);
+	idempotency_tick(table);
 	ASSERT_EQ(woken.size(), 1u);
 	EXPECT_EQ(woken[0].second, LP_ERROR_DEADLINE_PASSED);
 	answer = { LP_OK, LP_RUN_RAN, "body" };
-	keys_end(table, "k", &answer);
+	idempotency_finish(table, "k", &answer);
 	EXPECT_EQ(woken.size(), 1u);
 }
 
 TEST(Ticket, NamesItsOwner)
 {
-	char *ticket = keys_ticket_mint("entry-3", 0xfeed, 1234);
-	keys_ticket parsed;
+	char *ticket = idempotency_ticket_create("entry-3", 0xfeed, 1234);
+	idempotency_ticket parsed;
 
-	ASSERT_TRUE(keys_ticket_parse(ticket, &parsed));
+	ASSERT_TRUE(idempotency_ticket_parse(ticket, &parsed));
 	EXPECT_STREQ(parsed.host, "entry-3");
 	EXPECT_EQ(parsed.incarnation, 0xfeedu);
 	EXPECT_EQ(parsed.expires_s, 1234);
 	g_free(parsed.host);
 	g_free(ticket);
-	EXPECT_FALSE(keys_ticket_parse("my:own:key:of:five", &parsed));
-	EXPECT_FALSE(keys_ticket_parse("order-17", &parsed));
+	EXPECT_FALSE(idempotency_ticket_parse("my:own:key:of:five", &parsed));
+	EXPECT_FALSE(idempotency_ticket_parse("order-17", &parsed));
 }
 
 /* ---- claims: against a KV that loses answers ---- */
@@ -459,11 +461,11 @@
 			for (auto &item : taken)
 				kv[item.first] = item.second;
 		if (lose_answer)
-			claims_written(table, LP_ERROR_PLATFORM_DOWN, false,
-				       nullptr, 0);
+			claims_write_done(table, LP_ERROR_PLATFORM_DOWN, false,
+					  nullptr, 0);
 		else
-			claims_written(table, LP_OK, found.empty(),
-				       found.data(), (uint32_t)found.size());
+			claims_write_done(table, LP_OK, found.empty(),
+					  found.data(), (uint32_t)found.size());
 	}
 	void add(const char *key, int waiter, int64_t until = 100 * S)
 	{
@@ -549,14 +551,15 @@
 		for (int entry = 0; entry < 20; entry++) {
 			std::string name = "e" + std::to_string(entry);
 
-			quota_holder_ask(holder, "org", name.c_str(),
-					 (round * 7 + entry * 13) % 100, 100,
-					 &lease);
-			EXPECT_LE(quota_holder_granted(holder, "org"), 100.001);
+			quota_holder_grant(holder, "org", name.c_str(),
+					   (round * 7 + entry * 13) % 100, 100,
+					   &lease);
+			EXPECT_LE(quota_holder_granted_total(holder, "org"),
+				  100.001);
 		}
 		clock.now_us += 700 * MS;
 	}
-	EXPECT_GT(quota_holder_granted(holder, "org"), 80);
+	EXPECT_GT(quota_holder_granted_total(holder, "org"), 80);
 	quota_holder_destroy(holder);
 }
 
@@ -578,7 +581,7 @@
 	}
 	EXPECT_NEAR(passed, 100, 15); /* 10 a second for 10 seconds */
 	EXPECT_GT(retry, 0);
-	quota_granted(q, "org", 50, 3 * S);
+	quota_apply_grant(q, "org", 50, 3 * S);
 	passed = 0;
 	for (int i = 0; i < 200; i++, clock.now_us += 10 * MS)
 		passed += quota_take(q, "org", 100, 10, &retry);
@@ -592,7 +595,7 @@
 TEST(Member, SubsetsAreSpreadStableAndEven)
 {
 	std::vector<std::string> names;
-	std::vector<member> members;
+	std::vector<rendezvous_host> members;
 	std::map<std::string, int> load;
 	const char *domains[] = { "d0", "d1", "d2" };
 
@@ -605,8 +608,8 @@
 		bool chosen[300];
 		std::map<std::string, int> spread;
 
-		EXPECT_EQ(member_subset(self.c_str(), members.data(), 300, 60,
-					chosen),
+		EXPECT_EQ(rendezvous_subset(self.c_str(), members.data(), 300,
+					    60, chosen),
 			  60u);
 		for (int i = 0; i < 300; i++) {
 			load[names[(size_t)i]] += chosen[i];
@@ -622,8 +625,8 @@
 	/* One agent gone moves at most one of a subset. */
 	bool before[300], after[300];
 	int moved = 0;
-	member_subset("entry-1", members.data(), 300, 60, before);
-	member_subset("entry-1", members.data(), 299, 60, after);
+	rendezvous_subset("entry-1", members.data(), 300, 60, before);
+	rendezvous_subset("entry-1", members.data(), 299, 60, after);
 	for (int i = 0; i < 299; i++)
 		moved += before[i] != after[i];
 	EXPECT_LE(moved, 1);
@@ -632,7 +635,7 @@
 TEST(Member, AsManyReadersAsAskedAndOneOwner)
 {
 	std::vector<std::string> names;
-	std::vector<member> members;
+	std::vector<rendezvous_host> members;
 	int readers = 0;
 
 	for (int i = 0; i < 50; i++)
@@ -640,36 +643,36 @@
 	for (std::string &name : names)
 		members.push_back({ name.c_str(), "d" });
 	for (std::string &name : names)
-		readers += member_is_reader(name.c_str(), "d", members.data(),
-					    50, 3);
+		readers += rendezvous_is_reader(name.c_str(), "d",
+						members.data(), 50, 3);
 	EXPECT_EQ(readers, 3);
-	EXPECT_EQ(member_owner("x", members.data(), 50),
-		  member_owner("x", members.data(), 50));
-	EXPECT_EQ(member_owner("x", members.data(), 0), nullptr);
+	EXPECT_EQ(rendezvous_owner("x", members.data(), 50),
+		  rendezvous_owner("x", members.data(), 50));
+	EXPECT_EQ(rendezvous_owner("x", members.data(), 0), nullptr);
 }
 
 /* ---- spread of the configuration ---- */
 
 struct SpreadTest : testing::Test {
 	TestClock clock;
-	spread *table = nullptr;
+	config_propagation *table = nullptr;
 	int reads = 0;
 	int watches = 0;
 	std::vector<std::string> pulls;
 
 	void SetUp() override
 	{
-		spread_options options = {};
+		config_propagation_options options = {};
 
 		options.clock = &clock.clock;
 		options.ops = &ops;
 		options.userdata = this;
 		options.seed = 1;
-		table = spread_create(&options);
+		table = config_propagation_create(&options);
 	}
 	void TearDown() override
 	{
-		spread_destroy(table);
+		config_propagation_destroy(table);
 	}
 	static void on_read(void *userdata)
 	{
@@ -683,58 +686,61 @@
 	{
 		static_cast<SpreadTest *>(userdata)->pulls.push_back(peer);
 	}
-	static const spread_ops ops;
+	static const config_propagation_ops ops;
 	void run(int64_t time)
 	{
 		for (int64_t end = clock.now_us + time; clock.now_us < end;
 		     clock.now_us += 100 * MS)
-			spread_tick(table);
+			config_propagation_tick(table);
 	}
 };
 
-const spread_ops SpreadTest::ops = { on_read, on_watch, on_pull };
+const config_propagation_ops SpreadTest::ops = { on_read, on_watch, on_pull };
 
 TEST_F(SpreadTest, NeverReverts)
 {
-	EXPECT_TRUE(spread_take(table, 5));
-	EXPECT_FALSE(spread_take(table, 5));
-	EXPECT_FALSE(spread_take(table, 4));
-	spread_heard(table, "old", 3);
+	EXPECT_TRUE(config_propagation_accept(table, 5));
+	EXPECT_FALSE(config_propagation_accept(table, 5));
+	EXPECT_FALSE(config_propagation_accept(table, 4));
+	config_propagation_handle_revision(table, "old", 3);
 	EXPECT_TRUE(pulls.empty());
-	EXPECT_TRUE(spread_take(table, 6));
-	EXPECT_EQ(spread_revision(table), 6u);
+	EXPECT_TRUE(config_propagation_accept(table, 6));
+	EXPECT_EQ(config_propagation_revision(table), 6u);
 }
 
 TEST_F(SpreadTest, OnlyReadersReadOnceTheyHaveARevision)
 {
-	spread_elected(table, false, 100);
-	spread_take(table, 1);
+	config_propagation_set_reader(table, false, 100);
+	config_propagation_accept(table, 1);
 	for (int i = 0; i < 60; i++) {
-		spread_heard_age(table, S); /* the readers live */
+		config_propagation_handle_kv_age(table,
+						 S); /* the readers live */
 		run(S);
 	}
 	EXPECT_EQ(reads, 0);
 	EXPECT_EQ(watches, 0);
-	spread_elected(table, true, 100);
+	config_propagation_set_reader(table, true, 100);
 	run(S);
 	EXPECT_EQ(watches, 1);
 	EXPECT_EQ(reads, 1);
-	spread_read_done(table, true);
+	config_propagation_read_done(table, true);
 	run(4 * S);
 	EXPECT_EQ(reads, 2); /* a watch may be silently dead */
-	spread_elected(table, false, 100);
+	config_propagation_set_reader(table, false, 100);
 	EXPECT_EQ(watches, 0);
 }
 
 TEST_F(SpreadTest, ANewcomerPullsAndReadsOnlyWithoutHelp)
 {
-	spread_elected(table, false, 7400);
-	spread_heard(table, "peer", 9);
+	config_propagation_set_reader(table, false, 7400);
+	config_propagation_handle_revision(table, "peer", 9);
 	ASSERT_EQ(pulls.size(), 1u);
-	spread_heard(table, "peer2", 9); /* one pull at a time */
+	config_propagation_handle_revision(table, "peer2",
+					   9); /* one pull at a time */
 	EXPECT_EQ(pulls.size(), 1u);
 	run(S);
-	spread_heard(table, "peer2", 9); /* the first did not answer */
+	config_propagation_handle_revision(table, "peer2",
+					   9); /* the first did not answer */
 	EXPECT_EQ(pulls.size(), 2u);
 	EXPECT_EQ(reads, 0); /* 7,400 hosts read over many seconds */
 	run(40 * S);
@@ -745,29 +751,30 @@
  * readers, so that nobody looked at the KV. */
 TEST_F(SpreadTest, StepsInWhenTheReadersAreSilent)
 {
-	spread_elected(table, false, 100);
-	spread_take(table, 1);
-	spread_heard_age(table, S);
+	config_propagation_set_reader(table, false, 100);
+	config_propagation_accept(table, 1);
+	config_propagation_handle_kv_age(table, S);
 	run(2 * S);
 	EXPECT_EQ(reads, 0);
 	run(8 * S);
 	EXPECT_EQ(reads, 1);
 	EXPECT_EQ(watches, 0);
-	spread_read_done(table, true);
-	EXPECT_LT(spread_age_us(table), S);
-	spread_heard_age(table, 10 * S); /* older word changes nothing */
-	EXPECT_LT(spread_age_us(table), S);
+	config_propagation_read_done(table, true);
+	EXPECT_LT(config_propagation_kv_age_us(table), S);
+	config_propagation_handle_kv_age(
+		table, 10 * S); /* older word changes nothing */
+	EXPECT_LT(config_propagation_kv_age_us(table), S);
 }
 
 TEST_F(SpreadTest, BacksOffWhileTheKvIsDown)
 {
-	spread_elected(table, true, 10);
+	config_propagation_set_reader(table, true, 10);
 	for (int i = 0; i < 600; i++) {
 		int before = reads;
 
-		spread_tick(table);
+		config_propagation_tick(table);
 		if (reads > before)
-			spread_read_done(table, false);
+			config_propagation_read_done(table, false);
 		clock.now_us += 100 * MS;
 	}
 	EXPECT_LT(reads, 25); /* in a minute */
@@ -836,7 +843,7 @@
 	lp_call_id offer(int64_t left = 5 * S, int64_t age = 0,
 			 uint64_t incarnation = 7, uint32_t reuse = 0)
 	{
-		struct worker_offer offer = {};
+		struct worker_submit offer = {};
 
 		offer.id = { 1, reuse ? reuse : ++serial, 0, 1 };
 		offer.peer = "entry";
@@ -846,13 +853,13 @@
 		offer.echo_us = clock.now_us - age;
 		offer.left_us = left;
 		offer.payload = g_malloc(1);
-		worker_offer(work, &offer);
+		worker_submit(work, &offer);
 		return offer.id;
 	}
 	void ask(const lp_call_id &id, bool withdraw, int64_t age = 0)
 	{
-		worker_question question = { id, "entry", 7, clock.now_us - age,
-					     withdraw };
+		worker_state_query question = { id, "entry", 7,
+						clock.now_us - age, withdraw };
 
 		worker_query(work, &question);
 	}
@@ -922,15 +929,15 @@
 	offer();
 	offer();
 	offer();
-	worker_leave(work);
+	worker_drain(work);
 	EXPECT_EQ(replies.back().second.error, LP_ERROR_LEAVING);
 	EXPECT_EQ(replies.back().second.run, LP_RUN_NOT_RUN);
 	offer();
 	EXPECT_EQ(replies.back().second.error, LP_ERROR_LEAVING);
-	EXPECT_FALSE(worker_idle(work));
+	EXPECT_FALSE(worker_is_idle(work));
 	finish(0);
 	finish(1);
-	EXPECT_TRUE(worker_idle(work));
+	EXPECT_TRUE(worker_is_idle(work));
 }
 
 TEST_F(WorkerTest, RefusesWhatCannotBeInTime)
@@ -960,10 +967,10 @@
 	worker_tick(work);
 	EXPECT_EQ(cancelled, 1);
 	finish(0);
-	EXPECT_EQ(worker_remembered(work), 1u);
+	EXPECT_EQ(worker_call_count(work), 1u);
 	clock.now_us += 20 * S;
 	worker_tick(work);
-	EXPECT_EQ(worker_remembered(work), 0u);
+	EXPECT_EQ(worker_call_count(work), 0u);
 	ask(id, false, 22 * S);
 	EXPECT_EQ(states.back(), WORKER_LOST);
 }
@@ -1057,10 +1064,10 @@
 	}
 	static const flow_ops ops;
 
-	flow_word word(const char *agent, uint64_t incarnation,
-		       bool leaving = false)
+	flow_report word(const char *agent, uint64_t incarnation,
+			 bool leaving = false)
 	{
-		flow_word told = { "s", agent, "near", {} };
+		flow_report told = { "s", agent, "near", {} };
 
 		told.load.incarnation = incarnation;
 		told.load.agent_time_us = ++agent_time;
@@ -1071,9 +1078,9 @@
 	}
 	void hear(const char *agent, uint64_t incarnation, bool leaving = false)
 	{
-		flow_word told = word(agent, incarnation, leaving);
+		flow_report told = word(agent, incarnation, leaving);
 
-		flow_heard(fl, &told);
+		flow_handle_report(fl, &told);
 	}
 	int submit(const flow_stage *stage, int64_t left = 5 * S)
 	{
@@ -1088,7 +1095,7 @@
 		return flow_submit(fl, &submit, &id, &outcome);
 	}
 	void answer(const Sent &to, int error, lp_run run,
-		    const flow_word *told = nullptr, uint32_t chunks = 0)
+		    const flow_report *told = nullptr, uint32_t chunks = 0)
 	{
 		struct flow_result result = {};
 
@@ -1097,7 +1104,7 @@
 		result.run = run;
 		result.chunks = chunks;
 		result.body = "{}";
-		flow_result(fl, &result, told);
+		flow_handle_result(fl, &result, told);
 	}
 	void pass(int64_t time)
 	{
@@ -1127,7 +1134,7 @@
 {
 	hear("a", 1);
 	ASSERT_EQ(submit(&once), LP_OK);
-	flow_word told = word("a", 2);
+	flow_report told = word("a", 2);
 	answer(sent[0], LP_ERROR_WRONG_INCARNATION, LP_RUN_NOT_RUN, &told);
 	ASSERT_EQ(sent.size(), 2u);
 	EXPECT_EQ(sent[1].incarnation, 2u);
@@ -1192,12 +1199,12 @@
 	hear("a", 1);
 	hear("b", 1);
 	ASSERT_EQ(submit(&stream), LP_OK);
-	flow_chunk(fl, &sent[0].id, 0, "one ", 1);
-	flow_chunk(fl, &sent[0].id, 2, "three ", 1); /* a gap */
+	flow_handle_chunk(fl, &sent[0].id, 0, "one ", 1);
+	flow_handle_chunk(fl, &sent[0].id, 2, "three ", 1); /* a gap */
 	ASSERT_EQ(sent.size(), 2u);
 	EXPECT_EQ(sent[1].resume, "one ");
-	flow_chunk(fl, &sent[0].id, 1, "two ", 1); /* late: dropped */
-	flow_chunk(fl, &sent[1].id, 0, "two ", 1);
+	flow_handle_chunk(fl, &sent[0].id, 1, "two ", 1); /* late: dropped */
+	flow_handle_chunk(fl, &sent[1].id, 0, "two ", 1);
 	answer(sent[1], LP_OK, LP_RUN_RAN, nullptr, 1);
 	EXPECT_EQ(streamed, "one two ");
 	EXPECT_EQ(finished[0].error, LP_OK);
@@ -1212,7 +1219,7 @@
 	ASSERT_EQ(submit(&stream), LP_OK);
 	pass(300 * MS);
 	ASSERT_FALSE(asked.empty());
-	flow_state(fl, &sent[0].id, FLOW_STATE_RUNNING);
+	flow_handle_state(fl, &sent[0].id, FLOW_STATE_RUNNING);
 	ASSERT_EQ(sent.size(), 2u);
 	EXPECT_TRUE(asked.back().second);
 	EXPECT_NE(sent[0].agent, sent[1].agent);
@@ -1226,7 +1233,7 @@
 	ASSERT_FALSE(asked.empty());
 	EXPECT_TRUE(asked.back().second);
 	EXPECT_TRUE(finished.empty());
-	flow_state(fl, &sent[0].id, FLOW_STATE_NOT_RUN);
+	flow_handle_state(fl, &sent[0].id, FLOW_STATE_NOT_RUN);
 	ASSERT_EQ(finished.size(), 1u);
 	EXPECT_EQ(finished[0].error, LP_ERROR_DEADLINE_PASSED);
 	EXPECT_EQ(finished[0].run, LP_RUN_NOT_RUN);
@@ -1237,7 +1244,7 @@
 {
 	hear("a", 1);
 	ASSERT_EQ(submit(&once, 60 * S), LP_OK);
-	flow_end_by(fl, clock.now_us + 2 * S);
+	flow_cap_deadlines(fl, clock.now_us + 2 * S);
 	ASSERT_EQ(submit(&plain, 60 * S), LP_OK);
 	pass(S);
 	EXPECT_TRUE(finished.empty());
@@ -1305,28 +1312,28 @@
 
 TEST_F(OrderTest, ACheckingUpstreamGetsTheNumberAtOnce)
 {
-	order_want(table, "m@1", true, 10 * S);
+	order_set_target(table, "m@1", true, 10 * S);
 	order_tick(table);
 	EXPECT_EQ(fences, 1);
-	order_fenced(table, 0); /* the KV is down */
+	order_fence_taken(table, 0); /* the KV is down */
 	order_tick(table);
 	EXPECT_EQ(fences, 1);
 	clock.now_us += 2 * S;
 	order_tick(table);
-	order_fenced(table, 7);
+	order_fence_taken(table, 7);
 	order_tick(table);
 	ASSERT_EQ(sent.size(), 1u);
 	EXPECT_EQ(sent[0].first, 7);
-	order_done(table, ORDER_FAILED);
+	order_finished(table, ORDER_FAILED);
 	clock.now_us += 2 * S;
 	order_tick(table);
-	order_done(table, ORDER_TAKEN);
-	EXPECT_STREQ(order_in_force(table), "m@1");
+	order_finished(table, ORDER_ACCEPTED);
+	EXPECT_STREQ(order_active_model(table), "m@1");
 	order_tick(table);
 	EXPECT_EQ(sent.size(), 2u);
-	order_want(table, "m@2", true, 10 * S);
+	order_set_target(table, "m@2", true, 10 * S);
 	order_tick(table);
-	order_done(table, ORDER_FENCED_OFF);
+	order_finished(table, ORDER_REFUSED_FENCE);
 	EXPECT_TRUE(order_superseded(table));
 	order_tick(table);
 	EXPECT_EQ(sent.size(), 3u);
@@ -1334,9 +1341,9 @@
 
 TEST_F(OrderTest, AnIgnoringUpstreamIsWaitedForAndAskedAbout)
 {
-	order_want(table, "m@1", false, 10 * S);
+	order_set_target(table, "m@1", false, 10 * S);
 	order_tick(table);
-	order_fenced(table, 7);
+	order_fence_taken(table, 7);
 	clock.now_us += 9 * S;
 	order_tick(table);
 	EXPECT_EQ(checks, 0); /* the predecessor may still act */
@@ -1344,17 +1351,17 @@
 	order_tick(table);
 	EXPECT_EQ(checks, 1);
 	EXPECT_TRUE(sent.empty());
-	order_confirmed(table, true, true);
+	order_fence_checked(table, true, true);
 	order_tick(table);
 	ASSERT_EQ(sent.size(), 1u);
-	order_done(table, ORDER_TAKEN);
+	order_finished(table, ORDER_ACCEPTED);
 	/* It stands still, wakes, and must ask again before it orders. */
 	clock.now_us += 60 * S;
-	order_want(table, "m@2", false, 10 * S);
+	order_set_target(table, "m@2", false, 10 * S);
 	order_tick(table);
 	EXPECT_EQ(sent.size(), 1u);
 	EXPECT_EQ(checks, 2);
-	order_confirmed(table, true, false);
+	order_fence_checked(table, true, false);
 	order_tick(table);
 	EXPECT_EQ(sent.size(), 1u);
 	EXPECT_TRUE(order_superseded(table));
@@ -1363,13 +1370,13 @@
 /* A confirmation that was long under way says what stood then, not now. */
 TEST_F(OrderTest, AnOldConfirmationIsWorthNothing)
 {
-	order_want(table, "m@1", false, 3 * S);
+	order_set_target(table, "m@1", false, 3 * S);
 	order_tick(table);
-	order_fenced(table, 7);
+	order_fence_taken(table, 7);
 	clock.now_us += 4 * S;
 	order_tick(table);
 	clock.now_us += 60 * S; /* paused with the answer in the socket */
-	order_confirmed(table, true, true);
+	order_fence_checked(table, true, true);
 	order_tick(table);
 	EXPECT_TRUE(sent.empty());
 	EXPECT_EQ(checks, 2);
--- a/tests/sim_test.cc
+++ b/tests/sim_test.cc
@@ -155,10 +155,10 @@
 		world.at(world.now + delay + world.pick(0, 900 * MS), deliver);
 }
 
-route_word word_of(const Agent &agent)
+route_report word_of(const Agent &agent)
 {
 	worker_load load;
-	route_word word{};
+	route_report word{};
 
 	worker_get_load(agent.work, &load);
 	word.incarnation = agent.incarnation;
@@ -172,7 +172,7 @@
 	return word;
 }
 
-flow_word told_by(const Agent &agent, const route_word &word)
+flow_report told_by(const Agent &agent, const route_report &word)
 {
 	return { agent.service.c_str(), agent.name.c_str(),
 		 agent.index % 2 ? "east" : "west", word };
@@ -180,12 +180,12 @@
 
 void beat(World &world, Agent &agent)
 {
-	route_word word = word_of(agent);
+	route_report word = word_of(agent);
 
 	to_entry(world, agent, [&world, &agent, word]() {
-		flow_word told = told_by(agent, word);
+		flow_report told = told_by(agent, word);
 
-		flow_heard(world.fl, &told);
+		flow_handle_report(world.fl, &told);
 	});
 }
 
@@ -200,7 +200,7 @@
 void send_result(World &world, Agent &agent, const lp_call_id &id,
 		 const worker_result &result)
 {
-	route_word word = word_of(agent);
+	route_report word = word_of(agent);
 	std::string body = result.body ? result.body : "";
 	worker_result copy = result;
 
@@ -213,9 +213,9 @@
 		out.run = copy.run;
 		out.chunks = copy.chunks;
 		out.body = body.c_str();
-		flow_word told = told_by(agent, word);
+		flow_report told = told_by(agent, word);
 
-		flow_result(world.fl, &out, &told);
+		flow_handle_result(world.fl, &out, &told);
 	});
 }
 
@@ -260,7 +260,7 @@
 		std::to_string(id.serial) + "." + std::to_string(token) + " ";
 
 	to_entry(world, agent, [&world, id, seq, text]() {
-		flow_chunk(world.fl, &id, seq, text.c_str(), 1);
+		flow_handle_chunk(world.fl, &id, seq, text.c_str(), 1);
 	});
 	if (token + 1 < last)
 		world.at(world.now + 5 * MS, [=, &world, &agent]() {
@@ -336,7 +336,7 @@
 	lp_call_id copy = *id;
 
 	to_entry(world, agent, [&world, copy, state]() {
-		flow_state(world.fl, &copy, states[state]);
+		flow_handle_state(world.fl, &copy, states[state]);
 	});
 }
 
@@ -389,7 +389,7 @@
 	World &world = *static_cast<World *>(userdata);
 	Agent &agent = *find_agent(world, send->attempt->agent);
 	const flow_stage &stage = stages[request->stage];
-	struct worker_offer offer {
+	struct worker_submit offer {
 	};
 	uint32_t had = send->resume_tokens;
 	bool stream = stage.stream;
@@ -401,13 +401,13 @@
 	offer.left_us = send->left_us;
 	offer.repeatable = stage.repeatable;
 	to_agent(world, agent, [offer, had, stream](Agent &there) {
-		struct worker_offer copy = offer;
+		struct worker_submit copy = offer;
 
 		copy.peer = "entry";
 		copy.organisation = "org";
 		copy.weight = 1;
 		copy.payload = new Payload{ offer.id, had, stream };
-		worker_offer(there.work, &copy);
+		worker_submit(there.work, &copy);
 	});
 	return LP_OK;
 }
@@ -416,7 +416,7 @@
 {
 	World &world = *static_cast<World *>(userdata);
 	Agent &agent = *find_agent(world, attempt->agent);
-	worker_question question{};
+	worker_state_query question{};
 
 	question.id = attempt->id;
 	question.peer = "entry";
