--- a/agent/agent.c
+++ b/agent/agent.c
@@ -66,7 +66,7 @@
 		.wait_us = own.wait_us,
 		.run_us = own.run_us,
 		.kv_age_ms = node_kv_age_ms(agent->node),
-		.leaving = own.leaving,
+		.leaving = own.draining,
 	};
 }
 
@@ -159,7 +159,7 @@
 	*agent->runs += 1;
 	trace_add(node_trace(agent->node), &call->id, TRACE_STARTED, NULL, 0,
 		  call->result.queue_us, load.running);
-	call->running = upstream_start(agent->upstream, &request);
+	call->run_data = upstream_start(agent->upstream, &request);
 }
 
 static void worker_cancel(void *userdata, struct worker_call *call)
@@ -167,7 +167,7 @@
 	struct agent *agent = userdata;
 
 	*agent->cancelled += 1;
-	upstream_cancel(call->running);
+	upstream_cancel(call->run_data);
 }
 
 static void worker_reply(void *userdata, const struct worker_call *call)
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -256,13 +256,14 @@
 	const struct flow_stats *stats = flow_stats(entry->flow);
 
 	gauge(entry, "linepier_flow_accepted_total", stats->accepted);
-	gauge(entry, "linepier_flow_refused_door_total", stats->refused_door);
+	gauge(entry, "linepier_flow_refused_door_total",
+	      stats->refused_admission);
 	gauge(entry, "linepier_flow_calls_total", stats->sent);
-	gauge(entry, "linepier_flow_moved_total", stats->moved);
+	gauge(entry, "linepier_flow_moved_total", stats->failovers);
 	gauge(entry, "linepier_flow_retried_total", stats->retried);
 	gauge(entry, "linepier_flow_hedged_total", stats->hedged);
 	gauge(entry, "linepier_flow_resumed_total", stats->resumed);
-	gauge(entry, "linepier_flow_asked_total", stats->asked);
+	gauge(entry, "linepier_flow_asked_total", stats->queries);
 	gauge(entry, "linepier_flow_lost_total", stats->lost);
 	gauge(entry, "linepier_flow_dropped_answers_total", stats->dropped);
 	gauge(entry, "linepier_flow_no_budget_total", stats->no_budget);
@@ -347,7 +348,7 @@
 	lp_json_int(builder, "agents_heard", entry_peers_heard(entry->peers));
 	lp_json_int(builder, "in_flight", entry->requests);
 	lp_json_int(builder, "accepted", (int64_t)stats->accepted);
-	lp_json_int(builder, "refused_door", (int64_t)stats->refused_door);
+	lp_json_int(builder, "refused_door", (int64_t)stats->refused_admission);
 	lp_json_int(builder, "answered", (int64_t)stats->finished_ok);
 	lp_json_int(builder, "failed", (int64_t)stats->finished_error);
 	lp_json_int(builder, "keys", entry_owners_count(entry->owners));
@@ -405,14 +406,15 @@
 		.entry = lp_entry_tag(settings->host, (uint32_t)incarnation),
 		.domain = settings->domain,
 		.seed = incarnation,
-		.silence_us = (int64_t)((double)settings->beat_ms *
-					LP_US_PER_MS * NODE_BEATS_SILENT),
+		.report_timeout_us =
+			(int64_t)((double)settings->beat_ms * LP_US_PER_MS *
+				  NODE_BEATS_SILENT),
 		.naive = settings->naive,
 		.no_affinity = !settings->affinity,
 	};
 	const struct quota_options quota = {
 		.clock = node_clock(entry->node),
-		.ask = quota_ask,
+		.request_share = quota_ask,
 		.userdata = entry,
 	};
 
--- a/entry/entry_keys.c
+++ b/entry/entry_keys.c
@@ -501,7 +501,8 @@
 	const struct idempotency_options keys = {
 		.clock = node_clock(entry->node),
 		/* Longer than tickets and claims last. */
-		.keep_us = entry->settings->key_keep_ms * LP_US_PER_MS * 2,
+		.result_ttl_us =
+			entry->settings->key_keep_ms * LP_US_PER_MS * 2,
 		.wake = wake_waiter,
 		.userdata = owners,
 	};
--- a/entry/entry_peers.c
+++ b/entry/entry_peers.c
@@ -165,7 +165,7 @@
 	conn->wanted = true;
 	upstream = upstream_of(peers, conn);
 	if (upstream)
-		upstream->listed_leaving = host->leaving;
+		upstream->listed_draining = host->leaving;
 }
 
 /* Each service's part of the connections, and a few even of many services. */
@@ -308,7 +308,7 @@
 {
 	const struct route_upstream *upstream = upstream_of(peers, conn);
 
-	return upstream && !upstream->silent && !upstream->leaving;
+	return upstream && !upstream->silent && !upstream->draining;
 }
 
 /*
@@ -322,7 +322,7 @@
 	int64_t beat_us = peers->entry->settings->beat_ms * LP_US_PER_MS;
 
 	return !usable(peers, conn) ||
-	       now_us - upstream->heard_us > beat_us * BEATS_MISSED;
+	       now_us - upstream->report_received_us > beat_us * BEATS_MISSED;
 }
 
 void entry_peers_tick(struct entry_peers *peers)
@@ -406,7 +406,7 @@
 		.limit = load->limit,
 		.wait_us = load->wait_us,
 		.run_us = load->run_us,
-		.leaving = load->leaving,
+		.draining = load->leaving,
 	};
 	node_heard_revision(peers->entry->node, peer, load->revision,
 			    load->kv_age_ms);
--- a/entry/entry_request.c
+++ b/entry/entry_request.c
@@ -383,7 +383,7 @@
 
 const struct flow_ops entry_flow_ops = {
 	.send = flow_send_call,
-	.ask = flow_ask,
+	.query = flow_ask,
 	.chunk = flow_take_chunk,
 	.stage_done = flow_stage_done,
 	.finish = flow_finish,
--- a/node/node.c
+++ b/node/node.c
@@ -475,9 +475,9 @@
 		.ops = &config_propagation_ops,
 		.userdata = node,
 		.seed = node->incarnation,
-		.patience_us = node->settings->role == NODE_ROLE_AGENT
-				       ? AGENT_PATIENCE_US
-				       : 0,
+		.takeover_after_us = node->settings->role == NODE_ROLE_AGENT
+					     ? AGENT_PATIENCE_US
+					     : 0,
 		.watch_always = node->settings->config_watch_all,
 	};
 
--- a/node/node_admin.c
+++ b/node/node_admin.c
@@ -81,7 +81,7 @@
 	lp_json_text(builder, "id", id);
 	lp_json_int(builder, "stage", event->id.stage);
 	lp_json_int(builder, "attempt", event->id.attempt);
-	lp_json_text(builder, "who", event->who);
+	lp_json_text(builder, "who", event->host);
 	lp_json_text(builder, "text", text);
 	json_builder_end_object(builder);
 }
--- a/policy/backoff.c
+++ b/policy/backoff.c
@@ -11,7 +11,8 @@
 			double draw)
 {
 	uint32_t doublings = MIN(MAX(failures, 1) - 1, DOUBLINGS_MAX);
-	int64_t wait_us = MIN(backoff->first_us << doublings, backoff->most_us);
+	int64_t wait_us =
+		MIN(backoff->initial_us << doublings, backoff->max_us);
 
 	return (int64_t)((double)wait_us * (1.0 - DRAWN * draw));
 }
--- a/policy/backoff.h
+++ b/policy/backoff.h
@@ -12,8 +12,8 @@
 #include <stdint.h>
 
 struct backoff {
-	int64_t first_us; /**< after one failure */
-	int64_t most_us;  /**< never longer, drawn part included */
+	int64_t initial_us; /**< after one failure */
+	int64_t max_us;	    /**< never longer, drawn part included */
 };
 
 /** `failures` in a row, 1 or more; `draw` from 0 to 1. */
--- a/policy/claim.c
+++ b/policy/claim.c
@@ -9,14 +9,14 @@
 struct claim {
 	char *key;
 	char *owner;
-	int64_t until_us;
+	int64_t deadline_us;
 	void *waiter; /* NULL once it is gone */
 };
 
 struct claims {
 	struct claims_options options;
 	GQueue waiting;
-	GPtrArray *flight; /* of the write in flight, or to be tried again */
+	GPtrArray *batch; /* of the write in flight, or to be tried again */
 	bool writing;
 	int64_t retry_us; /* when to try again; 0: not */
 	int64_t backoff_us;
@@ -37,7 +37,7 @@
 	struct claims *claims = g_new0(struct claims, 1);
 
 	claims->options = *options;
-	claims->flight = g_ptr_array_new();
+	claims->batch = g_ptr_array_new();
 	claims->backoff_us = RETRY_US;
 	g_queue_init(&claims->waiting);
 	return claims;
@@ -48,8 +48,8 @@
 	if (!claims)
 		return;
 	g_queue_clear_full(&claims->waiting, free_claim);
-	g_ptr_array_set_free_func(claims->flight, free_claim);
-	g_ptr_array_unref(claims->flight);
+	g_ptr_array_set_free_func(claims->batch, free_claim);
+	g_ptr_array_unref(claims->batch);
 	g_free(claims);
 }
 
@@ -71,9 +71,8 @@
 {
 	struct claim_item items[CLAIM_BATCH_MAX];
 
-	for (guint i = 0; i < claims->flight->len; i++) {
-		const struct claim *claim =
-			g_ptr_array_index(claims->flight, i);
+	for (guint i = 0; i < claims->batch->len; i++) {
+		const struct claim *claim = g_ptr_array_index(claims->batch, i);
 
 		items[i].key = claim->key;
 		items[i].owner = claim->owner;
@@ -82,15 +81,14 @@
 	claims->retry_us = 0;
 	claims->writes += 1;
 	claims->options.ops->write(claims->options.userdata, items,
-				   claims->flight->len);
+				   claims->batch->len);
 }
 
 /* The same key twice in one write would be refused: it waits its turn. */
 static bool is_in_batch(const struct claims *claims, const char *key)
 {
-	for (guint i = 0; i < claims->flight->len; i++) {
-		const struct claim *claim =
-			g_ptr_array_index(claims->flight, i);
+	for (guint i = 0; i < claims->batch->len; i++) {
+		const struct claim *claim = g_ptr_array_index(claims->batch, i);
 
 		if (!strcmp(claim->key, key))
 			return true;
@@ -102,12 +100,12 @@
 {
 	guint max = claims->options.naive ? 1 : CLAIM_BATCH_MAX;
 
-	while (claims->flight->len < max) {
+	while (claims->batch->len < max) {
 		struct claim *claim = g_queue_peek_head(&claims->waiting);
 
 		if (!claim || is_in_batch(claims, claim->key))
 			return;
-		g_ptr_array_add(claims->flight,
+		g_ptr_array_add(claims->batch,
 				g_queue_pop_head(&claims->waiting));
 	}
 }
@@ -117,7 +115,7 @@
 	if (claims->writing || claims->retry_us)
 		return;
 	fill_batch(claims);
-	if (claims->flight->len)
+	if (claims->batch->len)
 		write_batch(claims);
 }
 
@@ -128,7 +126,7 @@
 
 	claim->key = g_strdup(key);
 	claim->owner = g_strdup(owner);
-	claim->until_us = until_us;
+	claim->deadline_us = until_us;
 	claim->waiter = waiter;
 	g_queue_push_tail(&claims->waiting, claim);
 	advance(claims);
@@ -144,8 +142,8 @@
 {
 	for (GList *link = claims->waiting.head; link; link = link->next)
 		clear_waiter(link->data, waiter);
-	for (guint i = 0; i < claims->flight->len; i++)
-		clear_waiter(g_ptr_array_index(claims->flight, i), waiter);
+	for (guint i = 0; i < claims->batch->len; i++)
+		clear_waiter(g_ptr_array_index(claims->batch, i), waiter);
 }
 
 static const char *find_owner(const char *key, const struct claim_found *found,
@@ -159,9 +157,9 @@
 
 static void settle_all(struct claims *claims)
 {
-	g_autoptr(GPtrArray) done = claims->flight;
+	g_autoptr(GPtrArray) done = claims->batch;
 
-	claims->flight = g_ptr_array_new();
+	claims->batch = g_ptr_array_new();
 	for (guint i = 0; i < done->len; i++) {
 		struct claim *claim = g_ptr_array_index(done, i);
 
@@ -173,9 +171,9 @@
 static void settle_existing(struct claims *claims,
 			    const struct claim_found *found, uint32_t count)
 {
-	g_autoptr(GPtrArray) done = claims->flight;
+	g_autoptr(GPtrArray) done = claims->batch;
 
-	claims->flight = g_ptr_array_new();
+	claims->batch = g_ptr_array_new();
 	for (guint i = 0; i < done->len; i++) {
 		struct claim *claim = g_ptr_array_index(done, i);
 		const char *owner = find_owner(claim->key, found, count);
@@ -183,7 +181,7 @@
 		if (owner)
 			settle(claims, claim, LP_OK, owner);
 		else
-			g_ptr_array_add(claims->flight, claim);
+			g_ptr_array_add(claims->batch, claim);
 	}
 }
 
@@ -224,22 +222,22 @@
 		struct claim *claim = link->data;
 		GList *next = link->next;
 
-		if (claim->until_us <= now) {
+		if (claim->deadline_us <= now) {
 			g_queue_delete_link(&claims->waiting, link);
 			give_up(claims, claim);
 			free_claim(claim);
 		}
 		link = next;
 	}
-	for (guint i = claims->flight->len; i > 0; i--) {
-		struct claim *claim = g_ptr_array_index(claims->flight, i - 1);
+	for (guint i = claims->batch->len; i > 0; i--) {
+		struct claim *claim = g_ptr_array_index(claims->batch, i - 1);
 
-		if (claim->until_us > now)
+		if (claim->deadline_us > now)
 			continue;
 		give_up(claims, claim);
 		if (claims->writing)
 			continue;
-		g_ptr_array_remove_index(claims->flight, i - 1);
+		g_ptr_array_remove_index(claims->batch, i - 1);
 		free_claim(claim);
 	}
 }
--- a/policy/concurrency_limit.c
+++ b/policy/concurrency_limit.c
@@ -21,22 +21,23 @@
 
 	limit->samples = 0;
 	limit->sum_us = 0;
-	if (limit->best_us == 0 || mean_us < limit->best_us)
-		limit->best_us = mean_us;
-	if (mean_us > limit->best_us * SHRINK_ABOVE)
+	if (limit->best_mean_us == 0 || mean_us < limit->best_mean_us)
+		limit->best_mean_us = mean_us;
+	if (mean_us > limit->best_mean_us * SHRINK_ABOVE)
 		limit->value = (uint32_t)(limit->value * SHRINK_FACTOR);
-	else if (mean_us < limit->best_us * GROW_BELOW)
+	else if (mean_us < limit->best_mean_us * GROW_BELOW)
 		limit->value += MAX(1, limit->value / 8);
 	limit->value = CLAMP(limit->value, floor, limit->max);
-	limit->best_us *= BEST_DRIFT;
+	limit->best_mean_us *= BEST_DRIFT;
 }
 
 void concurrency_limit_add_sample(struct concurrency_limit *limit,
 				  int64_t run_us)
 {
-	if (limit->usual_us == 0)
-		limit->usual_us = (double)run_us;
-	limit->usual_us += ((double)run_us - limit->usual_us) * SMOOTHING;
+	if (limit->smoothed_run_us == 0)
+		limit->smoothed_run_us = (double)run_us;
+	limit->smoothed_run_us +=
+		((double)run_us - limit->smoothed_run_us) * SMOOTHING;
 	limit->sum_us += run_us;
 	limit->samples += 1;
 	if (limit->samples >= MAX(WINDOW_MIN, limit->value))
--- a/policy/concurrency_limit.h
+++ b/policy/concurrency_limit.h
@@ -16,8 +16,8 @@
 	uint32_t max;	/**< configured */
 	uint32_t samples;
 	int64_t sum_us;
-	double best_us;
-	double usual_us; /**< smoothed time of a call */
+	double best_mean_us;
+	double smoothed_run_us; /**< smoothed time of a call */
 };
 
 void concurrency_limit_init(struct concurrency_limit *limit, uint32_t max);
--- a/policy/config_propagation.c
+++ b/policy/config_propagation.c
@@ -15,16 +15,16 @@
 	struct config_propagation_options options;
 	GRand *random;
 	uint64_t revision;
-	uint64_t highest;
+	uint64_t highest_revision;
 	bool reader;
 	bool watching;
 	bool reading;
 	int64_t next_read_us;
 	int64_t next_watch_us;
-	int64_t pulled_us; /* when the outstanding pull was sent, or 0 */
+	int64_t pull_started_us; /* when the outstanding pull was sent, or 0 */
 	int64_t backoff_us;
-	int64_t reached_us;  /* someone reached the KV, on our clock */
-	int64_t patience_us; /* jittered anew each time */
+	int64_t kv_reached_us;	   /* someone reached the KV, on our clock */
+	int64_t takeover_after_us; /* jittered anew each time */
 	uint32_t hosts;
 };
 
@@ -49,10 +49,11 @@
 	spread->options = *options;
 	spread->random = g_rand_new_with_seed((guint32)options->seed);
 	spread->backoff_us = BACKOFF_MIN_US;
-	if (!options->patience_us)
-		spread->options.patience_us = PATIENCE_US;
-	spread->reached_us = now_us(spread) - NEVER_US;
-	spread->patience_us = jitter(spread, spread->options.patience_us);
+	if (!options->takeover_after_us)
+		spread->options.takeover_after_us = PATIENCE_US;
+	spread->kv_reached_us = now_us(spread) - NEVER_US;
+	spread->takeover_after_us =
+		jitter(spread, spread->options.takeover_after_us);
 	spread->next_read_us = now_us(spread) + jitter(spread, FIRST_READ_US);
 	if (options->watch_always)
 		config_propagation_set_reader(spread, true, 1);
@@ -95,10 +96,11 @@
 
 	if (revision <= spread->revision)
 		return;
-	spread->highest = MAX(spread->highest, revision);
-	if (spread->pulled_us && now - spread->pulled_us < PULL_TIMEOUT_US)
+	spread->highest_revision = MAX(spread->highest_revision, revision);
+	if (spread->pull_started_us &&
+	    now - spread->pull_started_us < PULL_TIMEOUT_US)
 		return;
-	spread->pulled_us = now;
+	spread->pull_started_us = now;
 	spread->options.ops->pull(spread->options.userdata, peer);
 }
 
@@ -108,26 +110,27 @@
 	if (revision <= spread->revision)
 		return false;
 	spread->revision = revision;
-	spread->highest = MAX(spread->highest, revision);
-	spread->pulled_us = 0;
+	spread->highest_revision = MAX(spread->highest_revision, revision);
+	spread->pull_started_us = 0;
 	return true;
 }
 
 void config_propagation_handle_kv_age(struct config_propagation *spread,
 				      int64_t age_us)
 {
-	spread->reached_us = MAX(spread->reached_us, now_us(spread) - age_us);
+	spread->kv_reached_us =
+		MAX(spread->kv_reached_us, now_us(spread) - age_us);
 }
 
 int64_t config_propagation_kv_age_us(const struct config_propagation *spread)
 {
-	return now_us(spread) - spread->reached_us;
+	return now_us(spread) - spread->kv_reached_us;
 }
 
 /* Nobody has reached the KV for so long that this process tries. */
 static bool must_step_in(struct config_propagation *spread)
 {
-	return config_propagation_kv_age_us(spread) > spread->patience_us;
+	return config_propagation_kv_age_us(spread) > spread->takeover_after_us;
 }
 
 /* The whole fleet may be trying: its size bounds how often one does. */
@@ -154,8 +157,9 @@
 		return;
 	}
 	spread->backoff_us = BACKOFF_MIN_US;
-	spread->reached_us = now_us(spread);
-	spread->patience_us = jitter(spread, spread->options.patience_us);
+	spread->kv_reached_us = now_us(spread);
+	spread->takeover_after_us =
+		jitter(spread, spread->options.takeover_after_us);
 	spread->next_read_us = now_us(spread) + jitter(spread, REREAD_US);
 	if (!spread->revision) /* the KV has none yet: look again soon */
 		spread->next_read_us =
@@ -199,5 +203,5 @@
 uint64_t
 config_propagation_highest_revision(const struct config_propagation *spread)
 {
-	return spread->highest;
+	return spread->highest_revision;
 }
--- a/policy/config_propagation.h
+++ b/policy/config_propagation.h
@@ -34,8 +34,8 @@
 	const struct config_propagation_ops *ops;
 	void *userdata;
 	uint64_t seed;
-	int64_t patience_us; /**< then it reads for the others; 0: 6 s */
-	bool watch_always;   /**< the naive twin: everyone watches the KV */
+	int64_t takeover_after_us; /**< then it reads for the others; 0: 6 s */
+	bool watch_always; /**< the naive twin: everyone watches the KV */
 };
 
 struct config_propagation *
--- a/policy/flow.c
+++ b/policy/flow.c
@@ -20,7 +20,7 @@
 	struct flow_service *service = data;
 
 	route_destroy(service->route);
-	quantile_destroy(service->total_us);
+	quantile_destroy(service->stage_times);
 	g_free(service->name);
 	g_free(service);
 }
@@ -32,7 +32,7 @@
 	struct route_options options = {
 		.clock = flow->options.clock,
 		.domain = flow->domain,
-		.silence_us = flow->options.silence_us,
+		.report_timeout_us = flow->options.report_timeout_us,
 		.seed = lp_hash_pair(flow->options.seed, lp_hash_str(name)),
 		.naive = flow->options.naive,
 	};
@@ -42,8 +42,9 @@
 	service = g_new0(struct flow_service, 1);
 	service->name = g_strdup(name);
 	service->route = route_create(&options);
-	service->total_us = quantile_create();
-	bucket_init(&service->budget, 0, RETRY_BUDGET_BURST, flow_now_us(flow));
+	service->stage_times = quantile_create();
+	bucket_init(&service->retry_budget, 0, RETRY_BUDGET_BURST,
+		    flow_now_us(flow));
 	g_hash_table_insert(flow->services, service->name, service);
 	return service;
 }
@@ -71,12 +72,12 @@
 
 	flow->options = *options;
 	flow->domain = g_strdup(options->domain);
-	flow->entries = 1;
+	flow->entry_count = 1;
 	flow->services = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       free_service);
 	flow->requests = g_hash_table_new_full(g_direct_hash, g_direct_equal,
 					       NULL, free_request);
-	flow->end_us = INT64_MAX;
+	flow->deadline_cap_us = INT64_MAX;
 	flow->wakes = g_sequence_new(NULL);
 	flow->throttle = throttle_create(options->seed);
 	return flow;
@@ -150,9 +151,9 @@
 static int64_t estimate_wait_us(struct flow *flow, struct flow_service *service,
 				const char *organisation)
 {
-	int64_t run_us = quantile_get(service->total_us, 0.5, 0);
-	int64_t coming_us = run_us * service->coming * flow->entries /
-			    route_slots(service->route);
+	int64_t run_us = quantile_get(service->stage_times, 0.5, 0);
+	int64_t coming_us = run_us * service->expected_calls *
+			    flow->entry_count / route_slots(service->route);
 
 	return throttle_wait_us(flow->throttle, organisation, service->name,
 				flow_now_us(flow)) +
@@ -199,7 +200,7 @@
 static int64_t capped_deadline_us(const struct flow *flow,
 				  const struct flow_submit *submit)
 {
-	return MIN(submit->deadline_us, flow->end_us);
+	return MIN(submit->deadline_us, flow->deadline_cap_us);
 }
 
 static int check_admission(struct flow *flow, const struct flow_submit *submit,
@@ -228,7 +229,8 @@
 			       const struct flow_request *request)
 {
 	for (uint32_t i = 0; i < request->stages_count; i++)
-		flow_get_service(flow, request->stages[i].service)->coming += 1;
+		flow_get_service(flow, request->stages[i].service)
+			->expected_calls += 1;
 }
 
 static struct flow_request *add_request(struct flow *flow,
@@ -279,7 +281,7 @@
 			.retry_us =
 				MAX(estimate_us - left_us, 100 * LP_US_PER_MS),
 		};
-		flow->stats.refused_door += 1;
+		flow->stats.refused_admission += 1;
 		flow_add_trace(flow, id, TRACE_REFUSED, NULL, error,
 			       estimate_us, left_us);
 		return error;
@@ -334,7 +336,7 @@
 
 void flow_set_entry_count(struct flow *flow, uint32_t entries)
 {
-	flow->entries = MAX(1, entries);
+	flow->entry_count = MAX(1, entries);
 }
 
 void flow_agent_removed(struct flow *flow, const char *service,
@@ -345,7 +347,7 @@
 
 	if (!upstream)
 		return;
-	upstream->leaving = true; /* nothing moves back to it */
+	upstream->draining = true; /* nothing moves back to it */
 	flow_lose_attempts_at(flow, upstream, true);
 	flow_lose_attempts_at(flow, upstream, true); /* a hedge beside it */
 	route_remove(route, agent);
@@ -366,17 +368,17 @@
 static void ask(struct flow *flow, struct flow_request *request,
 		struct flow_attempt *attempt)
 {
-	if (attempt->asked >= UNANSWERED_QUERIES_MAX &&
+	if (attempt->unanswered_queries >= UNANSWERED_QUERIES_MAX &&
 	    flow_current_stage(request)->repeatable) {
 		flow_lose_attempt(flow, request, attempt);
 		return;
 	}
-	attempt->asked += 1;
-	attempt->ask_us = flow_now_us(flow) + QUERY_INTERVAL_US;
-	flow->stats.asked += 1;
+	attempt->unanswered_queries += 1;
+	attempt->query_due_us = flow_now_us(flow) + QUERY_INTERVAL_US;
+	flow->stats.queries += 1;
 	flow_add_trace(flow, &attempt->id, TRACE_QUERIED, attempt->agent, 0,
 		       flow_now_us(flow) - attempt->sent_us, 0);
-	flow->options.ops->ask(flow->options.userdata, attempt, false);
+	flow->options.ops->query(flow->options.userdata, attempt, false);
 	flow_update_wake(flow, request);
 }
 
@@ -389,8 +391,8 @@
 	if (!first->live)
 		first = &request->attempts[1];
 	if (flow_live_attempts(request) == 1 &&
-	    service->budget.tokens > HEDGE_BUDGET_RESERVE &&
-	    bucket_take(&service->budget, flow_now_us(flow)) &&
+	    service->retry_budget.tokens > HEDGE_BUDGET_RESERVE &&
+	    bucket_take(&service->retry_budget, flow_now_us(flow)) &&
 	    !flow_dispatch(flow, request, first->upstream, true)) {
 		flow->stats.hedged += 1;
 		flow_add_trace(
@@ -434,7 +436,7 @@
 	for (int i = 0; i < FLOW_ATTEMPTS; i++) {
 		struct flow_attempt *attempt = &request->attempts[i];
 
-		if (attempt->live && now >= attempt->ask_us) {
+		if (attempt->live && now >= attempt->query_due_us) {
 			ask(flow, request, attempt);
 			return;
 		}
@@ -447,7 +449,7 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	flow->end_us = end_us;
+	flow->deadline_cap_us = end_us;
 	g_hash_table_iter_init(&iter, flow->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct flow_request *request = value;
--- a/policy/flow.h
+++ b/policy/flow.h
@@ -52,8 +52,8 @@
 	uint64_t incarnation;
 	int64_t agent_sent_us; /**< sending time on the agent's clock */
 	int64_t sent_us;
-	int64_t ask_us; /**< when to ask what became of it */
-	uint32_t asked; /**< in a row, unanswered */
+	int64_t query_due_us;	     /**< when to ask what became of it */
+	uint32_t unanswered_queries; /**< in a row, unanswered */
 	uint32_t chunks;
 };
 
@@ -110,8 +110,8 @@
 	int (*send)(void *userdata, struct flow_request *request,
 		    const struct flow_send *send);
 	/** Ask an agent about an attempt. */
-	void (*ask)(void *userdata, const struct flow_attempt *attempt,
-		    bool withdraw);
+	void (*query)(void *userdata, const struct flow_attempt *attempt,
+		      bool withdraw);
 	/** A chunk of the stage's stream, in order, once. */
 	void (*chunk)(void *userdata, struct flow_request *request,
 		      const char *text, uint32_t tokens);
@@ -141,13 +141,13 @@
 	struct flow_attempt attempts[FLOW_ATTEMPTS];
 	enum lp_run run;
 	uint16_t attempt_serial;
-	uint32_t moves;
+	uint32_t failovers;
 	int64_t stage_started_us;
 	int64_t hedge_us;
 	bool withdrawing;
 	int last_error;
 	int64_t retry_us;
-	GSequenceIter *wake;
+	GSequenceIter *wake_position;
 	int64_t wake_us;
 };
 
@@ -159,7 +159,8 @@
 	uint64_t entry;	     /**< lp_entry_tag() of this process */
 	const char *domain;
 	uint64_t seed;
-	int64_t silence_us; /**< an agent's, until it gets no calls; 0: 7 s */
+	int64_t report_timeout_us; /**< an agent's, until it gets no calls; 0: 7
+				      s */
 	bool naive;	  /**< random routing, no door, no hedging, no asking */
 	bool no_affinity; /**< measurement: two choices for every call */
 };
@@ -177,15 +178,15 @@
 
 struct flow_stats {
 	uint64_t accepted;
-	uint64_t refused_door;
+	uint64_t refused_admission;
 	uint64_t finished_ok;
 	uint64_t finished_error;
 	uint64_t sent;
-	uint64_t moved;
+	uint64_t failovers;
 	uint64_t retried;
 	uint64_t hedged;
 	uint64_t resumed;
-	uint64_t asked;
+	uint64_t queries;
 	uint64_t lost;
 	uint64_t dropped; /**< answers that no live attempt waits for */
 	uint64_t no_budget;
--- a/policy/flow_answer.c
+++ b/policy/flow_answer.c
@@ -25,7 +25,8 @@
 	int error;
 
 	flow_end_attempt(flow, request, attempt, false);
-	quantile_add(service->total_us, flow_now_us(flow) - attempt->sent_us);
+	quantile_add(service->stage_times,
+		     flow_now_us(flow) - attempt->sent_us);
 	throttle_record_outcome(flow->throttle, request->organisation,
 				service->name, true, flow_now_us(flow));
 	record_cost(flow, request, attempt, result);
@@ -130,8 +131,8 @@
 		return;
 	}
 	attempt->chunks += 1;
-	attempt->asked = 0;
-	attempt->ask_us =
+	attempt->unanswered_queries = 0;
+	attempt->query_due_us =
 		flow_now_us(flow) +
 		flow_query_delay_us(flow, flow_current_service(flow, request));
 	request->tokens += tokens;
@@ -149,8 +150,8 @@
 	const struct flow_stage *stage = flow_current_stage(request);
 
 	return stage->stream && stage->repeatable && !request->withdrawing &&
-	       request->moves < FAILOVERS_MAX &&
-	       flow_current_service(flow, request)->budget.tokens >= 1;
+	       request->failovers < FAILOVERS_MAX &&
+	       flow_current_service(flow, request)->retry_budget.tokens >= 1;
 }
 
 void flow_handle_state(struct flow *flow, const struct lp_call_id *id,
@@ -161,7 +162,7 @@
 
 	if (!attempt)
 		return;
-	attempt->asked = 0;
+	attempt->unanswered_queries = 0;
 	switch (state) {
 	case FLOW_STATE_NOT_RUN:
 		flow_end_attempt(flow, request, attempt, false);
@@ -186,7 +187,7 @@
 	case FLOW_STATE_DONE:
 		break;
 	}
-	attempt->ask_us =
+	attempt->query_due_us =
 		flow_now_us(flow) +
 		flow_query_delay_us(flow, flow_current_service(flow, request));
 	flow_update_wake(flow, request);
--- a/policy/flow_attempt.c
+++ b/policy/flow_attempt.c
@@ -21,7 +21,8 @@
 		wake_us -= WITHDRAW_LEAD_US;
 	for (int i = 0; i < FLOW_ATTEMPTS; i++)
 		if (request->attempts[i].live)
-			wake_us = MIN(wake_us, request->attempts[i].ask_us);
+			wake_us =
+				MIN(wake_us, request->attempts[i].query_due_us);
 	if (request->hedge_us)
 		wake_us = MIN(wake_us, request->hedge_us);
 	return wake_us;
@@ -30,11 +31,11 @@
 void flow_update_wake(struct flow *flow, struct flow_request *request)
 {
 	request->wake_us = next_wake_us(request);
-	if (request->wake)
-		g_sequence_sort_changed(request->wake, compare_wake_times,
-					NULL);
+	if (request->wake_position)
+		g_sequence_sort_changed(request->wake_position,
+					compare_wake_times, NULL);
 	else
-		request->wake = g_sequence_insert_sorted(
+		request->wake_position = g_sequence_insert_sorted(
 			flow->wakes, request, compare_wake_times, NULL);
 }
 
@@ -54,7 +55,7 @@
 {
 	attempt->withdrawn = true;
 	if (!flow->options.naive)
-		flow->options.ops->ask(flow->options.userdata, attempt, true);
+		flow->options.ops->query(flow->options.userdata, attempt, true);
 }
 
 /* End what is still out there; whether it ran is then unknown. */
@@ -77,13 +78,14 @@
 				   const struct flow_request *request)
 {
 	for (uint32_t i = request->stage + 1; i < request->stages_count; i++)
-		flow_get_service(flow, request->stages[i].service)->coming -= 1;
+		flow_get_service(flow, request->stages[i].service)
+			->expected_calls -= 1;
 }
 
 void flow_remove_request(struct flow *flow, struct flow_request *request)
 {
 	remove_unreached_calls(flow, request);
-	g_sequence_remove(request->wake);
+	g_sequence_remove(request->wake_position);
 	g_hash_table_remove(flow->requests,
 			    GUINT_TO_POINTER(request->id.serial));
 }
@@ -117,7 +119,7 @@
 		struct flow_service *service =
 			flow_get_service(flow, request->stages[i].service);
 
-		sum_us += quantile_get(service->total_us, 0.5, 0);
+		sum_us += quantile_get(service->stage_times, 0.5, 0);
 	}
 	return sum_us;
 }
@@ -143,7 +145,7 @@
 int64_t flow_query_delay_us(const struct flow *flow,
 			    const struct flow_service *service)
 {
-	int64_t usual_us = quantile_get(service->total_us, 0.95, 0);
+	int64_t usual_us = quantile_get(service->stage_times, 0.95, 0);
 
 	if (flow->options.naive)
 		return G_MAXINT64 / 2;
@@ -161,12 +163,12 @@
 		.id = request->id,
 		.upstream = upstream,
 		.incarnation = upstream->incarnation,
-		.agent_sent_us =
-			upstream->agent_time_us + (now - upstream->heard_us),
+		.agent_sent_us = upstream->agent_time_us +
+				 (now - upstream->report_received_us),
 		.sent_us = now,
-		.ask_us = now +
-			  flow_query_delay_us(
-				  flow, flow_current_service(flow, request)),
+		.query_due_us =
+			now + flow_query_delay_us(flow, flow_current_service(
+								flow, request)),
 	};
 	attempt->id.stage = (uint16_t)request->stage;
 	attempt->id.attempt = ++request->attempt_serial;
@@ -180,7 +182,7 @@
 	struct flow_send send = {
 		.attempt = attempt,
 		.echo_us = upstream->agent_time_us,
-		.held_us = flow_now_us(flow) - upstream->heard_us,
+		.held_us = flow_now_us(flow) - upstream->report_received_us,
 		.left_us = stage_left_us(flow, request),
 		.resume = request->text->str,
 		.resume_tokens = request->tokens,
@@ -246,7 +248,7 @@
 {
 	const struct flow_stage *stage = flow_current_stage(request);
 	int64_t slow_us = quantile_get(
-		flow_current_service(flow, request)->total_us, 0.95, 0);
+		flow_current_service(flow, request)->stage_times, 0.95, 0);
 
 	request->hedge_us = 0;
 	if (flow->options.naive || !stage->repeatable || stage->stream ||
@@ -259,13 +261,13 @@
 {
 	int error;
 
-	request->moves = 0;
+	request->failovers = 0;
 	request->attempt_serial = 0; /* the stage is in the id, too */
 	request->stage_started_us = flow_now_us(flow);
 	request->tokens = 0;
 	g_string_truncate(request->text, 0);
-	flow_current_service(flow, request)->coming -= 1;
-	bucket_add(&flow_current_service(flow, request)->budget,
+	flow_current_service(flow, request)->expected_calls -= 1;
+	bucket_add(&flow_current_service(flow, request)->retry_budget,
 		   RETRY_BUDGET_SHARE);
 	error = flow_dispatch(flow, request, NULL, false);
 	if (error) {
@@ -290,13 +292,13 @@
 {
 	struct flow_service *service = flow_current_service(flow, request);
 
-	if (request->moves >= FAILOVERS_MAX)
+	if (request->failovers >= FAILOVERS_MAX)
 		return false;
 	if (run == LP_RUN_NOT_RUN && !flow_is_load_refusal(error))
 		return true;
 	if (flow->options.naive)
 		return true;
-	if (bucket_take(&service->budget, flow_now_us(flow)))
+	if (bucket_take(&service->retry_budget, flow_now_us(flow)))
 		return true;
 	flow->stats.no_budget += 1;
 	flow_add_trace(flow, &request->id, TRACE_NO_BUDGET, NULL, error, 0, 0);
@@ -330,8 +332,8 @@
 		flow_finish_request(flow, request, error);
 		return;
 	}
-	request->moves += 1;
-	flow->stats.moved += 1;
+	request->failovers += 1;
+	flow->stats.failovers += 1;
 	if (run != LP_RUN_NOT_RUN)
 		flow->stats.retried += 1;
 	flow_add_trace(flow, &attempt->id, TRACE_FAILED_OVER, attempt->agent,
--- a/policy/flow_private.h
+++ b/policy/flow_private.h
@@ -27,22 +27,22 @@
 struct flow_service {
 	char *name;
 	struct route *route;
-	struct bucket budget;
-	struct quantile *total_us; /* of a stage, sent to answered */
-	uint32_t coming;	   /* accepted requests that will yet call it */
+	struct bucket retry_budget;
+	struct quantile *stage_times; /* of a stage, sent to answered */
+	uint32_t expected_calls; /* accepted requests that will yet call it */
 };
 
 struct flow {
 	struct flow_options options;
 	char *domain;
 	GHashTable *services;
-	GHashTable *requests; /* serial to flow_request */
-	int64_t end_us;	      /* no request lasts longer; INT64_MAX: any */
-	GSequence *wakes;     /* flow_request by wake_us */
+	GHashTable *requests;	 /* serial to flow_request */
+	int64_t deadline_cap_us; /* no request lasts longer; INT64_MAX: any */
+	GSequence *wakes;	 /* flow_request by wake_us */
 	struct throttle *throttle;
 	struct flow_stats stats;
 	uint32_t serial;
-	uint32_t entries; /* live, this one included */
+	uint32_t entry_count; /* live, this one included */
 	int64_t services_tick_us;
 };
 
--- a/policy/idempotency.c
+++ b/policy/idempotency.c
@@ -21,7 +21,7 @@
 	char *key;
 	uint64_t fingerprint;
 	bool running;
-	int64_t forget_us;
+	int64_t expires_us;
 	int error;
 	enum lp_run run;
 	char *body;
@@ -177,8 +177,8 @@
 		record->run = answer->run;
 		record->body = g_strdup(answer->body);
 		keys->bytes += size_of(record);
-		record->forget_us =
-			lp_now_us(keys->options.clock) + keys->options.keep_us;
+		record->expires_us = lp_now_us(keys->options.clock) +
+				     keys->options.result_ttl_us;
 		g_queue_push_tail(&keys->expiring, record);
 	}
 	wake(keys, key, 0, answer);
@@ -206,7 +206,7 @@
 
 	wake(keys, NULL, now_us, &late);
 	while ((record = g_queue_peek_head(&keys->expiring)) &&
-	       record->forget_us < now_us) {
+	       record->expires_us < now_us) {
 		g_queue_pop_head(&keys->expiring);
 		drop(keys, record);
 	}
--- a/policy/idempotency.h
+++ b/policy/idempotency.h
@@ -34,8 +34,8 @@
 
 struct idempotency_options {
 	const struct lp_clock *clock;
-	int64_t keep_us;  /**< after the answer */
-	size_t bytes_max; /**< keys and answers together; 0: 4 MiB */
+	int64_t result_ttl_us; /**< after the answer */
+	size_t bytes_max;      /**< keys and answers together; 0: 4 MiB */
 	/** The first ended, or the waiter's own deadline has passed. */
 	void (*wake)(void *userdata, void *waiter,
 		     const struct idempotency_answer *answer);
--- a/policy/order.c
+++ b/policy/order.c
@@ -19,15 +19,15 @@
 struct order {
 	struct order_options options;
 	char *model;
-	char *in_force;
-	bool checked;
+	char *active_model;
+	bool upstream_checks_fence;
 	int64_t timeout_us;
 	enum state state;
 	int64_t fence;
 	int64_t wait_until_us;
-	int64_t asked_us;     /* when the confirmation was asked for */
-	int64_t confirmed_us; /* our number stood then; 0: not yet */
-	int64_t next_us;      /* nothing is tried before */
+	int64_t check_started_us; /* when the confirmation was asked for */
+	int64_t confirmed_us;	  /* our number stood then; 0: not yet */
+	int64_t not_before_us;	  /* nothing is tried before */
 };
 
 struct order *order_create(const struct order_options *options)
@@ -36,7 +36,7 @@
 
 	order->options = *options;
 	order->model = g_strdup("");
-	order->in_force = g_strdup("");
+	order->active_model = g_strdup("");
 	return order;
 }
 
@@ -45,7 +45,7 @@
 	if (!order)
 		return;
 	g_free(order->model);
-	g_free(order->in_force);
+	g_free(order->active_model);
 	g_free(order);
 }
 
@@ -56,7 +56,7 @@
 
 static bool is_due(const struct order *order)
 {
-	return *order->model && g_strcmp0(order->model, order->in_force);
+	return *order->model && g_strcmp0(order->model, order->active_model);
 }
 
 void order_set_target(struct order *order, const char *model, bool checked,
@@ -64,7 +64,7 @@
 {
 	g_free(order->model);
 	order->model = g_strdup(model ? model : "");
-	order->checked = checked;
+	order->upstream_checks_fence = checked;
 	order->timeout_us = timeout_us;
 }
 
@@ -74,13 +74,13 @@
 		return;
 	if (!fence) {
 		order->state = IDLE;
-		order->next_us = now_us(order) + RETRY_US;
+		order->not_before_us = now_us(order) + RETRY_US;
 		return;
 	}
 	order->fence = fence;
 	order->state = WAITING;
 	order->wait_until_us = now_us(order);
-	if (!order->checked)
+	if (!order->upstream_checks_fence)
 		order->wait_until_us += order->timeout_us;
 }
 
@@ -90,10 +90,10 @@
 		return;
 	if (!asked) {
 		order->state = READY;
-		order->next_us = now_us(order) + RETRY_US;
+		order->not_before_us = now_us(order) + RETRY_US;
 	} else if (ours) {
 		order->state = READY;
-		order->confirmed_us = order->asked_us;
+		order->confirmed_us = order->check_started_us;
 	} else {
 		order->state = SUPERSEDED;
 	}
@@ -107,10 +107,10 @@
 	if (end == ORDER_REFUSED_FENCE) {
 		order->state = SUPERSEDED;
 	} else if (end == ORDER_ACCEPTED) {
-		g_free(order->in_force);
-		order->in_force = g_strdup(order->model);
+		g_free(order->active_model);
+		order->active_model = g_strdup(order->model);
 	} else {
-		order->next_us = now_us(order) + RETRY_US;
+		order->not_before_us = now_us(order) + RETRY_US;
 	}
 }
 
@@ -122,7 +122,7 @@
 {
 	int64_t valid_us = order->timeout_us / VALIDITY_DIVISOR;
 
-	return order->checked ||
+	return order->upstream_checks_fence ||
 	       (order->confirmed_us &&
 		now_us(order) - order->confirmed_us < valid_us);
 }
@@ -136,7 +136,7 @@
 static void confirm(struct order *order)
 {
 	order->state = CONFIRMING;
-	order->asked_us = now_us(order);
+	order->check_started_us = now_us(order);
 	order->options.ops->check_fence(order->options.userdata);
 }
 
@@ -144,7 +144,7 @@
 {
 	int64_t now = now_us(order);
 
-	if (!is_due(order) || now < order->next_us)
+	if (!is_due(order) || now < order->not_before_us)
 		return;
 	if (order->state == WAITING && now >= order->wait_until_us)
 		order->state = READY;
@@ -161,7 +161,7 @@
 
 const char *order_active_model(const struct order *order)
 {
-	return order->in_force;
+	return order->active_model;
 }
 
 int64_t order_fence(const struct order *order)
--- a/policy/queue.c
+++ b/policy/queue.c
@@ -5,14 +5,14 @@
 struct queue_org {
 	char *name;
 	uint32_t weight;
-	double vtime;
-	GSequence *items;     /* by deadline */
-	GSequenceIter *place; /* among active, NULL when idle */
+	double virtual_time;
+	GSequence *items;	 /* by deadline */
+	GSequenceIter *position; /* among active, NULL when idle */
 };
 
 struct queue {
 	bool fifo;
-	double vtime;
+	double virtual_time;
 	uint64_t pushed;
 	uint32_t length;
 	double active_weight;
@@ -55,7 +55,8 @@
 	const struct queue_org *left = a;
 	const struct queue_org *right = b;
 
-	return (left->vtime > right->vtime) - (left->vtime < right->vtime);
+	return (left->virtual_time > right->virtual_time) -
+	       (left->virtual_time < right->virtual_time);
 }
 
 static int compare_deadlines(gconstpointer a, gconstpointer b,
@@ -72,7 +73,7 @@
 {
 	const struct queue_org *org = value;
 
-	return !org->place;
+	return !org->position;
 }
 
 static struct queue_org *get_org(struct queue *queue, const char *name)
@@ -93,16 +94,16 @@
 
 static void activate(struct queue *queue, struct queue_org *org)
 {
-	org->vtime = MAX(org->vtime, queue->vtime);
-	org->place = g_sequence_insert_sorted(queue->active, org,
-					      compare_virtual_times, NULL);
+	org->virtual_time = MAX(org->virtual_time, queue->virtual_time);
+	org->position = g_sequence_insert_sorted(queue->active, org,
+						 compare_virtual_times, NULL);
 	queue->active_weight += org->weight;
 }
 
 static void deactivate(struct queue *queue, struct queue_org *org)
 {
-	g_sequence_remove(org->place);
-	org->place = NULL;
+	g_sequence_remove(org->position);
+	org->position = NULL;
 	queue->active_weight -= org->weight;
 }
 
@@ -111,16 +112,16 @@
 {
 	struct queue_org *org = get_org(queue, queue->fifo ? "" : organisation);
 
-	if (!org->place)
+	if (!org->position)
 		org->weight = MAX(1, weight);
 	item->org = org;
 	if (queue->fifo)
-		item->place = g_sequence_append(org->items, item);
+		item->position = g_sequence_append(org->items, item);
 	else
-		item->place = g_sequence_insert_sorted(org->items, item,
-						       compare_deadlines, NULL);
+		item->position = g_sequence_insert_sorted(
+			org->items, item, compare_deadlines, NULL);
 	queue->length += 1;
-	if (!org->place)
+	if (!org->position)
 		activate(queue, org);
 }
 
@@ -128,8 +129,8 @@
 {
 	struct queue_org *org = item->org;
 
-	g_sequence_remove(item->place);
-	item->place = NULL;
+	g_sequence_remove(item->position);
+	item->position = NULL;
 	item->org = NULL;
 	queue->length -= 1;
 	if (g_sequence_is_empty(org->items))
@@ -146,18 +147,18 @@
 		return NULL;
 	org = g_sequence_get(first);
 	item = g_sequence_get(g_sequence_get_begin_iter(org->items));
-	queue->vtime = org->vtime;
-	org->vtime += 1.0 / org->weight;
+	queue->virtual_time = org->virtual_time;
+	org->virtual_time += 1.0 / org->weight;
 	queue_remove(queue, item);
-	if (org->place)
-		g_sequence_sort_changed(org->place, compare_virtual_times,
+	if (org->position)
+		g_sequence_sort_changed(org->position, compare_virtual_times,
 					NULL);
 	return item;
 }
 
 bool queue_item_is_queued(const struct queue_item *item)
 {
-	return item->place;
+	return item->position;
 }
 
 uint32_t queue_length(const struct queue *queue)
@@ -184,7 +185,7 @@
 
 	if (queue->fifo || !queue->length)
 		return queue->length;
-	if (org && org->place)
+	if (org && org->position)
 		others -= org->weight;
 	ahead = queue_org_length(queue, organisation) * (own + others) / own +
 		others / own;
--- a/policy/queue.h
+++ b/policy/queue.h
@@ -21,7 +21,7 @@
 	void *owner; /**< the caller's */
 	/* private */
 	struct queue_org *org;
-	GSequenceIter *place;
+	GSequenceIter *position;
 };
 
 /** fifo: first come, first served; the naive twin. */
--- a/policy/quota.c
+++ b/policy/quota.c
@@ -229,7 +229,8 @@
 		       DEMAND_SMOOTHING;
 	use->seen = 0;
 	use->asked_us = now_us;
-	quota->options.ask(quota->options.userdata, organisation, use->demand);
+	quota->options.request_share(quota->options.userdata, organisation,
+				     use->demand);
 }
 
 void quota_tick(struct quota *quota)
--- a/policy/quota.h
+++ b/policy/quota.h
@@ -37,8 +37,8 @@
 struct quota_options {
 	const struct lp_clock *clock;
 	/** Ask the holder of this organisation's quota for a share. */
-	void (*ask)(void *userdata, const char *organisation,
-		    double demand_per_s);
+	void (*request_share)(void *userdata, const char *organisation,
+			      double demand_per_s);
 	void *userdata;
 };
 
--- a/policy/route.c
+++ b/policy/route.c
@@ -36,14 +36,14 @@
 	char *domain;
 	GRand *random;
 	GHashTable *by_name;
-	GPtrArray *all;
-	GPtrArray *near; /* own domain */
-	GPtrArray *far;
+	GPtrArray *upstreams;
+	GPtrArray *local; /* own domain */
+	GPtrArray *remote;
 	GArray *ring;
 	bool ring_stale;
 	uint32_t inflight;
-	uint32_t aside; /* set aside now, counted at tick */
-	uint32_t slots; /* of usable upstreams, counted at tick */
+	uint32_t ejected; /* set aside now, counted at tick */
+	uint32_t slots;	  /* of usable upstreams, counted at tick */
 };
 
 static int64_t now_us(const struct route *route)
@@ -67,15 +67,15 @@
 	route->options = *options;
 	if (!route->options.remote_cost_us)
 		route->options.remote_cost_us = DEFAULT_REMOTE_COST_US;
-	if (!route->options.silence_us)
-		route->options.silence_us = DEFAULT_REPORT_TIMEOUT_US;
+	if (!route->options.report_timeout_us)
+		route->options.report_timeout_us = DEFAULT_REPORT_TIMEOUT_US;
 	route->domain = g_strdup(options->domain);
 	route->random = g_rand_new_with_seed((guint32)options->seed);
 	route->by_name = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       free_upstream);
-	route->all = g_ptr_array_new();
-	route->near = g_ptr_array_new();
-	route->far = g_ptr_array_new();
+	route->upstreams = g_ptr_array_new();
+	route->local = g_ptr_array_new();
+	route->remote = g_ptr_array_new();
 	route->ring = g_array_new(FALSE, FALSE, sizeof(struct ring_point));
 	return route;
 }
@@ -85,9 +85,9 @@
 	if (!route)
 		return;
 	g_array_unref(route->ring);
-	g_ptr_array_unref(route->near);
-	g_ptr_array_unref(route->far);
-	g_ptr_array_unref(route->all);
+	g_ptr_array_unref(route->local);
+	g_ptr_array_unref(route->remote);
+	g_ptr_array_unref(route->upstreams);
 	g_hash_table_unref(route->by_name);
 	g_rand_free(route->random);
 	g_free(route->domain);
@@ -97,8 +97,8 @@
 static GPtrArray *domain_upstreams(const struct route *route,
 				   const struct route_upstream *upstream)
 {
-	return strcmp(upstream->domain, route->domain) ? route->far
-						       : route->near;
+	return strcmp(upstream->domain, route->domain) ? route->remote
+						       : route->local;
 }
 
 struct route_upstream *route_find(const struct route *route, const char *name)
@@ -118,7 +118,7 @@
 	upstream->domain = g_strdup(domain);
 	upstream->silent = true; /* until its first word */
 	g_hash_table_insert(route->by_name, upstream->name, upstream);
-	g_ptr_array_add(route->all, upstream);
+	g_ptr_array_add(route->upstreams, upstream);
 	g_ptr_array_add(domain_upstreams(route, upstream), upstream);
 	route->ring_stale = true;
 	return upstream;
@@ -132,7 +132,7 @@
 		return;
 	route->inflight -= upstream->inflight;
 	g_ptr_array_remove_fast(domain_upstreams(route, upstream), upstream);
-	g_ptr_array_remove_fast(route->all, upstream);
+	g_ptr_array_remove_fast(route->upstreams, upstream);
 	route->ring_stale = true;
 	g_hash_table_remove(route->by_name, name);
 }
@@ -149,21 +149,21 @@
 		return false;
 	upstream->incarnation = word->incarnation;
 	upstream->agent_time_us = word->agent_time_us;
-	upstream->heard_us = now_us(route);
+	upstream->report_received_us = now_us(route);
 	upstream->revision = word->revision;
 	upstream->queued = word->queued;
 	upstream->running = word->running;
 	upstream->limit = word->limit;
 	upstream->wait_us = word->wait_us;
 	upstream->run_us = word->run_us;
-	upstream->leaving = word->leaving;
+	upstream->draining = word->draining;
 	upstream->silent = false;
-	upstream->sent_since = 0;
+	upstream->sent_since_report = 0;
 	if (changed) {
-		upstream->failures = 0;
-		upstream->error_share = 0;
-		upstream->aside_until_us = 0;
-		upstream->set_asides = 0;
+		upstream->consecutive_failures = 0;
+		upstream->error_rate = 0;
+		upstream->ejected_until_us = 0;
+		upstream->ejections = 0;
 	}
 	return changed;
 }
@@ -171,14 +171,14 @@
 bool route_is_ejected(const struct route *route,
 		      const struct route_upstream *upstream)
 {
-	return upstream->aside_until_us > now_us(route);
+	return upstream->ejected_until_us > now_us(route);
 }
 
 static bool eligible(const struct route *route,
 		     const struct route_upstream *upstream,
 		     const struct route_query *query)
 {
-	if (upstream->leaving || upstream->listed_leaving || upstream->silent)
+	if (upstream->draining || upstream->listed_draining || upstream->silent)
 		return false;
 	if (query && query->avoid == upstream)
 		return false;
@@ -189,9 +189,9 @@
 static double error_share(const struct route *route,
 			  const struct route_upstream *upstream)
 {
-	double idle_us = (double)(now_us(route) - upstream->ended_us);
+	double idle_us = (double)(now_us(route) - upstream->last_call_ended_us);
 
-	return upstream->error_share * exp2(-idle_us / ERROR_HALF_LIFE_US);
+	return upstream->error_rate * exp2(-idle_us / ERROR_HALF_LIFE_US);
 }
 
 /*
@@ -202,18 +202,18 @@
 static int64_t expected_time_us(const struct route *route,
 				const struct route_upstream *upstream)
 {
-	int64_t age_us = now_us(route) - upstream->heard_us;
+	int64_t age_us = now_us(route) - upstream->report_received_us;
 	int64_t wait_us = MAX(0, (int64_t)upstream->wait_us - age_us);
 	int64_t run_us = upstream->run_us;
 	uint32_t limit = MAX(1, upstream->limit);
-	uint32_t busy =
-		upstream->running + upstream->queued + upstream->sent_since;
+	uint32_t busy = upstream->running + upstream->queued +
+			upstream->sent_since_report;
 
 	if (!upstream->inflight && age_us > RUN_TIME_FADE_US)
 		run_us = run_us * RUN_TIME_FADE_US / age_us;
 	if (busy >= limit)
-		wait_us += run_us * upstream->sent_since / limit;
-	if (upstream->error_share > 0)
+		wait_us += run_us * upstream->sent_since_report / limit;
+	if (upstream->error_rate > 0)
 		wait_us +=
 			(int64_t)(error_share(route, upstream) * ERROR_COST_US);
 	/* Among idle ones prefer the emptier: batches slow each other. */
@@ -263,11 +263,11 @@
 	struct route_upstream *near;
 	struct route_upstream *far;
 
-	near = draw(route, route->near, query);
-	near = better(route, near, draw(route, route->near, query), 0);
-	far = draw(route, route->far, query);
+	near = draw(route, route->local, query);
+	near = better(route, near, draw(route, route->local, query), 0);
+	far = draw(route, route->remote, query);
 	if (!near)
-		return better(route, far, draw(route, route->far, query), 0);
+		return better(route, far, draw(route, route->remote, query), 0);
 	return better(route, near, far, route->options.remote_cost_us);
 }
 
@@ -282,9 +282,9 @@
 static void build_ring(struct route *route)
 {
 	g_array_set_size(route->ring, 0);
-	for (guint i = 0; i < route->all->len; i++) {
+	for (guint i = 0; i < route->upstreams->len; i++) {
 		struct route_upstream *upstream =
-			g_ptr_array_index(route->all, i);
+			g_ptr_array_index(route->upstreams, i);
 		uint64_t base = lp_hash_str(upstream->name);
 
 		for (uint64_t point = 0; point < RING_POINTS; point++) {
@@ -317,7 +317,7 @@
 static bool has_bounded_load(const struct route *route,
 			     const struct route_upstream *upstream)
 {
-	double mean = (route->inflight + 1.0) / route->all->len;
+	double mean = (route->inflight + 1.0) / route->upstreams->len;
 
 	return upstream->inflight < mean * AFFINITY_LOAD_BOUND + 1;
 }
@@ -353,10 +353,10 @@
 	struct route_upstream *owner;
 	struct route_upstream *other;
 
-	if (!route->all->len)
+	if (!route->upstreams->len)
 		return NULL;
 	if (route->options.naive)
-		return draw(route, route->all, query);
+		return draw(route, route->upstreams, query);
 	other = pick_by_load(route, query);
 	if (!query->affinity)
 		return other;
@@ -372,21 +372,22 @@
 void route_call_sent(struct route *route, struct route_upstream *upstream)
 {
 	upstream->inflight += 1;
-	upstream->sent_since += 1;
+	upstream->sent_since_report += 1;
 	route->inflight += 1;
 }
 
 static void eject_upstream(struct route *route, struct route_upstream *upstream)
 {
-	uint32_t doublings = MIN(upstream->set_asides, EJECTION_DOUBLINGS_MAX);
+	uint32_t doublings = MIN(upstream->ejections, EJECTION_DOUBLINGS_MAX);
 
-	if ((route->aside + 1) * EJECTED_SHARE_DIVISOR > route->all->len)
+	if ((route->ejected + 1) * EJECTED_SHARE_DIVISOR >
+	    route->upstreams->len)
 		return;
-	upstream->aside_until_us = now_us(route) + (EJECTION_US << doublings);
-	upstream->set_asides += 1;
-	upstream->failures = 0;
-	upstream->error_share = 0;
-	route->aside += 1;
+	upstream->ejected_until_us = now_us(route) + (EJECTION_US << doublings);
+	upstream->ejections += 1;
+	upstream->consecutive_failures = 0;
+	upstream->error_rate = 0;
+	route->ejected += 1;
 }
 
 void route_call_ended(struct route *route, struct route_upstream *upstream,
@@ -396,22 +397,21 @@
 		upstream->inflight -= 1;
 		route->inflight -= 1;
 	}
-	upstream->error_share = error_share(route, upstream);
-	upstream->error_share +=
-		((failed ? 1.0 : 0.0) - upstream->error_share) *
-		ERROR_SMOOTHING;
-	upstream->ended_us = now_us(route);
+	upstream->error_rate = error_share(route, upstream);
+	upstream->error_rate +=
+		((failed ? 1.0 : 0.0) - upstream->error_rate) * ERROR_SMOOTHING;
+	upstream->last_call_ended_us = now_us(route);
 	if (!failed) {
-		upstream->failures = 0;
-		if (upstream->error_share < ERROR_SMOOTHING)
-			upstream->set_asides = 0;
+		upstream->consecutive_failures = 0;
+		if (upstream->error_rate < ERROR_SMOOTHING)
+			upstream->ejections = 0;
 		return;
 	}
-	upstream->failures += 1;
+	upstream->consecutive_failures += 1;
 	if (route_is_ejected(route, upstream))
 		return;
-	if (upstream->failures >= EJECTION_FAILURES ||
-	    upstream->error_share > EJECTION_ERROR_RATE)
+	if (upstream->consecutive_failures >= EJECTION_FAILURES ||
+	    upstream->error_rate > EJECTION_ERROR_RATE)
 		eject_upstream(route, upstream);
 }
 
@@ -420,7 +420,7 @@
 	const struct route_query query = { 0 };
 	struct route_upstream *upstream;
 
-	if (!route->all->len)
+	if (!route->upstreams->len)
 		return -1;
 	upstream = pick_by_load(route, &query);
 	return upstream ? expected_time_us(route, upstream) : -1;
@@ -433,25 +433,26 @@
 
 struct route_upstream *route_at(const struct route *route, uint32_t index)
 {
-	return g_ptr_array_index(route->all, index);
+	return g_ptr_array_index(route->upstreams, index);
 }
 
 uint32_t route_tick(struct route *route)
 {
 	uint32_t silent = 0;
 
-	route->aside = 0;
+	route->ejected = 0;
 	route->slots = 0;
-	for (guint i = 0; i < route->all->len; i++) {
+	for (guint i = 0; i < route->upstreams->len; i++) {
 		struct route_upstream *upstream =
-			g_ptr_array_index(route->all, i);
+			g_ptr_array_index(route->upstreams, i);
 
 		if (route_is_ejected(route, upstream))
-			route->aside += 1;
+			route->ejected += 1;
 		if (eligible(route, upstream, NULL))
 			route->slots += upstream->limit;
-		if (upstream->silent || now_us(route) - upstream->heard_us <
-						route->options.silence_us)
+		if (upstream->silent ||
+		    now_us(route) - upstream->report_received_us <
+			    route->options.report_timeout_us)
 			continue;
 		upstream->silent = true;
 		silent += 1;
--- a/policy/route.h
+++ b/policy/route.h
@@ -22,25 +22,25 @@
 	char *name;   /**< host id */
 	char *domain; /**< failure domain */
 	uint64_t incarnation;
-	int64_t agent_time_us; /**< last heard, on the agent's clock */
-	int64_t heard_us;      /**< on our clock */
+	int64_t agent_time_us;	    /**< last heard, on the agent's clock */
+	int64_t report_received_us; /**< on our clock */
 	uint64_t revision;
 	uint32_t queued;
 	uint32_t running;
 	uint32_t limit;
 	uint32_t wait_us;
 	uint32_t run_us;
-	uint32_t inflight;   /**< ours, unanswered */
-	uint32_t sent_since; /**< ours since the last word */
-	bool leaving;	     /**< by its own word */
-	bool listed_leaving; /**< by the host list; set by the owner */
-	bool silent;	     /**< not heard of for too long */
+	uint32_t inflight;	    /**< ours, unanswered */
+	uint32_t sent_since_report; /**< ours since the last word */
+	bool draining;		    /**< by its own word */
+	bool listed_draining;	    /**< by the host list; set by the owner */
+	bool silent;		    /**< not heard of for too long */
 	/* private */
-	double error_share;
-	int64_t ended_us;  /* when a call last ended */
-	uint32_t failures; /* in a row */
-	uint32_t set_asides;
-	int64_t aside_until_us;
+	double error_rate;
+	int64_t last_call_ended_us;    /* when a call last ended */
+	uint32_t consecutive_failures; /* in a row */
+	uint32_t ejections;
+	int64_t ejected_until_us;
 };
 
 /** An agent's word about itself. */
@@ -53,16 +53,16 @@
 	uint32_t limit;
 	uint32_t wait_us;
 	uint32_t run_us;
-	bool leaving;
+	bool draining;
 };
 
 struct route_options {
 	const struct lp_clock *clock;
 	const char *domain; /**< own failure domain; copied */
 	uint64_t seed;
-	int64_t remote_cost_us; /**< of another domain; 0: 1 ms */
-	int64_t silence_us;	/**< no word for this long: silent; 0: 7 s */
-	bool naive;		/**< random among all that are not leaving */
+	int64_t remote_cost_us;	   /**< of another domain; 0: 1 ms */
+	int64_t report_timeout_us; /**< no word for this long: silent; 0: 7 s */
+	bool naive;		   /**< random among all that are not leaving */
 };
 
 /** What a pick must respect. */
--- a/policy/trace.c
+++ b/policy/trace.c
@@ -45,7 +45,7 @@
 		.b = b,
 	};
 	if (who)
-		g_strlcpy(event->who, who, sizeof(event->who));
+		g_strlcpy(event->host, who, sizeof(event->host));
 	trace->added += 1;
 }
 
@@ -89,7 +89,7 @@
 static char *tell(const struct trace_event *event)
 {
 	const char *why = lp_strerror(event->error);
-	const char *who = event->who;
+	const char *who = event->host;
 
 	switch (event->kind) {
 	case TRACE_ACCEPTED:
--- a/policy/trace.h
+++ b/policy/trace.h
@@ -39,7 +39,7 @@
 	int32_t error;
 	int64_t a;
 	int64_t b;
-	char who[TRACE_HOST_SIZE];
+	char host[TRACE_HOST_SIZE];
 };
 
 struct trace;
--- a/policy/worker.c
+++ b/policy/worker.c
@@ -22,14 +22,15 @@
 	struct worker_options options;
 	struct concurrency_limit limit;
 	struct queue *queue;
-	struct quantile *run_us;
+	struct quantile *run_times;
 	GHashTable *calls; /* lp_call_id to worker_call */
 	GQueue expiring;   /* worker_call by forget_us, which only grows */
 	GPtrArray *running_calls;
 	uint32_t running;
-	uint32_t inside; /* calls waiting within the upstream, it says */
-	bool leaving;
-	bool serving; /* guards against re-entry of start_queued() */
+	uint32_t upstream_queued; /* calls waiting within the upstream, it says
+				   */
+	bool draining;
+	bool starting; /* guards against re-entry of start_queued() */
 };
 
 static int64_t now_us(const struct worker *worker)
@@ -59,11 +60,11 @@
 		own->queue_max = DEFAULT_QUEUE_MAX;
 	if (!own->age_limit_us)
 		own->age_limit_us = DEFAULT_AGE_LIMIT_US;
-	if (!own->keep_us)
-		own->keep_us = DEFAULT_RESULT_TTL_US;
+	if (!own->result_ttl_us)
+		own->result_ttl_us = DEFAULT_RESULT_TTL_US;
 	concurrency_limit_init(&worker->limit, own->concurrency);
 	worker->queue = queue_create(own->naive);
-	worker->run_us = quantile_create();
+	worker->run_times = quantile_create();
 	worker->calls = g_hash_table_new(lp_call_id_hash, lp_call_id_equal);
 	g_queue_init(&worker->expiring);
 	worker->running_calls = g_ptr_array_new();
@@ -79,7 +80,7 @@
 		return;
 	g_ptr_array_unref(worker->running_calls);
 	queue_destroy(worker->queue);
-	quantile_destroy(worker->run_us);
+	quantile_destroy(worker->run_times);
 	g_hash_table_iter_init(&iter, worker->calls);
 	while (g_hash_table_iter_next(&iter, NULL, &call))
 		free_call(worker, call);
@@ -98,12 +99,12 @@
 
 void worker_set_upstream_queued(struct worker *worker, uint32_t waiting)
 {
-	worker->inside = waiting;
+	worker->upstream_queued = waiting;
 }
 
 static uint32_t estimate_run_us(const struct worker *worker)
 {
-	return (uint32_t)quantile_get(worker->run_us, 0.5, DEFAULT_RUN_US);
+	return (uint32_t)quantile_get(worker->run_times, 0.5, DEFAULT_RUN_US);
 }
 
 /*
@@ -113,9 +114,9 @@
 static int64_t estimate_queue_us(const struct worker *worker,
 				 const char *organisation, uint32_t weight)
 {
-	double usual_us = MAX(worker->limit.usual_us, 1.0);
+	double usual_us = MAX(worker->limit.smoothed_run_us, 1.0);
 	double ahead = queue_calls_ahead(worker->queue, organisation, weight) +
-		       worker->inside;
+		       worker->upstream_queued;
 
 	if (worker->running < worker->limit.value && ahead < 1)
 		return 0;
@@ -148,7 +149,7 @@
 		.wait_us = (uint32_t)estimate_queue_us(worker, "", 1),
 		.run_us = MAX(estimate_run_us(worker),
 			      mean_running_age_us(worker)),
-		.leaving = worker->leaving,
+		.draining = worker->draining,
 	};
 }
 
@@ -162,8 +163,8 @@
 	struct worker_call *last = g_queue_peek_tail(&worker->expiring);
 
 	if (last)
-		until_us = MAX(until_us, last->forget_us);
-	call->forget_us = until_us;
+		until_us = MAX(until_us, last->expires_us);
+	call->expires_us = until_us;
 	g_queue_push_tail(&worker->expiring, call);
 }
 
@@ -211,13 +212,13 @@
 		   enum worker_state state)
 {
 	call->state = state;
-	call->running = NULL;
+	call->run_data = NULL;
 	if (call->payload)
 		worker->options.ops->free_payload(call->payload);
 	call->payload = NULL;
 	remember(worker, call,
 		 MAX(call->arrived_us + worker->options.age_limit_us,
-		     now_us(worker) + worker->options.keep_us));
+		     now_us(worker) + worker->options.result_ttl_us));
 	worker->options.ops->reply(worker->options.userdata, call);
 }
 
@@ -250,7 +251,7 @@
 	if (worker->options.naive)
 		return false;
 	/* The lower quartile: refuse only what would hardly ever make it. */
-	need_us = quantile_get(worker->run_us, 0.25, 0);
+	need_us = quantile_get(worker->run_times, 0.25, 0);
 	return now_us(worker) + need_us > call->item.deadline_us;
 }
 
@@ -258,9 +259,9 @@
 {
 	struct queue_item *item;
 
-	if (worker->serving)
+	if (worker->starting)
 		return;
-	worker->serving = true;
+	worker->starting = true;
 	while (worker->running < worker->limit.value) {
 		item = queue_pop(worker->queue);
 		if (!item)
@@ -271,7 +272,7 @@
 		else
 			start(worker, item->owner);
 	}
-	worker->serving = false;
+	worker->starting = false;
 }
 
 /* A call seen before is never run again: it is answered from memory. */
@@ -297,7 +298,7 @@
 		return LP_ERROR_WRONG_INCARNATION;
 	if (now - (offer->echo_us + offer->held_us) > options->age_limit_us)
 		return LP_ERROR_STALE_CALL;
-	if (worker->leaving)
+	if (worker->draining)
 		return LP_ERROR_LEAVING;
 	wait_us = estimate_queue_us(worker, offer->organisation, offer->weight);
 	*retry_us = wait_us;
@@ -408,11 +409,11 @@
 	worker->running -= 1;
 	g_ptr_array_remove_fast(worker->running_calls, call);
 	if (!result->error) {
-		quantile_add(worker->run_us, run_us);
+		quantile_add(worker->run_times, run_us);
 		if (!worker->options.naive)
 			concurrency_limit_add_sample(&worker->limit, run_us);
 		else
-			worker->limit.usual_us = (double)run_us;
+			worker->limit.smoothed_run_us = (double)run_us;
 	}
 	settle(worker, call, WORKER_DONE);
 	start_queued(worker);
@@ -422,7 +423,7 @@
 {
 	struct queue_item *item;
 
-	worker->leaving = true;
+	worker->draining = true;
 	while ((item = queue_pop(worker->queue)))
 		refuse_queued(worker, item->owner, LP_ERROR_LEAVING);
 }
@@ -451,7 +452,7 @@
 		cancel_overdue(worker);
 
 	while ((call = g_queue_peek_head(&worker->expiring)) &&
-	       call->forget_us < now) {
+	       call->expires_us < now) {
 		g_queue_pop_head(&worker->expiring);
 		g_hash_table_remove(worker->calls, &call->id);
 		free_call(worker, call);
--- a/policy/worker.h
+++ b/policy/worker.h
@@ -51,7 +51,7 @@
 	enum worker_state state;
 	int64_t arrived_us;
 	int64_t started_us;
-	int64_t forget_us;
+	int64_t expires_us;
 	bool repeatable;
 	uint32_t chunks;
 	char *peer;
@@ -59,8 +59,8 @@
 	uint32_t weight;
 	struct queue_item item;
 	struct worker_result result;
-	void *payload; /**< the owner's; freed by free_payload */
-	void *running; /**< the owner's, while RUNNING or CANCELLED */
+	void *payload;	/**< the owner's; freed by free_payload */
+	void *run_data; /**< the owner's, while RUNNING or CANCELLED */
 };
 
 /** A call as it comes in. Strings are copied; the payload is taken. */
@@ -83,7 +83,7 @@
 	uint32_t limit;
 	uint32_t wait_us;
 	uint32_t run_us;
-	bool leaving;
+	bool draining;
 };
 
 struct worker_ops {
@@ -106,10 +106,10 @@
 	const struct worker_ops *ops;
 	void *userdata;
 	uint64_t incarnation;
-	uint32_t concurrency; /**< most calls at once; 0: 8 */
-	uint32_t queue_max;   /**< calls waiting; 0: 1000 */
-	int64_t age_limit_us; /**< oldest call that may run; 0: 8 s */
-	int64_t keep_us;      /**< results kept after the end; 0: 5 s */
+	uint32_t concurrency;  /**< most calls at once; 0: 8 */
+	uint32_t queue_max;    /**< calls waiting; 0: 1000 */
+	int64_t age_limit_us;  /**< oldest call that may run; 0: 8 s */
+	int64_t result_ttl_us; /**< results kept after the end; 0: 5 s */
 	bool naive; /**< FIFO, no refusal by deadline, fixed concurrency */
 };
 
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -134,7 +134,7 @@
 		word.limit = 8;
 		word.run_us = run_us;
 		word.wait_us = wait_us;
-		word.leaving = leaving;
+		word.draining = leaving;
 		return route_apply_report(table, upstream, &word);
 	}
 	std::map<std::string, int> picks(int count, uint64_t affinity = 0)
@@ -185,7 +185,7 @@
 	EXPECT_EQ(picks(10)["none"], 10);
 	hear(route_find(table, "b"), 5 * MS, 0, 1);
 	EXPECT_EQ(picks(10)["b"], 10);
-	route_find(table, "b")->listed_leaving = true;
+	route_find(table, "b")->listed_draining = true;
 	EXPECT_EQ(picks(10)["none"], 10);
 }
 
@@ -308,7 +308,7 @@
 		idempotency_options options = {};
 
 		options.clock = &clock.clock;
-		options.keep_us = 10 * S;
+		options.result_ttl_us = 10 * S;
 		options.bytes_max = bytes;
 		options.wake = wake;
 		options.userdata = this;
@@ -1073,7 +1073,7 @@
 		told.load.agent_time_us = ++agent_time;
 		told.load.limit = 8;
 		told.load.run_us = 5 * MS;
-		told.load.leaving = leaving;
+		told.load.draining = leaving;
 		return told;
 	}
 	void hear(const char *agent, uint64_t incarnation, bool leaving = false)
--- a/tests/sim_test.cc
+++ b/tests/sim_test.cc
@@ -168,7 +168,7 @@
 	word.limit = load.limit;
 	word.wait_us = load.wait_us;
 	word.run_us = load.run_us;
-	word.leaving = load.leaving;
+	word.draining = load.draining;
 	return word;
 }
 
@@ -369,7 +369,7 @@
 	options.incarnation = agent.incarnation;
 	options.concurrency = 3;
 	options.age_limit_us = AGE_LIMIT;
-	options.keep_us = 2 * S;
+	options.result_ttl_us = 2 * S;
 	agent.work = worker_create(&options);
 	beat(world, agent);
 }
