--- a/policy/flow.c
+++ b/policy/flow.c
@@ -141,34 +141,34 @@
 	return live;
 }
 
-/* ---- the door ---- */
+/* ---- admission ---- */
 
 /*
- * What this organisation would wait for a service: as agents said, plus what
- * the entries have let in that has not arrived there (they are alike, so
- * what is coming from here stands for each of them).
+ * The expected queueing time of an organisation at a service: the time that
+ * agents reported, plus the calls that entries have admitted but not sent yet.
+ * Every entry is assumed to have as many of these as this one.
  */
 static int64_t estimate_wait_us(struct flow *flow, struct flow_service *service,
 				const char *organisation)
 {
 	int64_t run_us = quantile_get(service->stage_times, 0.5, 0);
-	int64_t coming_us = run_us * service->expected_calls *
-			    flow->entry_count / route_slots(service->route);
+	int64_t expected_us = run_us * service->expected_calls *
+			      flow->entry_count / route_slots(service->route);
 
 	return throttle_wait_us(flow->throttle, organisation, service->name,
 				flow_now_us(flow)) +
-	       coming_us;
+	       expected_us;
 }
 
-struct door {
-	int64_t estimate_us; /* of the whole request; -1: no upstream */
-	int64_t wait_us;     /* of that, in queues */
+struct admission_estimate {
+	int64_t total_us; /* all stages; -1: no upstream */
+	int64_t wait_us;  /* thereof in queues */
 };
 
-static struct door estimate_request(struct flow *flow,
-				    const struct flow_submit *submit)
+static struct admission_estimate
+estimate_request(struct flow *flow, const struct flow_submit *submit)
 {
-	struct door door = { 0 };
+	struct admission_estimate estimate = { 0 };
 
 	for (uint32_t i = 0; i < submit->stages_count; i++) {
 		struct flow_service *service =
@@ -178,11 +178,11 @@
 			estimate_wait_us(flow, service, submit->organisation);
 
 		if (stage_us < 0)
-			return (struct door){ -1, 0 };
-		door.estimate_us += stage_us + wait_us;
-		door.wait_us += wait_us;
+			return (struct admission_estimate){ -1, 0 };
+		estimate.total_us += stage_us + wait_us;
+		estimate.wait_us += wait_us;
 	}
-	return door;
+	return estimate;
 }
 
 static bool throttle_admits_stages(struct flow *flow,
@@ -207,18 +207,18 @@
 			   int64_t *estimate_us)
 {
 	int64_t left_us = capped_deadline_us(flow, submit) - flow_now_us(flow);
-	struct door door = estimate_request(flow, submit);
-	int64_t spare_us = left_us - (door.estimate_us - door.wait_us);
+	struct admission_estimate estimate = estimate_request(flow, submit);
+	int64_t spare_us = left_us - (estimate.total_us - estimate.wait_us);
 
-	*estimate_us = door.estimate_us;
-	if (door.estimate_us < 0)
+	*estimate_us = estimate.total_us;
+	if (estimate.total_us < 0)
 		return LP_ERROR_NO_UPSTREAM;
 	if (left_us <= 0)
 		return LP_ERROR_DEADLINE_PASSED;
 	if (flow->options.naive)
 		return LP_OK;
-	if (spare_us < 0 ||
-	    door.wait_us > (int64_t)((double)spare_us * ADMISSION_QUEUE_SHARE))
+	if (spare_us < 0 || estimate.wait_us > (int64_t)((double)spare_us *
+							 ADMISSION_QUEUE_SHARE))
 		return LP_ERROR_DEADLINE_UNREACHABLE;
 	if (!throttle_admits_stages(flow, submit))
 		return LP_ERROR_OVERLOADED;
@@ -294,21 +294,21 @@
 	return LP_OK;
 }
 
-/* ---- the agents ---- */
+/* ---- agents ---- */
 
 void flow_lose_attempts_at(struct flow *flow,
 			   const struct route_upstream *upstream,
 			   bool any_incarnation)
 {
-	g_autoptr(GPtrArray) hit = g_ptr_array_new();
+	g_autoptr(GPtrArray) requests = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, flow->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		g_ptr_array_add(hit, value);
-	for (guint i = 0; i < hit->len; i++) {
-		struct flow_request *request = g_ptr_array_index(hit, i);
+		g_ptr_array_add(requests, value);
+	for (guint i = 0; i < requests->len; i++) {
+		struct flow_request *request = g_ptr_array_index(requests, i);
 
 		for (int j = 0; j < FLOW_ATTEMPTS; j++) {
 			struct flow_attempt *attempt = &request->attempts[j];
@@ -319,18 +319,18 @@
 			    attempt->incarnation == upstream->incarnation)
 				continue;
 			flow_lose_attempt(flow, request, attempt);
-			break; /* the request may be gone */
+			break; /* the request may be freed */
 		}
 	}
 }
 
-void flow_handle_report(struct flow *flow, const struct flow_report *word)
+void flow_handle_report(struct flow *flow, const struct flow_report *report)
 {
-	struct route *route = flow_route(flow, word->service);
+	struct route *route = flow_route(flow, report->service);
 	struct route_upstream *upstream =
-		route_find_or_add(route, word->agent, word->domain);
+		route_find_or_add(route, report->agent, report->domain);
 
-	if (route_apply_report(route, upstream, &word->load))
+	if (route_apply_report(route, upstream, &report->load))
 		flow_lose_attempts_at(flow, upstream, false);
 }
 
@@ -347,9 +347,10 @@
 
 	if (!upstream)
 		return;
-	upstream->draining = true; /* nothing moves back to it */
+	upstream->draining = true; /* excludes it from failovers */
+	/* A request may have two attempts there; each call loses one. */
+	flow_lose_attempts_at(flow, upstream, true);
 	flow_lose_attempts_at(flow, upstream, true);
-	flow_lose_attempts_at(flow, upstream, true); /* a hedge beside it */
 	route_remove(route, agent);
 }
 
@@ -363,10 +364,10 @@
 	flow_remove_request(flow, request);
 }
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
-static void ask(struct flow *flow, struct flow_request *request,
-		struct flow_attempt *attempt)
+static void query_attempt(struct flow *flow, struct flow_request *request,
+			  struct flow_attempt *attempt)
 {
 	if (attempt->unanswered_queries >= UNANSWERED_QUERIES_MAX &&
 	    flow_current_stage(request)->repeatable) {
@@ -382,7 +383,7 @@
 	flow_update_wake(flow, request);
 }
 
-static void hedge(struct flow *flow, struct flow_request *request)
+static void send_hedge(struct flow *flow, struct flow_request *request)
 {
 	struct flow_service *service = flow_current_service(flow, request);
 	const struct flow_attempt *first = &request->attempts[0];
@@ -415,8 +416,8 @@
 	flow_update_wake(flow, request);
 }
 
-/* One thing that is due; the request may be gone after it. */
-static void step(struct flow *flow, struct flow_request *request)
+/* Runs one due action of a request, which may free the request. */
+static void run_due_action(struct flow *flow, struct flow_request *request)
 {
 	int64_t now = flow_now_us(flow);
 
@@ -430,14 +431,14 @@
 		return;
 	}
 	if (request->hedge_us && now >= request->hedge_us) {
-		hedge(flow, request);
+		send_hedge(flow, request);
 		return;
 	}
 	for (int i = 0; i < FLOW_ATTEMPTS; i++) {
 		struct flow_attempt *attempt = &request->attempts[i];
 
 		if (attempt->live && now >= attempt->query_due_us) {
-			ask(flow, request, attempt);
+			query_attempt(flow, request, attempt);
 			return;
 		}
 	}
@@ -484,7 +485,7 @@
 		request = g_sequence_get(first);
 		if (request->wake_us > flow_now_us(flow))
 			return;
-		step(flow, request);
+		run_due_action(flow, request);
 	}
 }
 
--- a/policy/flow.h
+++ b/policy/flow.h
@@ -1,10 +1,16 @@
 /**
- * The decisions of an entry: a request's way through its stages.
+ * Request flow: how an entry takes a request through its pipeline's stages.
  *
- * Pure: events and the clock in, actions out through struct flow_ops. One
- * attempt is one call to one agent, with an id of its own. Answers count
- * only for the live attempt that their id names. What may not be repeated
- * is sent again only after an agent said for certain that it did not run.
+ * An entry accepts callers' requests and sends each stage as a call to an
+ * agent, the process in front of one upstream. The flow decides on admission,
+ * upstream selection, failover, hedging and withdrawal. An attempt is one call
+ * to one agent, under its own id; an answer counts only if its id names a live
+ * attempt. A stage that is not repeatable is sent again only after the agent
+ * reported that the call did not run.
+ *
+ * Pure: events and the clock in, actions out through struct flow_ops. The flow
+ * owns its requests, services and routing tables. Times are in microseconds
+ * on the clock of flow_options; errors are enum lp_error values.
  */
 #ifndef FLOW_H
 #define FLOW_H
@@ -20,19 +26,19 @@
 struct flow;
 struct flow_request;
 
-/** Attempts of one stage that may be live at once: one and its hedge. */
+/** Attempts of a stage that may be live at once: the first and its hedge. */
 #define FLOW_ATTEMPTS 2
 
-/** One stage of a pipeline; borrowed while the request lives. */
+/** One stage of a pipeline; must outlive the requests that use it. */
 struct flow_stage {
 	const char *name;
 	const char *service;
 	bool repeatable;
-	bool stream;   /**< answers in chunks, can be resumed */
-	bool affinity; /**< prefers the upstream that saw the prefix */
+	bool stream;   /**< answers in chunks; can be resumed */
+	bool affinity; /**< prefers the owner of the affinity hash */
 };
 
-/** What an upstream's answer to one stage cost. */
+/** Time and tokens that one stage of a request used. */
 struct flow_cost {
 	uint32_t queue_us;
 	uint32_t run_us;
@@ -42,37 +48,38 @@
 	char upstream[TRACE_HOST_SIZE];
 };
 
+/** One call of a stage to one agent. */
 struct flow_attempt {
-	bool live;
-	bool withdrawn;
+	bool live;	/**< sent, not ended yet */
+	bool withdrawn; /**< the agent was asked to cancel it */
 	bool hedge;
 	struct lp_call_id id;
-	struct route_upstream *upstream; /**< NULL once it is removed */
+	struct route_upstream *upstream; /**< owned by the routing table */
 	char agent[TRACE_HOST_SIZE];
 	uint64_t incarnation;
 	int64_t agent_sent_us; /**< sending time on the agent's clock */
 	int64_t sent_us;
-	int64_t query_due_us;	     /**< when to ask what became of it */
-	uint32_t unanswered_queries; /**< in a row, unanswered */
-	uint32_t chunks;
+	int64_t query_due_us; /**< when to query the agent for its state */
+	uint32_t unanswered_queries; /**< consecutive */
+	uint32_t chunks;	     /**< received of the stream */
 };
 
 /** What the owner needs to send an attempt. */
 struct flow_send {
 	const struct flow_attempt *attempt;
-	int64_t echo_us;
-	int64_t held_us;
-	int64_t left_us;
-	const char *resume; /**< text so far, "" at first */
+	int64_t echo_us;    /**< the agent's clock in its last report */
+	int64_t held_us;    /**< time since that report was received */
+	int64_t left_us;    /**< time until the stage must be done */
+	const char *resume; /**< stream text received so far, or "" */
 	uint32_t resume_tokens;
 };
 
-/** How a request ended. */
+/** The final result of a request. */
 struct flow_outcome {
 	int error;
 	enum lp_run run;
-	int64_t retry_us; /**< come back after this; 0: no hint */
-	uint32_t stage;	  /**< where it ended */
+	int64_t retry_us; /**< suggested Retry-After; 0: none */
+	uint32_t stage;	  /**< the stage at which the request ended */
 };
 
 /** An answer from an agent. */
@@ -84,11 +91,11 @@
 	uint32_t queue_us;
 	uint32_t run_us;
 	uint32_t tokens;
-	uint32_t retry_us;
+	uint32_t retry_us; /**< expected queueing time for a new call */
 	const char *body;
 };
 
-/** An agent's word about itself, and which agent it is. */
+/** An agent's load report, and the agent that sent it. */
 struct flow_report {
 	const char *service;
 	const char *agent;
@@ -96,6 +103,7 @@
 	struct route_report load;
 };
 
+/** The state of a call, as its agent reports it. */
 enum flow_state {
 	FLOW_STATE_NOT_RUN,
 	FLOW_STATE_QUEUED,
@@ -106,19 +114,19 @@
 };
 
 struct flow_ops {
-	/** Send a call. Negative: certainly not sent. */
+	/** Send a call. Nonzero: it was certainly not sent. */
 	int (*send)(void *userdata, struct flow_request *request,
 		    const struct flow_send *send);
-	/** Ask an agent about an attempt. */
+	/** Query an agent for an attempt's state; `withdraw`: also cancel. */
 	void (*query)(void *userdata, const struct flow_attempt *attempt,
 		      bool withdraw);
-	/** A chunk of the stage's stream, in order, once. */
+	/** A chunk of the stage's stream; each comes once, in order. */
 	void (*chunk)(void *userdata, struct flow_request *request,
 		      const char *text, uint32_t tokens);
-	/** A stage's answer. Negative: it can't be used, the request fails. */
+	/** A stage's answer. A nonzero error fails the request. */
 	int (*stage_done)(void *userdata, struct flow_request *request,
 			  uint32_t stage, const char *body);
-	/** The request's end. It is freed after this returns. */
+	/** The request ended. It is freed after this returns. */
 	void (*finish)(void *userdata, struct flow_request *request,
 		       const struct flow_outcome *outcome);
 };
@@ -133,10 +141,10 @@
 	uint64_t affinity;
 	int64_t arrived_us;
 	int64_t deadline_us;
-	struct flow_cost *costs; /**< one a stage */
-	GString *text;		 /**< of the stage's stream so far */
-	uint32_t tokens;
-	void *owner; /**< the owner's */
+	struct flow_cost *costs; /**< one per stage */
+	GString *text;		 /**< stream text of the stage so far */
+	uint32_t tokens;	 /**< in `text` */
+	void *owner;		 /**< the caller's data */
 	/* private */
 	struct flow_attempt attempts[FLOW_ATTEMPTS];
 	enum lp_run run;
@@ -161,11 +169,12 @@
 	uint64_t seed;
 	int64_t report_timeout_us; /**< an agent's, until it gets no calls; 0: 7
 				      s */
-	bool naive;	  /**< random routing, no door, no hedging, no asking */
-	bool no_affinity; /**< measurement: two choices for every call */
+	/** Baseline: no admission control, hedges, queries or withdrawals. */
+	bool naive;
+	bool no_affinity; /**< for measurements: ignore affinity */
 };
 
-/** A request as it comes in. Stages are borrowed, strings copied. */
+/** A new request. Stages are borrowed, strings are copied. */
 struct flow_submit {
 	const struct flow_stage *stages;
 	uint32_t stages_count;
@@ -188,51 +197,57 @@
 	uint64_t resumed;
 	uint64_t queries;
 	uint64_t lost;
-	uint64_t dropped; /**< answers that no live attempt waits for */
-	uint64_t no_budget;
+	uint64_t dropped;   /**< messages that name no live attempt */
+	uint64_t no_budget; /**< failovers denied by the retry budget */
 };
 
 struct flow *flow_create(const struct flow_options *options);
 void flow_destroy(struct flow *flow);
-/** The routing table of a service, created when first asked for. */
+/** The routing table of a service; created on first use. */
 struct route *flow_route(struct flow *flow, const char *service);
-/** An agent's word; attempts on its earlier incarnation are lost. */
-void flow_handle_report(struct flow *flow, const struct flow_report *word);
-/** How many entries share the upstreams; 1 until told. */
+/**
+ * Apply an agent's load report. Attempts at the agent's earlier incarnation
+ * are lost.
+ */
+void flow_handle_report(struct flow *flow, const struct flow_report *report);
+/** Set how many entries share the upstreams; initially 1. */
 void flow_set_entry_count(struct flow *flow, uint32_t entries);
-/** The host list no longer has this agent. */
+/** Remove an agent that left the host list; its attempts are lost. */
 void flow_agent_removed(struct flow *flow, const char *service,
 			const char *agent);
 /**
- * Accept a request or refuse it at the door. On LP_OK it lives until finish(),
- * which may already have been called. A refusal did not run; `outcome` is
- * filled then. `id` is filled in either case, before any callback and not
- * touched after one: it may stand in what finish() frees.
+ * Admit or refuse a request. On LP_OK the request exists until finish(), which
+ * may already have been called. On an error nothing ran, and `outcome` is
+ * filled. `id` is filled in either case, before the first callback and never
+ * after one, so it may be part of memory that finish() frees.
  */
 int flow_submit(struct flow *flow, const struct flow_submit *submit,
 		struct lp_call_id *id, struct flow_outcome *outcome);
 /**
- * An answer, with the word that came in the same message (or NULL). The
- * answer is judged first: "did not run" from a new incarnation is certain,
- * while other attempts on the old one are lost.
+ * Handle an answer, with the load report of the same message (or NULL). The
+ * answer takes effect before attempts at an earlier incarnation are lost: a
+ * refusal by a new incarnation proves that this call did not run.
  */
 void flow_handle_result(struct flow *flow, const struct flow_result *result,
-			const struct flow_report *word);
+			const struct flow_report *report);
+/** Handle a chunk of a stream; `seq` counts from 0. A gap fails the attempt. */
 void flow_handle_chunk(struct flow *flow, const struct lp_call_id *id,
 		       uint32_t seq, const char *text, uint32_t tokens);
+/** Handle an agent's reply to a query. */
 void flow_handle_state(struct flow *flow, const struct lp_call_id *id,
 		       enum flow_state state);
-/** Nobody waits any more: withdraw and forget. finish() is not called. */
+/** The caller is gone: withdraw and free the request, without finish(). */
 void flow_cancel(struct flow *flow, const struct lp_call_id *id);
 /**
- * Every request, also one that comes later, ends by then: its deadline is cut
- * to it, and the door refuses what would take longer.
+ * Cap the deadlines of all current and later requests at `end_us`. Admission
+ * refuses requests that would take longer.
  */
 void flow_cap_deadlines(struct flow *flow, int64_t end_us);
-/** Do what is due. */
+/** Run all due actions. */
 void flow_tick(struct flow *flow);
-/** When flow_tick() is next needed; INT64_MAX: no request waits. */
+/** When flow_tick() is next due; INT64_MAX: there are no requests. */
 int64_t flow_next_us(const struct flow *flow);
+/** Requests that have not ended. */
 uint32_t flow_request_count(const struct flow *flow);
 const struct flow_stats *flow_stats(const struct flow *flow);
 
--- a/policy/flow_answer.c
+++ b/policy/flow_answer.c
@@ -1,4 +1,4 @@
-/* What agents say: results, chunks, states. */
+/* Messages from agents: results, stream chunks, call states. */
 #include "policy/flow_private.h"
 
 /* ---- answers ---- */
@@ -64,7 +64,7 @@
 	struct flow_request *request;
 	struct flow_attempt *attempt =
 		flow_find_attempt(flow, &result->id, &request);
-	bool fault;
+	bool upstream_at_fault;
 
 	if (!attempt)
 		return;
@@ -81,15 +81,15 @@
 	}
 	flow_add_trace(flow, &attempt->id, TRACE_FAILED, attempt->agent,
 		       result->error, result->run, 0);
-	fault = result->run != LP_RUN_NOT_RUN ||
-		result->error == LP_ERROR_UPSTREAM_FAILED;
+	upstream_at_fault = result->run != LP_RUN_NOT_RUN ||
+			    result->error == LP_ERROR_UPSTREAM_FAILED;
 	throttle_record_outcome(flow->throttle, request->organisation,
 				flow_current_stage(request)->service,
 				!flow_is_load_refusal(result->error),
 				flow_now_us(flow));
 	request->retry_us = result->retry_us;
-	flow_end_attempt(flow, request, attempt, fault);
-	/* The upstream took it and said no: asking again changes nothing. */
+	flow_end_attempt(flow, request, attempt, upstream_at_fault);
+	/* The upstream ran the call and answered an error: no retry helps. */
 	if (result->run == LP_RUN_RAN) {
 		request->run = MAX(request->run,
 				   flow_current_stage(request)->repeatable
@@ -102,19 +102,20 @@
 }
 
 void flow_handle_result(struct flow *flow, const struct flow_result *result,
-			const struct flow_report *word)
+			const struct flow_report *report)
 {
 	struct route_upstream *upstream = NULL;
 	struct route *route;
-	bool changed = false;
+	bool restarted = false;
 
-	if (word) {
-		route = flow_route(flow, word->service);
-		upstream = route_find_or_add(route, word->agent, word->domain);
-		changed = route_apply_report(route, upstream, &word->load);
+	if (report) {
+		route = flow_route(flow, report->service);
+		upstream =
+			route_find_or_add(route, report->agent, report->domain);
+		restarted = route_apply_report(route, upstream, &report->load);
 	}
 	apply_result(flow, result);
-	if (changed)
+	if (restarted)
 		flow_lose_attempts_at(flow, upstream, false);
 }
 
@@ -142,10 +143,12 @@
 }
 
 /*
- * A stream that runs, says its agent, yet brought no token for much longer
- * than usual: its engine hangs. Other stages are covered by their hedge.
+ * Whether to fail over a stream that its agent reports as running. The agent
+ * was queried because no chunk came for much longer than usual, so the engine
+ * hangs. Stages without a stream are covered by their hedge.
  */
-static bool stalled(struct flow *flow, const struct flow_request *request)
+static bool may_leave_stalled_stream(struct flow *flow,
+				     const struct flow_request *request)
 {
 	const struct flow_stage *stage = flow_current_stage(request);
 
@@ -178,7 +181,7 @@
 		flow_lose_attempt(flow, request, attempt);
 		return;
 	case FLOW_STATE_RUNNING:
-		if (stalled(flow, request)) {
+		if (may_leave_stalled_stream(flow, request)) {
 			fail_stream(flow, request, attempt);
 			return;
 		}
--- a/policy/flow_attempt.c
+++ b/policy/flow_attempt.c
@@ -1,7 +1,7 @@
-/* Attempts: sending a stage, ending an attempt, moving on, ending a request. */
+/* Attempts: sending and ending them, failover, and the end of a request. */
 #include "policy/flow_private.h"
 
-/* ---- waking up ---- */
+/* ---- wake times ---- */
 
 static int compare_wake_times(gconstpointer a, gconstpointer b,
 			      gpointer userdata)
@@ -58,7 +58,6 @@
 		flow->options.ops->query(flow->options.userdata, attempt, true);
 }
 
-/* End what is still out there; whether it ran is then unknown. */
 void flow_withdraw_all(struct flow *flow, struct flow_request *request)
 {
 	for (int i = 0; i < FLOW_ATTEMPTS; i++) {
@@ -73,7 +72,7 @@
 	}
 }
 
-/* Stages that were never reached are no longer coming. */
+/* Calls of the stages that the request did not reach are not expected. */
 static void remove_unreached_calls(struct flow *flow,
 				   const struct flow_request *request)
 {
@@ -109,7 +108,7 @@
 	flow_remove_request(flow, request);
 }
 
-/* Time later stages are expected to take. */
+/* The median time of the stages after the current one, summed. */
 static int64_t later_stages_us(struct flow *flow,
 			       const struct flow_request *request)
 {
@@ -124,8 +123,8 @@
 	return sum_us;
 }
 
-static int64_t stage_left_us(struct flow *flow,
-			     const struct flow_request *request)
+static int64_t stage_time_left_us(struct flow *flow,
+				  const struct flow_request *request)
 {
 	int64_t left_us = request->deadline_us - flow_now_us(flow);
 
@@ -145,11 +144,11 @@
 int64_t flow_query_delay_us(const struct flow *flow,
 			    const struct flow_service *service)
 {
-	int64_t usual_us = quantile_get(service->stage_times, 0.95, 0);
+	int64_t p95_us = quantile_get(service->stage_times, 0.95, 0);
 
 	if (flow->options.naive)
 		return G_MAXINT64 / 2;
-	return MAX(QUERY_DELAY_MIN_US, usual_us * QUERY_DELAY_FACTOR);
+	return MAX(QUERY_DELAY_MIN_US, p95_us * QUERY_DELAY_FACTOR);
 }
 
 static void init_attempt(struct flow *flow, struct flow_request *request,
@@ -183,7 +182,7 @@
 		.attempt = attempt,
 		.echo_us = upstream->agent_time_us,
 		.held_us = flow_now_us(flow) - upstream->report_received_us,
-		.left_us = stage_left_us(flow, request),
+		.left_us = stage_time_left_us(flow, request),
 		.resume = request->text->str,
 		.resume_tokens = request->tokens,
 	};
@@ -217,10 +216,6 @@
 	return route_pick(route, &query);
 }
 
-/*
- * Send the stage to some upstream other than `avoid`, if there is another.
- * Returns LP_OK or why nothing was sent.
- */
 int flow_dispatch(struct flow *flow, struct flow_request *request,
 		  const struct route_upstream *avoid, bool hedge)
 {
@@ -247,14 +242,15 @@
 static void schedule_hedge(struct flow *flow, struct flow_request *request)
 {
 	const struct flow_stage *stage = flow_current_stage(request);
-	int64_t slow_us = quantile_get(
+	int64_t hedge_delay_us = quantile_get(
 		flow_current_service(flow, request)->stage_times, 0.95, 0);
 
 	request->hedge_us = 0;
 	if (flow->options.naive || !stage->repeatable || stage->stream ||
-	    !slow_us)
+	    !hedge_delay_us)
 		return;
-	request->hedge_us = flow_now_us(flow) + MAX(slow_us, HEDGE_MIN_US);
+	request->hedge_us =
+		flow_now_us(flow) + MAX(hedge_delay_us, HEDGE_MIN_US);
 }
 
 void flow_start_stage(struct flow *flow, struct flow_request *request)
@@ -262,7 +258,7 @@
 	int error;
 
 	request->failovers = 0;
-	request->attempt_serial = 0; /* the stage is in the id, too */
+	request->attempt_serial = 0; /* the id has the stage as well */
 	request->stage_started_us = flow_now_us(flow);
 	request->tokens = 0;
 	g_string_truncate(request->text, 0);
@@ -278,7 +274,7 @@
 	flow_update_wake(flow, request);
 }
 
-/* ---- moving on after a failed attempt ---- */
+/* ---- failover ---- */
 
 bool flow_is_load_refusal(int error)
 {
@@ -286,7 +282,10 @@
 	       error == LP_ERROR_DEADLINE_UNREACHABLE;
 }
 
-/* Refusals that say nothing of load cost no budget: they cannot storm. */
+/*
+ * Refusals for reasons other than load take nothing from the retry budget: they
+ * cannot cause a retry storm.
+ */
 static bool may_fail_over(struct flow *flow, struct flow_request *request,
 			  int error, enum lp_run run)
 {
@@ -305,16 +304,15 @@
 	return false;
 }
 
-static bool repeat_allowed(const struct flow_request *request, enum lp_run run)
+static bool may_repeat(const struct flow_request *request, enum lp_run run)
 {
 	return run == LP_RUN_NOT_RUN || flow_current_stage(request)->repeatable;
 }
 
-/* An attempt has ended without an answer: go elsewhere, or end here. */
 void flow_fail_over(struct flow *flow, struct flow_request *request,
 		    struct flow_attempt *attempt, int error, enum lp_run run)
 {
-	struct route_upstream *from = attempt->upstream;
+	struct route_upstream *failed_upstream = attempt->upstream;
 
 	if (run != LP_RUN_NOT_RUN)
 		request->run = MAX(request->run, LP_RUN_MAY_HAVE_RUN);
@@ -327,7 +325,7 @@
 		flow_finish_request(flow, request, LP_ERROR_DEADLINE_PASSED);
 		return;
 	}
-	if (!repeat_allowed(request, run) ||
+	if (!may_repeat(request, run) ||
 	    !may_fail_over(flow, request, error, run)) {
 		flow_finish_request(flow, request, error);
 		return;
@@ -343,7 +341,7 @@
 		flow_add_trace(flow, &attempt->id, TRACE_RESUMED,
 			       attempt->agent, 0, request->tokens, 0);
 	}
-	if (flow_dispatch(flow, request, from, false))
+	if (flow_dispatch(flow, request, failed_upstream, false))
 		flow_finish_request(flow, request, error);
 	else
 		flow_update_wake(flow, request);
--- a/policy/flow_private.h
+++ b/policy/flow_private.h
@@ -1,4 +1,4 @@
-/** What the files of the flow share. Private to policy/. */
+/** Declarations shared by policy/flow*.c; private to them. */
 #ifndef FLOW_PRIVATE_H
 #define FLOW_PRIVATE_H
 
@@ -7,19 +7,21 @@
 
 #include <string.h>
 
-#define FAILOVERS_MAX 4	       /* attempts of a stage beyond the first */
-#define RETRY_BUDGET_SHARE 0.1 /* retries and hedges per first try */
+#define FAILOVERS_MAX 4	       /* attempts of a stage after the first */
+#define RETRY_BUDGET_SHARE 0.1 /* retries and hedges per first attempt */
 #define RETRY_BUDGET_BURST 20.0
 #define HEDGE_BUDGET_RESERVE \
-	(RETRY_BUDGET_BURST / 2) /* left for what has failed */
+	(RETRY_BUDGET_BURST / 2) /* tokens reserved for failovers */
 #define QUERY_DELAY_MIN_US (250 * LP_US_PER_MS)
 #define QUERY_INTERVAL_US (200 * LP_US_PER_MS)
-#define UNANSWERED_QUERIES_MAX \
-	3		     /* unanswered, then a repeatable call moves on */
-#define QUERY_DELAY_FACTOR 3 /* times the service's 95th percentile */
+#define UNANSWERED_QUERIES_MAX 3 /* then a repeatable call fails over */
+#define QUERY_DELAY_FACTOR 3	 /* times the 95th percentile of stage times */
 #define HEDGE_MIN_US (5 * LP_US_PER_MS)
 #define WITHDRAW_LEAD_US (30 * LP_US_PER_MS) /* before the deadline */
-/* Somewhat under what agents allow, so that they seldom refuse. */
+/*
+ * The share of a request's spare time that queues may use; below the agents'
+ * own share, so that agents seldom refuse.
+ */
 #define ADMISSION_QUEUE_SHARE 0.5
 #define RETRY_HINT_MIN_US (100 * LP_US_PER_MS)
 #define SERVICE_TICK_US (500 * LP_US_PER_MS)
@@ -28,8 +30,8 @@
 	char *name;
 	struct route *route;
 	struct bucket retry_budget;
-	struct quantile *stage_times; /* of a stage, sent to answered */
-	uint32_t expected_calls; /* accepted requests that will yet call it */
+	struct quantile *stage_times; /* from sending to answer, in us */
+	uint32_t expected_calls;      /* by admitted requests, not sent yet */
 };
 
 struct flow {
@@ -37,67 +39,72 @@
 	char *domain;
 	GHashTable *services;
 	GHashTable *requests;	 /* serial to flow_request */
-	int64_t deadline_cap_us; /* no request lasts longer; INT64_MAX: any */
+	int64_t deadline_cap_us; /* INT64_MAX: none */
 	GSequence *wakes;	 /* flow_request by wake_us */
 	struct throttle *throttle;
 	struct flow_stats stats;
 	uint32_t serial;
-	uint32_t entry_count; /* live, this one included */
+	uint32_t entry_count; /* including this one */
 	int64_t services_tick_us;
 };
 
 /* ---- flow.c ---- */
 
 int64_t flow_now_us(const struct flow *flow);
-/** Record a decision, if a trace is kept. */
+/** Record a decision in the trace, if there is one. */
 void flow_add_trace(struct flow *flow, const struct lp_call_id *id,
 		    enum trace_kind kind, const char *who, int error, int64_t a,
 		    int64_t b);
-/** A service by name, created when first asked for. */
+/** Find a service by name, or create it. */
 struct flow_service *flow_get_service(struct flow *flow, const char *name);
 const struct flow_stage *flow_current_stage(const struct flow_request *request);
 struct flow_service *flow_current_service(struct flow *flow,
 					  const struct flow_request *request);
-/** The live attempt of an id, or NULL (counted as dropped). */
+/** Find the live attempt of an id; if none, count as dropped: NULL. */
 struct flow_attempt *flow_find_attempt(struct flow *flow,
 				       const struct lp_call_id *id,
 				       struct flow_request **request);
 uint32_t flow_live_attempts(const struct flow_request *request);
-/** Lose attempts at an upstream: all, or those on an older incarnation. */
+/** Mark attempts at an upstream lost: all, or those at other incarnations. */
 void flow_lose_attempts_at(struct flow *flow,
 			   const struct route_upstream *upstream,
 			   bool any_incarnation);
 
 /* ---- flow_attempt.c ---- */
 
-/** Call whenever what a request waits for has changed. */
+/** Recompute the wake time; call after any change to the request's timers. */
 void flow_update_wake(struct flow *flow, struct flow_request *request);
-/** failed: by the upstream's fault. */
+/** End an attempt; `failed`: the upstream is at fault. */
 void flow_end_attempt(struct flow *flow, struct flow_request *request,
 		      struct flow_attempt *attempt, bool failed);
-/** Ask the agent to take it out or end it. */
+/** Ask the agent to dequeue or cancel the call. */
 void flow_withdraw_attempt(struct flow *flow, struct flow_request *request,
 			   struct flow_attempt *attempt);
-/** End what is still out there; whether it ran is then unknown. */
+/** Withdraw and end all live attempts; whether they ran is unknown. */
 void flow_withdraw_all(struct flow *flow, struct flow_request *request);
-/** Free a request without an answer. */
+/** Free a request without calling finish(). */
 void flow_remove_request(struct flow *flow, struct flow_request *request);
-/** Answer a request; it is gone after this. */
+/** Call finish() for a request and free it. */
 void flow_finish_request(struct flow *flow, struct flow_request *request,
 			 int error);
-/** When an attempt without a sign is asked after. */
+/** How long an attempt may be silent before its agent is queried. */
 int64_t flow_query_delay_us(const struct flow *flow,
 			    const struct flow_service *service);
-/** Send the stage to another upstream than `avoid`, if there is one. */
+/**
+ * Send the stage to an upstream other than `avoid`. Without another one, a
+ * hedge fails and other attempts use `avoid` again. Returns LP_OK or the reason
+ * why nothing was sent.
+ */
 int flow_dispatch(struct flow *flow, struct flow_request *request,
 		  const struct route_upstream *avoid, bool hedge);
-/** May end the request. */
+/** Send the first attempt of the current stage; may end the request. */
 void flow_start_stage(struct flow *flow, struct flow_request *request);
+/** Whether an agent refused a call because of its load. */
 bool flow_is_load_refusal(int error);
-/** An attempt ended without an answer: go elsewhere, or end the request. */
+/** After an attempt without an answer: send another one or end the request. */
 void flow_fail_over(struct flow *flow, struct flow_request *request,
 		    struct flow_attempt *attempt, int error, enum lp_run run);
-/** No word of it: as flow_fail_over(), having perhaps run. */
+/** End an attempt that may have run, and fail over. */
 void flow_lose_attempt(struct flow *flow, struct flow_request *request,
 		       struct flow_attempt *attempt);
 
--- a/policy/route.c
+++ b/policy/route.c
@@ -9,22 +9,20 @@
 #define DEFAULT_REMOTE_COST_US (1 * LP_US_PER_MS)
 #define DEFAULT_REPORT_TIMEOUT_US (7 * LP_US_PER_S)
 #define RING_POINTS 32		/* per upstream */
-#define RING_OWNERS_MAX 8	/* owners tried for an affinity */
-#define AFFINITY_LOAD_BOUND 1.5 /* times the mean load */
+#define RING_OWNERS_MAX 8	/* upstreams tried for an affinity */
+#define AFFINITY_LOAD_BOUND 1.5 /* times the mean load per upstream */
 #define AFFINITY_SPEED_ADVANTAGE \
-	2.0		    /* others must be this much faster to win */
-#define TRIES 8		    /* random draws before a scan */
+	2.0		    /* how much faster another upstream must be */
+#define RANDOM_DRAWS 8	    /* random draws before a linear scan */
 #define EJECTION_FAILURES 5 /* in a row */
 #define EJECTION_ERROR_RATE 0.6
 #define ERROR_SMOOTHING 0.1
 #define EJECTION_US (1 * LP_US_PER_S)
 #define EJECTION_DOUBLINGS_MAX 5
 #define EJECTED_SHARE_DIVISOR 3		  /* at most one third of a service */
-#define ERROR_COST_US (50 * LP_US_PER_MS) /* what a failed call costs */
-#define ERROR_HALF_LIFE_US (5.0 * LP_US_PER_S) /* without calls */
-#define RUN_TIME_FADE_US                                    \
-	(5 * LP_US_PER_S) /* a slow record fades after this \
-			   */
+#define ERROR_COST_US (50 * LP_US_PER_MS) /* per expected failure */
+#define ERROR_HALF_LIFE_US (5.0 * LP_US_PER_S) /* while no calls end */
+#define RUN_TIME_FADE_US (5 * LP_US_PER_S) /* of an idle upstream's report */
 
 struct ring_point {
 	uint64_t hash;
@@ -42,8 +40,8 @@
 	GArray *ring;
 	bool ring_stale;
 	uint32_t inflight;
-	uint32_t ejected; /* set aside now, counted at tick */
-	uint32_t slots;	  /* of usable upstreams, counted at tick */
+	uint32_t ejected; /* counted at each tick, and ejections since */
+	uint32_t slots;	  /* of eligible upstreams, counted at each tick */
 };
 
 static int64_t now_us(const struct route *route)
@@ -116,7 +114,7 @@
 	upstream = g_new0(struct route_upstream, 1);
 	upstream->name = g_strdup(name);
 	upstream->domain = g_strdup(domain);
-	upstream->silent = true; /* until its first word */
+	upstream->silent = true; /* until its first report */
 	g_hash_table_insert(route->by_name, upstream->name, upstream);
 	g_ptr_array_add(route->upstreams, upstream);
 	g_ptr_array_add(domain_upstreams(route, upstream), upstream);
@@ -138,34 +136,34 @@
 }
 
 bool route_apply_report(struct route *route, struct route_upstream *upstream,
-			const struct route_report *word)
+			const struct route_report *report)
 {
-	bool changed = upstream->incarnation &&
-		       upstream->incarnation != word->incarnation;
+	bool restarted = upstream->incarnation &&
+			 upstream->incarnation != report->incarnation;
 
-	/* A word sent before the last one we have tells nothing new. */
-	if (upstream->incarnation == word->incarnation &&
-	    word->agent_time_us < upstream->agent_time_us)
+	/* Reports may be reordered on the way; an older one is ignored. */
+	if (upstream->incarnation == report->incarnation &&
+	    report->agent_time_us < upstream->agent_time_us)
 		return false;
-	upstream->incarnation = word->incarnation;
-	upstream->agent_time_us = word->agent_time_us;
+	upstream->incarnation = report->incarnation;
+	upstream->agent_time_us = report->agent_time_us;
 	upstream->report_received_us = now_us(route);
-	upstream->revision = word->revision;
-	upstream->queued = word->queued;
-	upstream->running = word->running;
-	upstream->limit = word->limit;
-	upstream->wait_us = word->wait_us;
-	upstream->run_us = word->run_us;
-	upstream->draining = word->draining;
+	upstream->revision = report->revision;
+	upstream->queued = report->queued;
+	upstream->running = report->running;
+	upstream->limit = report->limit;
+	upstream->wait_us = report->wait_us;
+	upstream->run_us = report->run_us;
+	upstream->draining = report->draining;
 	upstream->silent = false;
 	upstream->sent_since_report = 0;
-	if (changed) {
+	if (restarted) {
 		upstream->consecutive_failures = 0;
 		upstream->error_rate = 0;
 		upstream->ejected_until_us = 0;
 		upstream->ejections = 0;
 	}
-	return changed;
+	return restarted;
 }
 
 bool route_is_ejected(const struct route *route,
@@ -185,9 +183,9 @@
 	return route->options.naive || !route_is_ejected(route, upstream);
 }
 
-/* Share of calls expected to fail; fades while nothing is tried. */
-static double error_share(const struct route *route,
-			  const struct route_upstream *upstream)
+/* The expected share of failing calls; decays while no calls end. */
+static double current_error_rate(const struct route *route,
+				 const struct route_upstream *upstream)
 {
 	double idle_us = (double)(now_us(route) - upstream->last_call_ended_us);
 
@@ -195,9 +193,9 @@
 }
 
 /*
- * Time a call sent now would take: the reported wait, less the time since,
- * plus what we sent after that report, plus the usual run. A record of slow
- * runs fades, so that an upstream that recovered is tried again.
+ * The expected time of a call sent now: the reported queueing time less the age
+ * of the report, plus the calls sent since, plus the usual run time. The run
+ * time of an idle upstream fades, so that a recovered one is tried again.
  */
 static int64_t expected_time_us(const struct route *route,
 				const struct route_upstream *upstream)
@@ -214,40 +212,43 @@
 	if (busy >= limit)
 		wait_us += run_us * upstream->sent_since_report / limit;
 	if (upstream->error_rate > 0)
-		wait_us +=
-			(int64_t)(error_share(route, upstream) * ERROR_COST_US);
-	/* Among idle ones prefer the emptier: batches slow each other. */
+		wait_us += (int64_t)(current_error_rate(route, upstream) *
+				     ERROR_COST_US);
+	/* Prefer emptier upstreams: calls in a batch slow each other. */
 	return wait_us + run_us + run_us * MIN(busy, limit) / limit / 2;
 }
 
-static struct route_upstream *draw(struct route *route, GPtrArray *from,
-				   const struct route_query *query)
+static struct route_upstream *draw_eligible(struct route *route,
+					    GPtrArray *candidates,
+					    const struct route_query *query)
 {
 	struct route_upstream *upstream;
 	guint start;
 
-	if (!from->len)
+	if (!candidates->len)
 		return NULL;
-	for (int i = 0; i < TRIES; i++) {
+	for (int i = 0; i < RANDOM_DRAWS; i++) {
 		upstream = g_ptr_array_index(
-			from,
-			g_rand_int_range(route->random, 0, (gint32)from->len));
+			candidates, g_rand_int_range(route->random, 0,
+						     (gint32)candidates->len));
 		if (eligible(route, upstream, query))
 			return upstream;
 	}
-	start = (guint)g_rand_int_range(route->random, 0, (gint32)from->len);
-	for (guint i = 0; i < from->len; i++) {
-		upstream = g_ptr_array_index(from, (start + i) % from->len);
+	start = (guint)g_rand_int_range(route->random, 0,
+					(gint32)candidates->len);
+	for (guint i = 0; i < candidates->len; i++) {
+		upstream = g_ptr_array_index(candidates,
+					     (start + i) % candidates->len);
 		if (eligible(route, upstream, query))
 			return upstream;
 	}
 	return NULL;
 }
 
-static struct route_upstream *better(const struct route *route,
-				     struct route_upstream *a,
-				     struct route_upstream *b,
-				     int64_t cost_b_us)
+static struct route_upstream *faster_of(const struct route *route,
+					struct route_upstream *a,
+					struct route_upstream *b,
+					int64_t cost_b_us)
 {
 	if (!a || !b)
 		return a ? a : b;
@@ -260,18 +261,20 @@
 static struct route_upstream *pick_by_load(struct route *route,
 					   const struct route_query *query)
 {
-	struct route_upstream *near;
-	struct route_upstream *far;
-
-	near = draw(route, route->local, query);
-	near = better(route, near, draw(route, route->local, query), 0);
-	far = draw(route, route->remote, query);
-	if (!near)
-		return better(route, far, draw(route, route->remote, query), 0);
-	return better(route, near, far, route->options.remote_cost_us);
+	struct route_upstream *local;
+	struct route_upstream *remote;
+
+	local = draw_eligible(route, route->local, query);
+	local = faster_of(route, local,
+			  draw_eligible(route, route->local, query), 0);
+	remote = draw_eligible(route, route->remote, query);
+	if (!local)
+		return faster_of(route, remote,
+				 draw_eligible(route, route->remote, query), 0);
+	return faster_of(route, local, remote, route->options.remote_cost_us);
 }
 
-static int compare_points(const void *a, const void *b)
+static int compare_ring_points(const void *a, const void *b)
 {
 	const struct ring_point *left = a;
 	const struct ring_point *right = b;
@@ -293,7 +296,7 @@
 			g_array_append_val(route->ring, entry);
 		}
 	}
-	g_array_sort(route->ring, compare_points);
+	g_array_sort(route->ring, compare_ring_points);
 	route->ring_stale = false;
 }
 
@@ -325,21 +328,21 @@
 static struct route_upstream *pick_by_affinity(struct route *route,
 					       const struct route_query *query)
 {
-	struct route_upstream *last = NULL;
-	guint at;
+	struct route_upstream *previous = NULL;
+	guint position;
 
 	if (route->ring_stale)
 		build_ring(route);
-	at = ring_position(route, query->affinity);
+	position = ring_position(route, query->affinity);
 	for (int i = 0; i < RING_OWNERS_MAX * RING_POINTS; i++) {
 		struct route_upstream *upstream =
 			g_array_index(route->ring, struct ring_point,
-				      (at + i) % route->ring->len)
+				      (position + i) % route->ring->len)
 				.upstream;
 
-		if (upstream == last)
+		if (upstream == previous)
 			continue;
-		last = upstream;
+		previous = upstream;
 		if (eligible(route, upstream, query) &&
 		    has_bounded_load(route, upstream))
 			return upstream;
@@ -356,7 +359,7 @@
 	if (!route->upstreams->len)
 		return NULL;
 	if (route->options.naive)
-		return draw(route, route->upstreams, query);
+		return draw_eligible(route, route->upstreams, query);
 	other = pick_by_load(route, query);
 	if (!query->affinity)
 		return other;
@@ -397,7 +400,7 @@
 		upstream->inflight -= 1;
 		route->inflight -= 1;
 	}
-	upstream->error_rate = error_share(route, upstream);
+	upstream->error_rate = current_error_rate(route, upstream);
 	upstream->error_rate +=
 		((failed ? 1.0 : 0.0) - upstream->error_rate) * ERROR_SMOOTHING;
 	upstream->last_call_ended_us = now_us(route);
