--- a/policy/queue.c
+++ b/policy/queue.c
@@ -1,13 +1,13 @@
 #include "policy/queue.h"
 
-#define ORGS_MAX 1024 /* idle organisations whose virtual time is kept */
+#define ORGS_MAX 1024 /* above this, organisations without items are freed */
 
 struct queue_org {
 	char *name;
 	uint32_t weight;
 	double virtual_time;
 	GSequence *items;	 /* by deadline */
-	GSequenceIter *position; /* among active, NULL when idle */
+	GSequenceIter *position; /* in queue->active; NULL if no items */
 };
 
 struct queue {
@@ -179,15 +179,16 @@
 {
 	const struct queue_org *org =
 		g_hash_table_lookup(queue->orgs, organisation);
-	double own = weight ? weight : 1;
-	double others = queue->active_weight;
+	double own_weight = weight ? weight : 1;
+	double other_weight = queue->active_weight;
 	double ahead;
 
 	if (queue->fifo || !queue->length)
 		return queue->length;
 	if (org && org->position)
-		others -= org->weight;
-	ahead = queue_org_length(queue, organisation) * (own + others) / own +
-		others / own;
+		other_weight -= org->weight;
+	ahead = queue_org_length(queue, organisation) *
+			(own_weight + other_weight) / own_weight +
+		other_weight / own_weight;
 	return MIN(ahead, queue->length);
 }
--- a/policy/worker.c
+++ b/policy/worker.c
@@ -10,9 +10,9 @@
 #define DEFAULT_AGE_LIMIT_US (8 * LP_US_PER_S)
 #define DEFAULT_RESULT_TTL_US (5 * LP_US_PER_S)
 /*
- * Of the time a call has beyond its run, the queue may use this much: a
- * longer queue serves nobody sooner, and leaves none for the order by
- * deadline to trade with.
+ * The share of a call's spare time (left after its run) that it may spend in
+ * the queue. A longer queue serves no call sooner and leaves no slack for
+ * ordering by deadline.
  */
 #define QUEUE_TIME_SHARE 0.6
 #define OVERRUN_GRACE_US (200 * LP_US_PER_MS)
@@ -24,11 +24,10 @@
 	struct queue *queue;
 	struct quantile *run_times;
 	GHashTable *calls; /* lp_call_id to worker_call */
-	GQueue expiring;   /* worker_call by forget_us, which only grows */
+	GQueue expiring;   /* worker_call, in order of expires_us */
 	GPtrArray *running_calls;
 	uint32_t running;
-	uint32_t upstream_queued; /* calls waiting within the upstream, it says
-				   */
+	uint32_t upstream_queued; /* calls queued inside the upstream */
 	bool draining;
 	bool starting; /* guards against re-entry of start_queued() */
 };
@@ -108,24 +107,25 @@
 }
 
 /*
- * Slots free up at limit / usual time: what goes before a new call leaves
- * the queue at that rate.
+ * The expected queueing time of a new call. Slots become free at a rate of
+ * limit / mean run time, and the calls ahead leave the queue at that rate.
  */
 static int64_t estimate_queue_us(const struct worker *worker,
 				 const char *organisation, uint32_t weight)
 {
-	double usual_us = MAX(worker->limit.smoothed_run_us, 1.0);
-	double ahead = queue_calls_ahead(worker->queue, organisation, weight) +
-		       worker->upstream_queued;
+	double mean_run_us = MAX(worker->limit.smoothed_run_us, 1.0);
+	double calls_ahead =
+		queue_calls_ahead(worker->queue, organisation, weight) +
+		worker->upstream_queued;
 
-	if (worker->running < worker->limit.value && ahead < 1)
+	if (worker->running < worker->limit.value && calls_ahead < 1)
 		return 0;
-	return (int64_t)((ahead + 1) * usual_us / worker->limit.value);
+	return (int64_t)((calls_ahead + 1) * mean_run_us / worker->limit.value);
 }
 
 /*
- * Runs that do not end tell of an upstream that hangs: the mean age of what
- * runs, about half a run while all is well.
+ * The mean age of the running calls: about half a run time normally, and more
+ * if the upstream hangs, as its calls don't end.
  */
 static uint32_t mean_running_age_us(const struct worker *worker)
 {
@@ -154,11 +154,11 @@
 }
 
 /*
- * An id is remembered while a copy of its call could still be young enough
- * to run. Times to forget are made monotonic so that one list keeps order.
+ * Keeps a call's id while a duplicate could still be young enough to run.
+ * Expiry times are made monotonic, so that one list stays sorted.
  */
-static void remember(struct worker *worker, struct worker_call *call,
-		     int64_t until_us)
+static void schedule_expiry(struct worker *worker, struct worker_call *call,
+			    int64_t until_us)
 {
 	struct worker_call *last = g_queue_peek_tail(&worker->expiring);
 
@@ -181,18 +181,19 @@
 	return call;
 }
 
-static void fence(struct worker *worker, const struct lp_call_id *id,
-		  const char *peer)
+static void add_fence(struct worker *worker, const struct lp_call_id *id,
+		      const char *peer)
 {
 	struct worker_call *call = add_call(worker, id, peer);
 
 	call->state = WORKER_FENCED;
 	call->result.error = LP_ERROR_WITHDRAWN;
 	call->result.run = LP_RUN_NOT_RUN;
-	remember(worker, call, call->arrived_us + worker->options.age_limit_us);
+	schedule_expiry(worker, call,
+			call->arrived_us + worker->options.age_limit_us);
 }
 
-static void refuse(struct worker *worker, const struct worker_submit *offer,
+static void refuse(struct worker *worker, const struct worker_submit *submit,
 		   int error, int64_t retry_us)
 {
 	struct worker_result result = {
@@ -201,24 +202,24 @@
 		.retry_us = (uint32_t)CLAMP(retry_us, 0, G_MAXUINT32),
 	};
 
-	worker->options.ops->refuse(worker->options.userdata, offer->peer,
-				    &offer->id, &result);
-	if (offer->payload)
-		worker->options.ops->free_payload(offer->payload);
+	worker->options.ops->refuse(worker->options.userdata, submit->peer,
+				    &submit->id, &result);
+	if (submit->payload)
+		worker->options.ops->free_payload(submit->payload);
 }
 
-/* The call is answered now: from its state on it never runs (again). */
-static void settle(struct worker *worker, struct worker_call *call,
-		   enum worker_state state)
+/* Ends a call with its final state and sends its answer. */
+static void end_call(struct worker *worker, struct worker_call *call,
+		     enum worker_state state)
 {
 	call->state = state;
 	call->run_data = NULL;
 	if (call->payload)
 		worker->options.ops->free_payload(call->payload);
 	call->payload = NULL;
-	remember(worker, call,
-		 MAX(call->arrived_us + worker->options.age_limit_us,
-		     now_us(worker) + worker->options.result_ttl_us));
+	schedule_expiry(worker, call,
+			MAX(call->arrived_us + worker->options.age_limit_us,
+			    now_us(worker) + worker->options.result_ttl_us));
 	worker->options.ops->reply(worker->options.userdata, call);
 }
 
@@ -230,10 +231,10 @@
 	call->result.queue_us = (uint32_t)(now_us(worker) - call->arrived_us);
 	call->result.retry_us =
 		(uint32_t)estimate_queue_us(worker, call->organisation, 1);
-	settle(worker, call, WORKER_FENCED);
+	end_call(worker, call, WORKER_FENCED);
 }
 
-static void start(struct worker *worker, struct worker_call *call)
+static void start_call(struct worker *worker, struct worker_call *call)
 {
 	call->state = WORKER_RUNNING;
 	call->started_us = now_us(worker);
@@ -250,7 +251,7 @@
 
 	if (worker->options.naive)
 		return false;
-	/* The lower quartile: refuse only what would hardly ever make it. */
+	/* The lower quartile: refuse only calls that would hardly ever fit. */
 	need_us = quantile_get(worker->run_times, 0.25, 0);
 	return now_us(worker) + need_us > call->item.deadline_us;
 }
@@ -270,23 +271,23 @@
 			refuse_queued(worker, item->owner,
 				      LP_ERROR_DEADLINE_UNREACHABLE);
 		else
-			start(worker, item->owner);
+			start_call(worker, item->owner);
 	}
 	worker->starting = false;
 }
 
-/* A call seen before is never run again: it is answered from memory. */
+/* A duplicate of a known call never runs: an ended one is answered again. */
 static void answer_duplicate(struct worker *worker, struct worker_call *call,
-			     const struct worker_submit *offer)
+			     const struct worker_submit *submit)
 {
 	if (call->state == WORKER_FENCED || call->state == WORKER_DONE)
 		worker->options.ops->reply(worker->options.userdata, call);
-	if (offer->payload)
-		worker->options.ops->free_payload(offer->payload);
+	if (submit->payload)
+		worker->options.ops->free_payload(submit->payload);
 }
 
 static int check_submit(const struct worker *worker,
-			const struct worker_submit *offer, int64_t *retry_us)
+			const struct worker_submit *submit, int64_t *retry_us)
 {
 	const struct worker_options *options = &worker->options;
 	int64_t now = now_us(worker);
@@ -294,103 +295,103 @@
 	int64_t spare_us;
 
 	*retry_us = 0;
-	if (offer->incarnation != options->incarnation)
+	if (submit->incarnation != options->incarnation)
 		return LP_ERROR_WRONG_INCARNATION;
-	if (now - (offer->echo_us + offer->held_us) > options->age_limit_us)
+	if (now - (submit->echo_us + submit->held_us) > options->age_limit_us)
 		return LP_ERROR_STALE_CALL;
 	if (worker->draining)
 		return LP_ERROR_LEAVING;
-	wait_us = estimate_queue_us(worker, offer->organisation, offer->weight);
+	wait_us =
+		estimate_queue_us(worker, submit->organisation, submit->weight);
 	*retry_us = wait_us;
 	if (queue_length(worker->queue) >= options->queue_max)
 		return LP_ERROR_OVERLOADED;
 	if (options->naive)
 		return LP_OK;
-	spare_us = offer->left_us - estimate_run_us(worker);
+	spare_us = submit->left_us - estimate_run_us(worker);
 	if (spare_us < 0 || wait_us > (int64_t)(spare_us * QUEUE_TIME_SHARE))
 		return LP_ERROR_DEADLINE_UNREACHABLE;
 	return LP_OK;
 }
 
-void worker_submit(struct worker *worker, const struct worker_submit *offer)
+void worker_submit(struct worker *worker, const struct worker_submit *submit)
 {
 	struct worker_call *call =
-		g_hash_table_lookup(worker->calls, &offer->id);
+		g_hash_table_lookup(worker->calls, &submit->id);
 	int64_t retry_us;
 	int error;
 
 	if (call) {
-		answer_duplicate(worker, call, offer);
+		answer_duplicate(worker, call, submit);
 		return;
 	}
-	error = check_submit(worker, offer, &retry_us);
+	error = check_submit(worker, submit, &retry_us);
 	if (error) {
-		/* A second copy must find the same answer. */
+		/* A duplicate must get the same answer. */
 		if (error != LP_ERROR_WRONG_INCARNATION &&
 		    error != LP_ERROR_STALE_CALL)
-			fence(worker, &offer->id, offer->peer);
-		refuse(worker, offer, error, retry_us);
+			add_fence(worker, &submit->id, submit->peer);
+		refuse(worker, submit, error, retry_us);
 		return;
 	}
-	call = add_call(worker, &offer->id, offer->peer);
+	call = add_call(worker, &submit->id, submit->peer);
 	call->state = WORKER_QUEUED;
-	call->repeatable = offer->repeatable;
-	call->organisation = g_strdup(offer->organisation);
-	call->weight = offer->weight;
-	call->payload = offer->payload;
-	call->item.deadline_us = call->arrived_us + offer->left_us;
+	call->repeatable = submit->repeatable;
+	call->organisation = g_strdup(submit->organisation);
+	call->weight = submit->weight;
+	call->payload = submit->payload;
+	call->item.deadline_us = call->arrived_us + submit->left_us;
 	queue_push(worker->queue, &call->item, call->organisation,
-		   offer->weight);
+		   submit->weight);
 	start_queued(worker);
 }
 
-static void cancel_run(struct worker *worker, struct worker_call *call)
+static void cancel_call(struct worker *worker, struct worker_call *call)
 {
 	call->state = WORKER_CANCELLED;
 	worker->options.ops->cancel(worker->options.userdata, call);
 }
 
-static void withdraw(struct worker *worker, struct worker_call *call)
+static void withdraw_call(struct worker *worker, struct worker_call *call)
 {
 	if (call->state == WORKER_QUEUED) {
 		queue_remove(worker->queue, &call->item);
 		refuse_queued(worker, call, LP_ERROR_WITHDRAWN);
 	} else if (call->state == WORKER_RUNNING) {
-		cancel_run(worker, call);
+		cancel_call(worker, call);
 	}
 }
 
-/* Memory holds every id that arrived within the age limit, none for ever. */
+/* Whether a call may have been forgotten: ids are kept for the age limit. */
 static bool is_outside_memory(const struct worker *worker,
-			      const struct worker_state_query *question)
+			      const struct worker_state_query *query)
 {
-	int64_t age_us = now_us(worker) - question->sent_us;
+	int64_t age_us = now_us(worker) - query->sent_us;
 
-	return question->incarnation != worker->options.incarnation ||
+	return query->incarnation != worker->options.incarnation ||
 	       age_us > worker->options.age_limit_us;
 }
 
-void worker_query(struct worker *worker,
-		  const struct worker_state_query *question)
+void worker_query(struct worker *worker, const struct worker_state_query *query)
 {
 	const struct worker_ops *ops = worker->options.ops;
 	void *userdata = worker->options.userdata;
-	const struct lp_call_id *id = &question->id;
+	const struct lp_call_id *id = &query->id;
 	struct worker_call *call = g_hash_table_lookup(worker->calls, id);
 
-	if (!call && is_outside_memory(worker, question)) {
-		ops->state(userdata, question->peer, id, WORKER_LOST);
+	if (!call && is_outside_memory(worker, query)) {
+		ops->state(userdata, query->peer, id, WORKER_LOST);
 		return;
 	}
 	if (!call) {
-		fence(worker, id, question->peer);
+		add_fence(worker, id, query->peer);
 		call = g_hash_table_lookup(worker->calls, id);
-	} else if (question->withdraw) {
-		withdraw(worker, call);
+	} else if (query->withdraw) {
+		withdraw_call(worker, call);
 	}
 	if (call->state == WORKER_DONE)
 		ops->reply(userdata, call);
-	ops->state(userdata, question->peer, id, call->state);
+	ops->state(userdata, query->peer, id, call->state);
 }
 
 void worker_finished(struct worker *worker, struct worker_call *call,
@@ -415,7 +416,7 @@
 		else
 			worker->limit.smoothed_run_us = (double)run_us;
 	}
-	settle(worker, call, WORKER_DONE);
+	end_call(worker, call, WORKER_DONE);
 	start_queued(worker);
 }
 
@@ -428,7 +429,7 @@
 		refuse_queued(worker, item->owner, LP_ERROR_LEAVING);
 }
 
-/* Runs past their use: their entry died, or its withdrawal was lost. */
+/* Cancels overdue calls: their entry died, or its withdrawal was lost. */
 static void cancel_overdue(struct worker *worker)
 {
 	int64_t now = now_us(worker);
@@ -439,7 +440,7 @@
 
 		if (call->state == WORKER_RUNNING &&
 		    now > call->item.deadline_us + OVERRUN_GRACE_US)
-			cancel_run(worker, call);
+			cancel_call(worker, call);
 	}
 }
 
