--- a/policy/idempotency.c
+++ b/policy/idempotency.c
@@ -6,14 +6,14 @@
 #include <string.h>
 
 #define DEFAULT_BYTES_MAX (4u << 20)
-#define RECORD_BYTES 160 /* of a record beside its strings */
+#define RECORD_BYTES 160 /* per record, beside its strings */
 #define TICKET_PREFIX "lpt1"
-#define TICKET_PARTS 5
+#define TICKET_FIELDS 5
 
-/* A second try that waits for the first. */
-struct waiting {
+/* A duplicate request that waits for the first one. */
+struct waiter {
 	char *key;
-	void *waiter;
+	void *userdata;
 	int64_t deadline_us;
 };
 
@@ -30,8 +30,8 @@
 struct idempotency_keys {
 	struct idempotency_options options;
 	GHashTable *records;
-	GQueue expiring;    /* ended records, oldest first */
-	GPtrArray *waiting; /* few: second tries of what runs now */
+	GQueue expiring;    /* records of ended requests, oldest first */
+	GPtrArray *waiters; /* few: duplicates of running requests */
 	size_t bytes;
 };
 
@@ -44,12 +44,12 @@
 	g_free(record);
 }
 
-static void free_waiting(gpointer data)
+static void free_waiter(gpointer data)
 {
-	struct waiting *waiting = data;
+	struct waiter *waiter = data;
 
-	g_free(waiting->key);
-	g_free(waiting);
+	g_free(waiter->key);
+	g_free(waiter);
 }
 
 struct idempotency_keys *
@@ -63,7 +63,7 @@
 	keys->records = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					      free_record);
 	g_queue_init(&keys->expiring);
-	keys->waiting = g_ptr_array_new_with_free_func(free_waiting);
+	keys->waiters = g_ptr_array_new_with_free_func(free_waiter);
 	return keys;
 }
 
@@ -72,19 +72,19 @@
 	if (!keys)
 		return;
 	g_queue_clear(&keys->expiring);
-	g_ptr_array_unref(keys->waiting);
+	g_ptr_array_unref(keys->waiters);
 	g_hash_table_unref(keys->records);
 	g_free(keys);
 }
 
-static size_t size_of(const struct record *record)
+static size_t record_size(const struct record *record)
 {
 	return RECORD_BYTES + strlen(record->key) +
 	       (record->body ? strlen(record->body) : 0);
 }
 
-static enum idempotency_verdict begin_new(struct idempotency_keys *keys,
-					  const char *key, uint64_t fingerprint)
+static enum idempotency_verdict
+add_record(struct idempotency_keys *keys, const char *key, uint64_t fingerprint)
 {
 	struct record *record;
 
@@ -94,20 +94,20 @@
 	record->key = g_strdup(key);
 	record->fingerprint = fingerprint;
 	record->running = true;
-	keys->bytes += size_of(record);
+	keys->bytes += record_size(record);
 	g_hash_table_insert(keys->records, record->key, record);
 	return IDEMPOTENCY_NEW;
 }
 
-static void add_waiting(struct idempotency_keys *keys,
-			const struct idempotency_request *request)
+static void add_waiter(struct idempotency_keys *keys,
+		       const struct idempotency_request *request)
 {
-	struct waiting *waiting = g_new0(struct waiting, 1);
+	struct waiter *waiter = g_new0(struct waiter, 1);
 
-	waiting->key = g_strdup(request->key);
-	waiting->waiter = request->waiter;
-	waiting->deadline_us = request->deadline_us;
-	g_ptr_array_add(keys->waiting, waiting);
+	waiter->key = g_strdup(request->key);
+	waiter->userdata = request->waiter;
+	waiter->deadline_us = request->deadline_us;
+	g_ptr_array_add(keys->waiters, waiter);
 }
 
 enum idempotency_verdict
@@ -119,11 +119,11 @@
 		g_hash_table_lookup(keys->records, request->key);
 
 	if (!record)
-		return begin_new(keys, request->key, request->fingerprint);
+		return add_record(keys, request->key, request->fingerprint);
 	if (record->fingerprint != request->fingerprint)
 		return IDEMPOTENCY_MISMATCH;
 	if (record->running) {
-		add_waiting(keys, request);
+		add_waiter(keys, request);
 		return IDEMPOTENCY_WAIT;
 	}
 	*answer = (struct idempotency_answer){
@@ -134,30 +134,30 @@
 	return IDEMPOTENCY_ANSWERED;
 }
 
-/* Take out the waiters of a key, or those past their deadline; wake them. */
-static void wake(struct idempotency_keys *keys, const char *key, int64_t now_us,
-		 const struct idempotency_answer *answer)
+/* Removes and wakes the waiters of a key, or with NULL those past deadline. */
+static void wake_waiters(struct idempotency_keys *keys, const char *key,
+			 int64_t now_us,
+			 const struct idempotency_answer *answer)
 {
 	g_autoptr(GPtrArray) woken = g_ptr_array_new();
 
-	for (guint i = keys->waiting->len; i > 0; i--) {
-		struct waiting *waiting =
-			g_ptr_array_index(keys->waiting, i - 1);
+	for (guint i = keys->waiters->len; i > 0; i--) {
+		struct waiter *waiter = g_ptr_array_index(keys->waiters, i - 1);
 
-		if (key ? strcmp(waiting->key, key) != 0
-			: waiting->deadline_us > now_us)
+		if (key ? strcmp(waiter->key, key) != 0
+			: waiter->deadline_us > now_us)
 			continue;
-		g_ptr_array_add(woken, waiting->waiter);
-		g_ptr_array_remove_index(keys->waiting, i - 1);
+		g_ptr_array_add(woken, waiter->userdata);
+		g_ptr_array_remove_index(keys->waiters, i - 1);
 	}
 	for (guint i = 0; i < woken->len; i++)
 		keys->options.wake(keys->options.userdata,
 				   g_ptr_array_index(woken, i), answer);
 }
 
-static void drop(struct idempotency_keys *keys, struct record *record)
+static void remove_record(struct idempotency_keys *keys, struct record *record)
 {
-	keys->bytes -= size_of(record);
+	keys->bytes -= record_size(record);
 	g_hash_table_remove(keys->records, record->key);
 }
 
@@ -170,45 +170,45 @@
 		return;
 	record->running = false;
 	if (answer->error && answer->run == LP_RUN_NOT_RUN) {
-		drop(keys, record);
+		remove_record(keys, record);
 	} else {
-		keys->bytes -= size_of(record);
+		keys->bytes -= record_size(record);
 		record->error = answer->error;
 		record->run = answer->run;
 		record->body = g_strdup(answer->body);
-		keys->bytes += size_of(record);
+		keys->bytes += record_size(record);
 		record->expires_us = lp_now_us(keys->options.clock) +
 				     keys->options.result_ttl_us;
 		g_queue_push_tail(&keys->expiring, record);
 	}
-	wake(keys, key, 0, answer);
+	wake_waiters(keys, key, 0, answer);
 }
 
 void idempotency_remove_waiter(struct idempotency_keys *keys, void *waiter)
 {
-	for (guint i = keys->waiting->len; i > 0; i--) {
-		const struct waiting *waiting =
-			g_ptr_array_index(keys->waiting, i - 1);
+	for (guint i = keys->waiters->len; i > 0; i--) {
+		const struct waiter *entry =
+			g_ptr_array_index(keys->waiters, i - 1);
 
-		if (waiting->waiter == waiter)
-			g_ptr_array_remove_index(keys->waiting, i - 1);
+		if (entry->userdata == waiter)
+			g_ptr_array_remove_index(keys->waiters, i - 1);
 	}
 }
 
 void idempotency_tick(struct idempotency_keys *keys)
 {
 	int64_t now_us = lp_now_us(keys->options.clock);
-	const struct idempotency_answer late = {
+	const struct idempotency_answer deadline_passed = {
 		.error = LP_ERROR_DEADLINE_PASSED,
 		.run = LP_RUN_MAY_HAVE_RUN,
 	};
 	struct record *record;
 
-	wake(keys, NULL, now_us, &late);
+	wake_waiters(keys, NULL, now_us, &deadline_passed);
 	while ((record = g_queue_peek_head(&keys->expiring)) &&
 	       record->expires_us < now_us) {
 		g_queue_pop_head(&keys->expiring);
-		drop(keys, record);
+		remove_record(keys, record);
 	}
 }
 
@@ -230,9 +230,9 @@
 
 bool idempotency_ticket_parse(const char *key, struct idempotency_ticket *out)
 {
-	g_auto(GStrv) parts = g_strsplit(key, ":", TICKET_PARTS + 1);
+	g_auto(GStrv) parts = g_strsplit(key, ":", TICKET_FIELDS + 1);
 
-	if (g_strv_length(parts) != TICKET_PARTS ||
+	if (g_strv_length(parts) != TICKET_FIELDS ||
 	    strcmp(parts[0], TICKET_PREFIX) != 0)
 		return false;
 	out->host = g_strdup(parts[1]);
--- a/policy/quota.c
+++ b/policy/quota.c
@@ -6,23 +6,23 @@
 #include <math.h>
 
 #define LEASE_US (3 * LP_US_PER_S)
-#define ASK_US (1 * LP_US_PER_S)
-#define IDLE_US (30 * LP_US_PER_S) /* then an organisation is forgotten */
-#define DEMAND_FLOOR 1.0	   /* per second, so that newcomers get some */
+#define REQUEST_INTERVAL_US (1 * LP_US_PER_S)
+#define IDLE_TIMEOUT_US (30 * LP_US_PER_S) /* of an organisation */
+#define DEMAND_FLOOR 1.0 /* per second, so that new entries get a share */
 #define DEMAND_SMOOTHING 0.5
-#define BURST_S 0.5 /* seconds of a share that may come at once */
+#define BURST_SECONDS 0.5 /* seconds' worth of a share */
 
-/* ---- the holder's side ---- */
+/* ---- the quota holder ---- */
 
 struct share {
 	double demand;
 	double granted;
-	int64_t until_us;
+	int64_t lease_until_us;
 };
 
 struct quota_holder {
 	const struct lp_clock *clock;
-	GHashTable *organisations; /* name to table of entry to share */
+	GHashTable *organisations; /* name to table of entry to struct share */
 };
 
 static void unref_table(gpointer data)
@@ -78,7 +78,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct share *share = value;
 
-		if (share->until_us < now_us) {
+		if (share->lease_until_us < now_us) {
 			g_hash_table_iter_remove(&iter);
 			continue;
 		}
@@ -90,7 +90,7 @@
 	return totals;
 }
 
-/* Shares still leased are kept back: grants never sum to over the rate. */
+/* Unexpired shares of others are deducted: grants never exceed the rate. */
 double quota_holder_grant(struct quota_holder *holder, const char *organisation,
 			  const char *entry, double demand_per_s, double rate,
 			  int64_t *lease_us)
@@ -99,17 +99,17 @@
 	struct share *share = g_hash_table_lookup(shares, entry);
 	int64_t now_us = lp_now_us(holder->clock);
 	struct totals others;
-	double fair;
+	double proportional;
 
 	if (!share) {
 		share = g_new0(struct share, 1);
 		g_hash_table_insert(shares, g_strdup(entry), share);
 	}
 	share->demand = MAX(demand_per_s, DEMAND_FLOOR);
-	share->until_us = now_us + LEASE_US;
+	share->lease_until_us = now_us + LEASE_US;
 	others = sum_other_shares(shares, share, now_us);
-	fair = rate * share->demand / (others.demand + share->demand);
-	share->granted = CLAMP(rate - others.granted, 0, fair);
+	proportional = rate * share->demand / (others.demand + share->demand);
+	share->granted = CLAMP(rate - others.granted, 0, proportional);
 	*lease_us = LEASE_US;
 	return share->granted;
 }
@@ -122,22 +122,22 @@
 		.granted;
 }
 
-/* ---- an entry's side ---- */
+/* ---- an entry's quota ---- */
 
-struct use {
+struct usage {
 	struct bucket bucket;
-	double demand; /* smoothed requests per second */
-	uint32_t seen; /* since the last ask */
-	int64_t asked_us;
-	int64_t used_us;
+	double demand;	   /* smoothed requests per second */
+	uint32_t requests; /* since the last share request */
+	int64_t share_requested_us;
+	int64_t last_request_us;
 	int64_t lease_until_us;
 	double leased;
-	double current; /* rate the bucket runs at */
+	double rate; /* of the bucket, per second */
 };
 
 struct quota {
 	struct quota_options options;
-	GHashTable *uses;
+	GHashTable *usages;
 };
 
 struct quota *quota_create(const struct quota_options *options)
@@ -145,7 +145,7 @@
 	struct quota *quota = g_new0(struct quota, 1);
 
 	quota->options = *options;
-	quota->uses =
+	quota->usages =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return quota;
 }
@@ -154,37 +154,37 @@
 {
 	if (!quota)
 		return;
-	g_hash_table_unref(quota->uses);
+	g_hash_table_unref(quota->usages);
 	g_free(quota);
 }
 
 static double burst_for_rate(double rate)
 {
-	return MAX(1.0, rate * BURST_S);
+	return MAX(1.0, rate * BURST_SECONDS);
 }
 
-static struct use *get_usage(struct quota *quota, const char *organisation,
-			     double fallback)
+static struct usage *get_usage(struct quota *quota, const char *organisation,
+			       double fallback)
 {
-	struct use *use = g_hash_table_lookup(quota->uses, organisation);
+	struct usage *usage = g_hash_table_lookup(quota->usages, organisation);
 	int64_t now_us = lp_now_us(quota->options.clock);
 
-	if (use)
-		return use;
-	use = g_new0(struct use, 1);
-	use->current = fallback;
-	use->asked_us = now_us - ASK_US;
-	bucket_init(&use->bucket, fallback, burst_for_rate(fallback), now_us);
-	g_hash_table_insert(quota->uses, g_strdup(organisation), use);
-	return use;
+	if (usage)
+		return usage;
+	usage = g_new0(struct usage, 1);
+	usage->rate = fallback;
+	usage->share_requested_us = now_us - REQUEST_INTERVAL_US;
+	bucket_init(&usage->bucket, fallback, burst_for_rate(fallback), now_us);
+	g_hash_table_insert(quota->usages, g_strdup(organisation), usage);
+	return usage;
 }
 
-static void set_bucket_rate(struct use *use, double rate, int64_t now_us)
+static void set_bucket_rate(struct usage *usage, double rate, int64_t now_us)
 {
-	if (fabs(rate - use->current) < rate * 0.01)
+	if (fabs(rate - usage->rate) < rate * 0.01)
 		return;
-	use->current = rate;
-	bucket_set_rate(&use->bucket, rate, burst_for_rate(rate), now_us);
+	usage->rate = rate;
+	bucket_set_rate(&usage->bucket, rate, burst_for_rate(rate), now_us);
 }
 
 bool quota_take(struct quota *quota, const char *organisation, uint32_t rate,
@@ -192,45 +192,48 @@
 {
 	int64_t now_us = lp_now_us(quota->options.clock);
 	double fallback = (double)rate / MAX(1, entries);
-	struct use *use;
+	struct usage *usage;
 
 	if (!rate)
 		return true;
-	use = get_usage(quota, organisation, fallback);
-	use->seen += 1;
-	use->used_us = now_us;
-	set_bucket_rate(use,
-			use->lease_until_us > now_us ? use->leased : fallback,
+	usage = get_usage(quota, organisation, fallback);
+	usage->requests += 1;
+	usage->last_request_us = now_us;
+	set_bucket_rate(usage,
+			usage->lease_until_us > now_us ? usage->leased
+						       : fallback,
 			now_us);
-	if (bucket_take(&use->bucket, now_us))
+	if (bucket_take(&usage->bucket, now_us))
 		return true;
-	*retry_us = bucket_wait_us(&use->bucket, now_us);
+	*retry_us = bucket_wait_us(&usage->bucket, now_us);
 	return false;
 }
 
 void quota_apply_grant(struct quota *quota, const char *organisation,
 		       double rate_per_s, int64_t lease_us)
 {
-	struct use *use = g_hash_table_lookup(quota->uses, organisation);
+	struct usage *usage = g_hash_table_lookup(quota->usages, organisation);
 
-	if (!use)
+	if (!usage)
 		return;
-	use->leased = rate_per_s;
-	/* Counted from the asking: the holder's lease began later. */
-	use->lease_until_us = use->asked_us + lease_us;
+	usage->leased = rate_per_s;
+	/* From the time of the request: the holder's lease began after it. */
+	usage->lease_until_us = usage->share_requested_us + lease_us;
 }
 
-static void ask(struct quota *quota, const char *organisation, struct use *use,
-		int64_t now_us)
+static void request_share(struct quota *quota, const char *organisation,
+			  struct usage *usage, int64_t now_us)
 {
-	double seconds = (double)(now_us - use->asked_us) / LP_US_PER_S;
-
-	use->demand += (use->seen / MAX(seconds, 0.001) - use->demand) *
-		       DEMAND_SMOOTHING;
-	use->seen = 0;
-	use->asked_us = now_us;
+	double seconds =
+		(double)(now_us - usage->share_requested_us) / LP_US_PER_S;
+
+	usage->demand +=
+		(usage->requests / MAX(seconds, 0.001) - usage->demand) *
+		DEMAND_SMOOTHING;
+	usage->requests = 0;
+	usage->share_requested_us = now_us;
 	quota->options.request_share(quota->options.userdata, organisation,
-				     use->demand);
+				     usage->demand);
 }
 
 void quota_tick(struct quota *quota)
@@ -240,13 +243,14 @@
 	gpointer key;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, quota->uses);
+	g_hash_table_iter_init(&iter, quota->usages);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		struct use *use = value;
+		struct usage *usage = value;
 
-		if (now_us - use->used_us > IDLE_US)
+		if (now_us - usage->last_request_us > IDLE_TIMEOUT_US)
 			g_hash_table_iter_remove(&iter);
-		else if (now_us - use->asked_us >= ASK_US)
-			ask(quota, key, use, now_us);
+		else if (now_us - usage->share_requested_us >=
+			 REQUEST_INTERVAL_US)
+			request_share(quota, key, usage, now_us);
 	}
 }
