--- a/policy/claim.c
+++ b/policy/claim.c
@@ -3,22 +3,22 @@
 #include <glib.h>
 #include <string.h>
 
-#define RETRY_US (50 * LP_US_PER_MS)
+#define RETRY_MIN_US (50 * LP_US_PER_MS)
 #define RETRY_MAX_US (1 * LP_US_PER_S)
 
 struct claim {
 	char *key;
 	char *owner;
 	int64_t deadline_us;
-	void *waiter; /* NULL once it is gone */
+	void *waiter; /* NULL after removal or failure */
 };
 
 struct claims {
 	struct claims_options options;
 	GQueue waiting;
-	GPtrArray *batch; /* of the write in flight, or to be tried again */
+	GPtrArray *batch; /* claims of the write in flight or to be retried */
 	bool writing;
-	int64_t retry_us; /* when to try again; 0: not */
+	int64_t retry_at_us; /* when to retry the write; 0: no retry */
 	int64_t backoff_us;
 	uint64_t writes;
 };
@@ -38,7 +38,7 @@
 
 	claims->options = *options;
 	claims->batch = g_ptr_array_new();
-	claims->backoff_us = RETRY_US;
+	claims->backoff_us = RETRY_MIN_US;
 	g_queue_init(&claims->waiting);
 	return claims;
 }
@@ -58,8 +58,8 @@
 	return lp_now_us(claims->options.clock);
 }
 
-static void settle(struct claims *claims, struct claim *claim, int error,
-		   const char *owner)
+static void settle_claim(struct claims *claims, struct claim *claim, int error,
+			 const char *owner)
 {
 	if (claim->waiter)
 		claims->options.ops->settled(claims->options.userdata,
@@ -78,13 +78,13 @@
 		items[i].owner = claim->owner;
 	}
 	claims->writing = true;
-	claims->retry_us = 0;
+	claims->retry_at_us = 0;
 	claims->writes += 1;
 	claims->options.ops->write(claims->options.userdata, items,
 				   claims->batch->len);
 }
 
-/* The same key twice in one write would be refused: it waits its turn. */
+/* The KV refuses a transaction with the same key twice. */
 static bool is_in_batch(const struct claims *claims, const char *key)
 {
 	for (guint i = 0; i < claims->batch->len; i++) {
@@ -110,9 +110,9 @@
 	}
 }
 
-static void advance(struct claims *claims)
+static void start_next_write(struct claims *claims)
 {
-	if (claims->writing || claims->retry_us)
+	if (claims->writing || claims->retry_at_us)
 		return;
 	fill_batch(claims);
 	if (claims->batch->len)
@@ -120,16 +120,16 @@
 }
 
 void claims_add(struct claims *claims, const char *key, const char *owner,
-		int64_t until_us, void *waiter)
+		int64_t deadline_us, void *waiter)
 {
 	struct claim *claim = g_new0(struct claim, 1);
 
 	claim->key = g_strdup(key);
 	claim->owner = g_strdup(owner);
-	claim->deadline_us = until_us;
+	claim->deadline_us = deadline_us;
 	claim->waiter = waiter;
 	g_queue_push_tail(&claims->waiting, claim);
-	advance(claims);
+	start_next_write(claims);
 }
 
 static void clear_waiter(struct claim *claim, const void *waiter)
@@ -163,11 +163,11 @@
 	for (guint i = 0; i < done->len; i++) {
 		struct claim *claim = g_ptr_array_index(done, i);
 
-		settle(claims, claim, LP_OK, claim->owner);
+		settle_claim(claims, claim, LP_OK, claim->owner);
 	}
 }
 
-/* Those that exist are settled by what stands there; the rest go again. */
+/* Settles claims of existing keys with the stored owners; keeps the others. */
 static void settle_existing(struct claims *claims,
 			    const struct claim_found *found, uint32_t count)
 {
@@ -179,7 +179,7 @@
 		const char *owner = find_owner(claim->key, found, count);
 
 		if (owner)
-			settle(claims, claim, LP_OK, owner);
+			settle_claim(claims, claim, LP_OK, owner);
 		else
 			g_ptr_array_add(claims->batch, claim);
 	}
@@ -190,20 +190,20 @@
 {
 	claims->writing = false;
 	if (error) {
-		claims->retry_us = now_us(claims) + claims->backoff_us;
+		claims->retry_at_us = now_us(claims) + claims->backoff_us;
 		claims->backoff_us = MIN(claims->backoff_us * 2, RETRY_MAX_US);
 		return;
 	}
-	claims->backoff_us = RETRY_US;
+	claims->backoff_us = RETRY_MIN_US;
 	if (created)
 		settle_all(claims);
 	else
 		settle_existing(claims, found, found_count);
-	advance(claims);
+	start_next_write(claims);
 }
 
-/* Tell a waiter at once; its write, if one is under way, goes on. */
-static void give_up(struct claims *claims, struct claim *claim)
+/* Fails a claim towards its waiter; a write in flight goes on. */
+static void fail_claim(struct claims *claims, struct claim *claim)
 {
 	void *waiter = claim->waiter;
 
@@ -213,8 +213,8 @@
 					     LP_ERROR_PLATFORM_DOWN, NULL);
 }
 
-/* Give up what is past its time. Its write may have taken effect. */
-static void expire(struct claims *claims)
+/* Fails claims past their deadline; their writes may have taken effect. */
+static void expire_claims(struct claims *claims)
 {
 	int64_t now = now_us(claims);
 
@@ -224,7 +224,7 @@
 
 		if (claim->deadline_us <= now) {
 			g_queue_delete_link(&claims->waiting, link);
-			give_up(claims, claim);
+			fail_claim(claims, claim);
 			free_claim(claim);
 		}
 		link = next;
@@ -234,7 +234,7 @@
 
 		if (claim->deadline_us > now)
 			continue;
-		give_up(claims, claim);
+		fail_claim(claims, claim);
 		if (claims->writing)
 			continue;
 		g_ptr_array_remove_index(claims->batch, i - 1);
@@ -244,10 +244,10 @@
 
 void claims_tick(struct claims *claims)
 {
-	expire(claims);
-	if (claims->retry_us && now_us(claims) >= claims->retry_us)
-		claims->retry_us = 0;
-	advance(claims);
+	expire_claims(claims);
+	if (claims->retry_at_us && now_us(claims) >= claims->retry_at_us)
+		claims->retry_at_us = 0;
+	start_next_write(claims);
 }
 
 uint64_t claims_writes(const struct claims *claims)
--- a/policy/claim.h
+++ b/policy/claim.h
@@ -1,11 +1,15 @@
 /**
- * Claims: who owns an idempotency key of a caller's own making.
+ * Claims: decide in the KV which entry owns a caller's idempotency key.
  *
- * Pure. A claim is a create-if-absent in the KV. Claims that arrive while a
- * write is in flight join the next one, so writes are bounded by round
- * trips, not by requests. A write whose answer was lost is tried again; a
- * claim that then stands with our own value is ours. All claims of a batch
- * are settled one by one when some of them already exist.
+ * A claim is a create-if-absent of the key, with the owner as its value. Claims
+ * that arrive while a write is in flight are batched into the next one, so the
+ * number of writes is bounded by round trips, not by requests. A write whose
+ * answer was lost is retried; a key then found with this owner's value is
+ * owned. If some keys of a batch exist already, their claims are settled with
+ * the stored owners and the others are written again.
+ *
+ * Pure: events and the clock in, actions out through struct claims_ops. Times
+ * are in microseconds on the clock of claims_options.
  */
 #ifndef CLAIM_H
 #define CLAIM_H
@@ -15,10 +19,10 @@
 
 struct claims;
 
-/** Most claims of one write: the KV's limit on a transaction's operations. */
+/** Maximum claims per write: the KV's limit of operations per transaction. */
 #define CLAIM_BATCH_MAX 100
 
-/** One claim in a batch. Strings belong to the claims. */
+/** One claim of a write. Strings are owned by the claims. */
 struct claim_item {
 	const char *key;
 	const char *owner; /**< the value to write */
@@ -26,14 +30,14 @@
 
 struct claims_ops {
 	/**
-	 * Create all keys, if none exists; else read those that do. Answer
-	 * with claims_write_done().
+	 * In one transaction create all keys if none exists, else read the
+	 * existing ones. claims_write_done() must follow.
 	 */
 	void (*write)(void *userdata, const struct claim_item *items,
 		      uint32_t count);
 	/**
-	 * A claim is settled. LP_OK: `owner` owns the key (maybe someone
-	 * else). LP_ERROR_PLATFORM_DOWN: not known; nothing may run.
+	 * A claim is settled. LP_OK: `owner`, maybe another entry, owns the
+	 * key. LP_ERROR_PLATFORM_DOWN: unknown; the request must not run.
 	 */
 	void (*settled)(void *userdata, void *waiter, int error,
 			const char *owner);
@@ -43,31 +47,34 @@
 	const struct lp_clock *clock;
 	const struct claims_ops *ops;
 	void *userdata;
-	bool naive; /**< one write a claim */
+	bool naive; /**< baseline: one write per claim */
 };
 
 struct claims *claims_create(const struct claims_options *options);
-/** Waiters are not called. */
+/** Free all claims without calling settled(). */
 void claims_destroy(struct claims *claims);
-/** Claim a key until a time, after which it is PLATFORM_DOWN. */
+/** Claim a key; unsettled at `until_us`, it fails with PLATFORM_DOWN. */
 void claims_add(struct claims *claims, const char *key, const char *owner,
-		int64_t until_us, void *waiter);
-/** The waiter is gone; its claim may still be written. */
+		int64_t deadline_us, void *waiter);
+/** Remove a waiter without calling settled(); its claim may be written. */
 void claims_remove_waiter(struct claims *claims, void *waiter);
 
-/** A key that a failed write found. */
+/** An existing key that a write found, and its owner. */
 struct claim_found {
 	const char *key;
 	const char *owner;
 };
 
 /**
- * The answer to write(). error: nothing is known. `created`: all were.
- * Else `found` lists those that exist.
+ * The answer to write(). On an error the outcome of the write is unknown. Else,
+ * if `created`, all keys were created; if not, none, and `found` lists the
+ * existing keys.
  */
 void claims_write_done(struct claims *claims, int error, bool created,
 		       const struct claim_found *found, uint32_t found_count);
+/** Expire claims, retry or start a write. */
 void claims_tick(struct claims *claims);
+/** Writes started so far. */
 uint64_t claims_writes(const struct claims *claims);
 
 #endif
--- a/policy/order.c
+++ b/policy/order.c
@@ -3,16 +3,19 @@
 #include <glib.h>
 
 #define RETRY_US (1 * LP_US_PER_S)
-/* Of the time an order may act: confirming, then sending, fit twice. */
+/*
+ * A check of the fence is valid for this part (1 / 3) of the time that an order
+ * may take effect, so that checking and sending fit into it twice.
+ */
 #define VALIDITY_DIVISOR 3
 
-enum state {
-	IDLE,	    /* nothing wanted */
-	FENCING,    /* asked for a number */
-	WAITING,    /* the predecessor may still act */
-	CONFIRMING, /* asked whether the number is still ours */
+enum order_state {
+	NO_FENCE,		 /* no fence taken yet */
+	TAKING_FENCE,		 /* taking a fence from the KV */
+	WAITING_FOR_PREDECESSOR, /* its last order may still act */
+	CHECKING_FENCE,		 /* checking the fence in the KV */
 	READY,
-	ORDERING,
+	SENDING_ORDER,
 	SUPERSEDED,
 };
 
@@ -22,12 +25,12 @@
 	char *active_model;
 	bool upstream_checks_fence;
 	int64_t timeout_us;
-	enum state state;
+	enum order_state state;
 	int64_t fence;
 	int64_t wait_until_us;
-	int64_t check_started_us; /* when the confirmation was asked for */
-	int64_t confirmed_us;	  /* our number stood then; 0: not yet */
-	int64_t not_before_us;	  /* nothing is tried before */
+	int64_t check_started_us; /* when the fence check was sent */
+	int64_t confirmed_us; /* sending time of the last good check; 0: none */
+	int64_t not_before_us; /* earliest time of the next step */
 };
 
 struct order *order_create(const struct order_options *options)
@@ -54,44 +57,44 @@
 	return lp_now_us(order->options.clock);
 }
 
-static bool is_due(const struct order *order)
+static bool is_order_due(const struct order *order)
 {
 	return *order->model && g_strcmp0(order->model, order->active_model);
 }
 
-void order_set_target(struct order *order, const char *model, bool checked,
+void order_set_target(struct order *order, const char *model, bool checks_fence,
 		      int64_t timeout_us)
 {
 	g_free(order->model);
 	order->model = g_strdup(model ? model : "");
-	order->upstream_checks_fence = checked;
+	order->upstream_checks_fence = checks_fence;
 	order->timeout_us = timeout_us;
 }
 
 void order_fence_taken(struct order *order, int64_t fence)
 {
-	if (order->state != FENCING)
+	if (order->state != TAKING_FENCE)
 		return;
 	if (!fence) {
-		order->state = IDLE;
+		order->state = NO_FENCE;
 		order->not_before_us = now_us(order) + RETRY_US;
 		return;
 	}
 	order->fence = fence;
-	order->state = WAITING;
+	order->state = WAITING_FOR_PREDECESSOR;
 	order->wait_until_us = now_us(order);
 	if (!order->upstream_checks_fence)
 		order->wait_until_us += order->timeout_us;
 }
 
-void order_fence_checked(struct order *order, bool asked, bool ours)
+void order_fence_checked(struct order *order, bool answered, bool current)
 {
-	if (order->state != CONFIRMING)
+	if (order->state != CHECKING_FENCE)
 		return;
-	if (!asked) {
+	if (!answered) {
 		order->state = READY;
 		order->not_before_us = now_us(order) + RETRY_US;
-	} else if (ours) {
+	} else if (current) {
 		order->state = READY;
 		order->confirmed_us = order->check_started_us;
 	} else {
@@ -99,14 +102,14 @@
 	}
 }
 
-void order_finished(struct order *order, enum order_result end)
+void order_finished(struct order *order, enum order_result result)
 {
-	if (order->state != ORDERING)
+	if (order->state != SENDING_ORDER)
 		return;
 	order->state = READY;
-	if (end == ORDER_REFUSED_FENCE) {
+	if (result == ORDER_REFUSED_FENCE) {
 		order->state = SUPERSEDED;
-	} else if (end == ORDER_ACCEPTED) {
+	} else if (result == ORDER_ACCEPTED) {
 		g_free(order->active_model);
 		order->active_model = g_strdup(order->model);
 	} else {
@@ -115,8 +118,8 @@
 }
 
 /*
- * An upstream that ignores numbers gets an order only shortly after our
- * number was seen to stand: a process that stood still confirms again.
+ * An upstream that ignores fences gets an order only shortly after this agent's
+ * fence was seen as current. An agent that was suspended checks it again.
  */
 static bool is_fence_fresh(const struct order *order)
 {
@@ -129,13 +132,13 @@
 
 static void take_fence(struct order *order)
 {
-	order->state = FENCING;
+	order->state = TAKING_FENCE;
 	order->options.ops->take_fence(order->options.userdata);
 }
 
-static void confirm(struct order *order)
+static void check_fence(struct order *order)
 {
-	order->state = CONFIRMING;
+	order->state = CHECKING_FENCE;
 	order->check_started_us = now_us(order);
 	order->options.ops->check_fence(order->options.userdata);
 }
@@ -144,16 +147,17 @@
 {
 	int64_t now = now_us(order);
 
-	if (!is_due(order) || now < order->not_before_us)
+	if (!is_order_due(order) || now < order->not_before_us)
 		return;
-	if (order->state == WAITING && now >= order->wait_until_us)
+	if (order->state == WAITING_FOR_PREDECESSOR &&
+	    now >= order->wait_until_us)
 		order->state = READY;
-	if (order->state == IDLE) {
+	if (order->state == NO_FENCE) {
 		take_fence(order);
 	} else if (order->state == READY && !is_fence_fresh(order)) {
-		confirm(order);
+		check_fence(order);
 	} else if (order->state == READY) {
-		order->state = ORDERING;
+		order->state = SENDING_ORDER;
 		order->options.ops->send(order->options.userdata, order->fence,
 					 order->model);
 	}
