--- a/policy/config_propagation.c
+++ b/policy/config_propagation.c
@@ -3,10 +3,10 @@
 #include <glib.h>
 
 #define PULL_TIMEOUT_US (700 * LP_US_PER_MS)
-#define FIRST_READ_US (300 * LP_US_PER_MS) /* a peer may be quicker */
-#define HOSTS_PER_S 500.0 /* first reads of a fleet that starts at once */
-#define REREAD_US (2 * LP_US_PER_S) /* also shows others that we live */
-#define PATIENCE_US (6 * LP_US_PER_S)
+#define FIRST_READ_US (300 * LP_US_PER_MS) /* a peer may answer sooner */
+#define HOSTS_PER_S 500.0	    /* bound on the KV reads of a whole fleet */
+#define REREAD_US (2 * LP_US_PER_S) /* also renews the KV age for peers */
+#define DEFAULT_TAKEOVER_US (6 * LP_US_PER_S)
 #define NEVER_US (1000000 * LP_US_PER_S)
 #define BACKOFF_MIN_US (250 * LP_US_PER_MS)
 #define BACKOFF_MAX_US (10 * LP_US_PER_S)
@@ -23,185 +23,200 @@
 	int64_t next_watch_us;
 	int64_t pull_started_us; /* when the outstanding pull was sent, or 0 */
 	int64_t backoff_us;
-	int64_t kv_reached_us;	   /* someone reached the KV, on our clock */
-	int64_t takeover_after_us; /* jittered anew each time */
+	int64_t kv_reached_us;	   /* when any process last reached the KV */
+	int64_t takeover_after_us; /* jittered again after each read */
 	uint32_t hosts;
 };
 
-static int64_t now_us(const struct config_propagation *spread)
+static int64_t now_us(const struct config_propagation *propagation)
 {
-	return lp_now_us(spread->options.clock);
+	return lp_now_us(propagation->options.clock);
 }
 
-/* Between half of it and one and a half. */
-static int64_t jitter(struct config_propagation *spread, int64_t base_us)
+/* Uniformly between 0.5 and 1.5 times the base. */
+static int64_t jitter(struct config_propagation *propagation, int64_t base_us)
 {
 	return (int64_t)((double)base_us *
-			 g_rand_double_range(spread->random, 0.5, 1.5));
+			 g_rand_double_range(propagation->random, 0.5, 1.5));
 }
 
 struct config_propagation *
 config_propagation_create(const struct config_propagation_options *options)
 {
-	struct config_propagation *spread =
+	struct config_propagation *propagation =
 		g_new0(struct config_propagation, 1);
 
-	spread->options = *options;
-	spread->random = g_rand_new_with_seed((guint32)options->seed);
-	spread->backoff_us = BACKOFF_MIN_US;
+	propagation->options = *options;
+	propagation->random = g_rand_new_with_seed((guint32)options->seed);
+	propagation->backoff_us = BACKOFF_MIN_US;
 	if (!options->takeover_after_us)
-		spread->options.takeover_after_us = PATIENCE_US;
-	spread->kv_reached_us = now_us(spread) - NEVER_US;
-	spread->takeover_after_us =
-		jitter(spread, spread->options.takeover_after_us);
-	spread->next_read_us = now_us(spread) + jitter(spread, FIRST_READ_US);
+		propagation->options.takeover_after_us = DEFAULT_TAKEOVER_US;
+	propagation->kv_reached_us = now_us(propagation) - NEVER_US;
+	propagation->takeover_after_us =
+		jitter(propagation, propagation->options.takeover_after_us);
+	propagation->next_read_us =
+		now_us(propagation) + jitter(propagation, FIRST_READ_US);
 	if (options->watch_always)
-		config_propagation_set_reader(spread, true, 1);
-	return spread;
+		config_propagation_set_reader(propagation, true, 1);
+	return propagation;
 }
 
-void config_propagation_destroy(struct config_propagation *spread)
+void config_propagation_destroy(struct config_propagation *propagation)
 {
-	if (!spread)
+	if (!propagation)
 		return;
-	g_rand_free(spread->random);
-	g_free(spread);
+	g_rand_free(propagation->random);
+	g_free(propagation);
 }
 
-void config_propagation_set_reader(struct config_propagation *spread,
+void config_propagation_set_reader(struct config_propagation *propagation,
 				   bool reader, uint32_t hosts)
 {
-	bool first = !spread->hosts;
+	bool first = !propagation->hosts;
 
-	spread->hosts = hosts;
-	if (first && !spread->revision && !reader)
-		spread->next_read_us += jitter(
-			spread, (int64_t)(hosts / HOSTS_PER_S * LP_US_PER_S));
-	reader = reader || spread->options.watch_always;
-	if (reader == spread->reader)
+	propagation->hosts = hosts;
+	if (first && !propagation->revision && !reader)
+		propagation->next_read_us +=
+			jitter(propagation,
+			       (int64_t)(hosts / HOSTS_PER_S * LP_US_PER_S));
+	reader = reader || propagation->options.watch_always;
+	if (reader == propagation->reader)
 		return;
-	spread->reader = reader;
-	if (!reader && spread->watching) {
-		spread->watching = false;
-		spread->options.ops->watch(spread->options.userdata, false);
+	propagation->reader = reader;
+	if (!reader && propagation->watching) {
+		propagation->watching = false;
+		propagation->options.ops->watch(propagation->options.userdata,
+						false);
 	}
 	if (reader)
-		spread->next_read_us = 0;
+		propagation->next_read_us = 0;
 }
 
-void config_propagation_handle_revision(struct config_propagation *spread,
+void config_propagation_handle_revision(struct config_propagation *propagation,
 					const char *peer, uint64_t revision)
 {
-	int64_t now = now_us(spread);
+	int64_t now = now_us(propagation);
 
-	if (revision <= spread->revision)
+	if (revision <= propagation->revision)
 		return;
-	spread->highest_revision = MAX(spread->highest_revision, revision);
-	if (spread->pull_started_us &&
-	    now - spread->pull_started_us < PULL_TIMEOUT_US)
+	propagation->highest_revision =
+		MAX(propagation->highest_revision, revision);
+	if (propagation->pull_started_us &&
+	    now - propagation->pull_started_us < PULL_TIMEOUT_US)
 		return;
-	spread->pull_started_us = now;
-	spread->options.ops->pull(spread->options.userdata, peer);
+	propagation->pull_started_us = now;
+	propagation->options.ops->pull(propagation->options.userdata, peer);
 }
 
-bool config_propagation_accept(struct config_propagation *spread,
+bool config_propagation_accept(struct config_propagation *propagation,
 			       uint64_t revision)
 {
-	if (revision <= spread->revision)
+	if (revision <= propagation->revision)
 		return false;
-	spread->revision = revision;
-	spread->highest_revision = MAX(spread->highest_revision, revision);
-	spread->pull_started_us = 0;
+	propagation->revision = revision;
+	propagation->highest_revision =
+		MAX(propagation->highest_revision, revision);
+	propagation->pull_started_us = 0;
 	return true;
 }
 
-void config_propagation_handle_kv_age(struct config_propagation *spread,
+void config_propagation_handle_kv_age(struct config_propagation *propagation,
 				      int64_t age_us)
 {
-	spread->kv_reached_us =
-		MAX(spread->kv_reached_us, now_us(spread) - age_us);
+	propagation->kv_reached_us =
+		MAX(propagation->kv_reached_us, now_us(propagation) - age_us);
 }
 
-int64_t config_propagation_kv_age_us(const struct config_propagation *spread)
+int64_t
+config_propagation_kv_age_us(const struct config_propagation *propagation)
 {
-	return now_us(spread) - spread->kv_reached_us;
+	return now_us(propagation) - propagation->kv_reached_us;
 }
 
-/* Nobody has reached the KV for so long that this process tries. */
-static bool must_step_in(struct config_propagation *spread)
+/* Whether no process reached the KV for so long that this one reads it. */
+static bool must_take_over(struct config_propagation *propagation)
 {
-	return config_propagation_kv_age_us(spread) > spread->takeover_after_us;
+	return config_propagation_kv_age_us(propagation) >
+	       propagation->takeover_after_us;
 }
 
-/* The whole fleet may be trying: its size bounds how often one does. */
-static int64_t backoff_max_us(const struct config_propagation *spread)
+/* Grows with the fleet's size, as all its hosts may retry at once. */
+static int64_t backoff_max_us(const struct config_propagation *propagation)
 {
 	return BACKOFF_MAX_US +
-	       (int64_t)(spread->hosts / HOSTS_PER_S * LP_US_PER_S);
+	       (int64_t)(propagation->hosts / HOSTS_PER_S * LP_US_PER_S);
 }
 
-static int64_t back_off(struct config_propagation *spread)
+/* Doubles the backoff and returns the time of the next retry. */
+static int64_t advance_backoff(struct config_propagation *propagation)
 {
-	int64_t wait_us = jitter(spread, spread->backoff_us);
+	int64_t wait_us = jitter(propagation, propagation->backoff_us);
 
-	spread->backoff_us =
-		MIN(spread->backoff_us * 2, backoff_max_us(spread));
-	return now_us(spread) + wait_us;
+	propagation->backoff_us =
+		MIN(propagation->backoff_us * 2, backoff_max_us(propagation));
+	return now_us(propagation) + wait_us;
 }
 
-void config_propagation_read_done(struct config_propagation *spread, bool ok)
+void config_propagation_read_done(struct config_propagation *propagation,
+				  bool ok)
 {
-	spread->reading = false;
+	propagation->reading = false;
 	if (!ok) {
-		spread->next_read_us = back_off(spread);
+		propagation->next_read_us = advance_backoff(propagation);
 		return;
 	}
-	spread->backoff_us = BACKOFF_MIN_US;
-	spread->kv_reached_us = now_us(spread);
-	spread->takeover_after_us =
-		jitter(spread, spread->options.takeover_after_us);
-	spread->next_read_us = now_us(spread) + jitter(spread, REREAD_US);
-	if (!spread->revision) /* the KV has none yet: look again soon */
-		spread->next_read_us =
-			now_us(spread) + jitter(spread, 2 * BACKOFF_MIN_US);
+	propagation->backoff_us = BACKOFF_MIN_US;
+	propagation->kv_reached_us = now_us(propagation);
+	propagation->takeover_after_us =
+		jitter(propagation, propagation->options.takeover_after_us);
+	propagation->next_read_us =
+		now_us(propagation) + jitter(propagation, REREAD_US);
+	if (!propagation->revision) /* the KV is empty: read again soon */
+		propagation->next_read_us =
+			now_us(propagation) +
+			jitter(propagation, 2 * BACKOFF_MIN_US);
 }
 
-void config_propagation_watch_ended(struct config_propagation *spread)
+void config_propagation_watch_ended(struct config_propagation *propagation)
 {
-	spread->watching = false;
-	spread->next_watch_us = back_off(spread);
-	spread->next_read_us = MIN(spread->next_read_us, spread->next_watch_us);
+	propagation->watching = false;
+	propagation->next_watch_us = advance_backoff(propagation);
+	propagation->next_read_us =
+		MIN(propagation->next_read_us, propagation->next_watch_us);
 }
 
-void config_propagation_tick(struct config_propagation *spread)
+void config_propagation_tick(struct config_propagation *propagation)
 {
-	int64_t now = now_us(spread);
-	bool wants =
-		spread->reader || !spread->revision || must_step_in(spread);
+	int64_t now = now_us(propagation);
+	bool should_read = propagation->reader || !propagation->revision ||
+			   must_take_over(propagation);
 
-	if (spread->reader && !spread->watching &&
-	    now >= spread->next_watch_us) {
-		spread->watching = true;
-		spread->options.ops->watch(spread->options.userdata, true);
+	if (propagation->reader && !propagation->watching &&
+	    now >= propagation->next_watch_us) {
+		propagation->watching = true;
+		propagation->options.ops->watch(propagation->options.userdata,
+						true);
 	}
-	if (wants && !spread->reading && now >= spread->next_read_us) {
-		spread->reading = true;
-		spread->options.ops->read(spread->options.userdata);
+	if (should_read && !propagation->reading &&
+	    now >= propagation->next_read_us) {
+		propagation->reading = true;
+		propagation->options.ops->read(propagation->options.userdata);
 	}
 }
 
-uint64_t config_propagation_revision(const struct config_propagation *spread)
+uint64_t
+config_propagation_revision(const struct config_propagation *propagation)
 {
-	return spread->revision;
+	return propagation->revision;
 }
 
-bool config_propagation_is_reader(const struct config_propagation *spread)
+bool config_propagation_is_reader(const struct config_propagation *propagation)
 {
-	return spread->reader;
+	return propagation->reader;
 }
 
-uint64_t
-config_propagation_highest_revision(const struct config_propagation *spread)
+uint64_t config_propagation_highest_revision(
+	const struct config_propagation *propagation)
 {
-	return spread->highest_revision;
+	return propagation->highest_revision;
 }
