--- a/policy/flow.c
+++ b/policy/flow.c
@@ -6,11 +6,11 @@
 }
 
 void flow_add_trace(struct flow *flow, const struct lp_call_id *id,
-		    enum trace_kind kind, const char *who, int error, int64_t a,
-		    int64_t b)
+		    enum trace_kind kind, const char *host, int error,
+		    int64_t a, int64_t b)
 {
 	if (flow->options.trace)
-		trace_add(flow->options.trace, id, kind, who, error, a, b);
+		trace_add(flow->options.trace, id, kind, host, error, a, b);
 }
 
 /* ---- services ---- */
--- a/policy/flow_private.h
+++ b/policy/flow_private.h
@@ -53,8 +53,8 @@
 int64_t flow_now_us(const struct flow *flow);
 /** Record a decision in the trace, if there is one. */
 void flow_add_trace(struct flow *flow, const struct lp_call_id *id,
-		    enum trace_kind kind, const char *who, int error, int64_t a,
-		    int64_t b);
+		    enum trace_kind kind, const char *host, int error,
+		    int64_t a, int64_t b);
 /** Find a service by name, or create it. */
 struct flow_service *flow_get_service(struct flow *flow, const char *name);
 const struct flow_stage *flow_current_stage(const struct flow_request *request);
--- a/policy/trace.c
+++ b/policy/trace.c
@@ -30,7 +30,7 @@
 }
 
 void trace_add(struct trace *trace, const struct lp_call_id *id,
-	       enum trace_kind kind, const char *who, int error, int64_t a,
+	       enum trace_kind kind, const char *host, int error, int64_t a,
 	       int64_t b)
 {
 	struct trace_event *event =
@@ -44,8 +44,8 @@
 		.a = a,
 		.b = b,
 	};
-	if (who)
-		g_strlcpy(event->host, who, sizeof(event->host));
+	if (host)
+		g_strlcpy(event->host, host, sizeof(event->host));
 	trace->added += 1;
 }
 
@@ -86,10 +86,10 @@
 	return trace->added;
 }
 
-static char *tell(const struct trace_event *event)
+static char *describe(const struct trace_event *event)
 {
-	const char *why = lp_strerror(event->error);
-	const char *who = event->host;
+	const char *reason = lp_strerror(event->error);
+	const char *host = event->host;
 
 	switch (event->kind) {
 	case TRACE_ACCEPTED:
@@ -99,46 +99,47 @@
 	case TRACE_REFUSED:
 		return g_strdup_printf("refused before anything ran, because "
 				       "%s: expected %.1f ms, left %.1f ms",
-				       why, MS(event->a), MS(event->b));
+				       reason, MS(event->a), MS(event->b));
 	case TRACE_SENT:
 		return g_strdup_printf("sent to %s, which was expected to "
 				       "take %.1f ms; %.1f ms left",
-				       who, MS(event->a), MS(event->b));
+				       host, MS(event->a), MS(event->b));
 	case TRACE_ANSWERED:
 		return g_strdup_printf("%s answered: waited %.1f ms there, "
 				       "ran %.1f ms",
-				       who, MS(event->a), MS(event->b));
+				       host, MS(event->a), MS(event->b));
 	case TRACE_FAILED:
-		return g_strdup_printf("%s refused or failed (%s): %s", who,
-				       lp_run_name(event->a), why);
+		return g_strdup_printf("%s refused or failed (%s): %s", host,
+				       lp_run_name(event->a), reason);
 	case TRACE_FAILED_OVER:
-		return g_strdup_printf("moved away from %s because %s", who,
-				       why);
+		return g_strdup_printf("failed over from %s because %s", host,
+				       reason);
 	case TRACE_HEDGED:
-		return g_strdup_printf("a second try went to %s after %.1f ms "
-				       "without an answer",
-				       who, MS(event->a));
+		return g_strdup_printf(
+			"hedged: a second attempt went to %s after %.1f ms "
+			"without an answer",
+			host, MS(event->a));
 	case TRACE_QUERIED:
-		return g_strdup_printf("asked %s what became of it after "
+		return g_strdup_printf("queried %s for the call's state after "
 				       "%.1f ms",
-				       who, MS(event->a));
+				       host, MS(event->a));
 	case TRACE_LOST:
-		return g_strdup_printf("gave up on %s after %.1f ms without a "
-				       "word",
-				       who, MS(event->a));
+		return g_strdup_printf("lost the call at %s after %.1f ms "
+				       "without an answer",
+				       host, MS(event->a));
 	case TRACE_RESUMED:
 		return g_strdup_printf("the stream from %s broke; resuming "
 				       "elsewhere after %" G_GINT64_FORMAT
 				       " tokens",
-				       who, event->a);
+				       host, event->a);
 	case TRACE_NO_BUDGET:
-		return g_strdup_printf("not tried again (%s): the service's "
+		return g_strdup_printf("not retried (%s): the service's "
 				       "retry budget is used up",
-				       why);
+				       reason);
 	case TRACE_FINISHED:
 		if (event->error)
 			return g_strdup_printf("ended after %.1f ms: %s",
-					       MS(event->a), why);
+					       MS(event->a), reason);
 		return g_strdup_printf("answered whole after %.1f ms",
 				       MS(event->a));
 	case TRACE_QUEUED:
@@ -152,24 +153,24 @@
 	case TRACE_ENDED:
 		if (event->error)
 			return g_strdup_printf("ended after %.1f ms: %s",
-					       MS(event->a), why);
+					       MS(event->a), reason);
 		return g_strdup_printf("done after %.1f ms", MS(event->a));
 	case TRACE_RETURNED:
-		return g_strdup_printf("given back without running after "
+		return g_strdup_printf("refused without running after "
 				       "%.1f ms, because %s",
-				       MS(event->a), why);
+				       MS(event->a), reason);
 	}
 	return g_strdup("unknown event");
 }
 
 char *trace_sentence(const struct trace_event *event, const char *stage)
 {
-	char *sentence = tell(event);
-	char *whole;
+	char *sentence = describe(event);
+	char *prefixed;
 
 	if (!stage)
 		return sentence;
-	whole = g_strdup_printf("%s: %s", stage, sentence);
+	prefixed = g_strdup_printf("%s: %s", stage, sentence);
 	g_free(sentence);
-	return whole;
+	return prefixed;
 }
--- a/policy/trace.h
+++ b/policy/trace.h
@@ -1,8 +1,9 @@
 /**
- * Decisions as typed events in a bounded ring, told in plain sentences.
+ * Trace: a bounded ring of typed events, one per decision on a request.
  *
- * Each process keeps the ring of what it decided itself; `linepier explain`
- * gathers the events of entry and agents by request id.
+ * Each process records its own decisions; `linepier explain` collects the
+ * events of the entry and the agents by request id and prints them as
+ * sentences.
  */
 #ifndef TRACE_H
 #define TRACE_H
@@ -11,20 +12,21 @@
 
 #include <glib.h>
 
+/** Kinds of events, with the contents of the fields that they use. */
 enum trace_kind {
 	TRACE_ACCEPTED, /**< a: estimate us, b: time left us */
 	TRACE_REFUSED,	/**< error; a: estimate us, b: time left us */
-	TRACE_SENT,	/**< who: upstream; a: expected us, b: time left us */
-	TRACE_ANSWERED, /**< who; a: queue us, b: run us */
-	TRACE_FAILED,	/**< who; error; a: enum lp_run */
-	TRACE_FAILED_OVER, /**< who: from; error: why */
-	TRACE_HEDGED,	   /**< who: second upstream; a: waited us */
-	TRACE_QUERIED,	   /**< who; a: waited us */
-	TRACE_LOST,	   /**< who; a: waited us */
-	TRACE_RESUMED,	   /**< who: from; a: tokens had */
-	TRACE_NO_BUDGET,   /**< error: of the try not repeated */
+	TRACE_SENT,	/**< host: upstream; a: expected us, b: time left us */
+	TRACE_ANSWERED, /**< host; a: queue us, b: run us */
+	TRACE_FAILED,	/**< host; error; a: enum lp_run */
+	TRACE_FAILED_OVER, /**< host: failed upstream; error: reason */
+	TRACE_HEDGED,	   /**< host: second upstream; a: waited us */
+	TRACE_QUERIED,	   /**< host; a: waited us */
+	TRACE_LOST,	   /**< host; a: waited us */
+	TRACE_RESUMED,	   /**< host: failed upstream; a: tokens received */
+	TRACE_NO_BUDGET,   /**< error: of the attempt not retried */
 	TRACE_FINISHED,	   /**< error; a: total us */
-	TRACE_QUEUED,	   /**< at an agent; a: calls before it, b: running */
+	TRACE_QUEUED,	   /**< at an agent; a: calls ahead, b: running */
 	TRACE_STARTED,	   /**< at an agent; a: waited us, b: running */
 	TRACE_ENDED,	   /**< at an agent; error; a: run us */
 	TRACE_RETURNED,	   /**< at an agent; error; a: waited us */
@@ -44,12 +46,12 @@
 
 struct trace;
 
-/** A ring of `capacity` events; the oldest give way. */
+/** A ring of `capacity` events; the oldest are overwritten. */
 struct trace *trace_create(uint32_t capacity);
 void trace_destroy(struct trace *trace);
-/** Record an event; the time is the wall clock's. `who` may be NULL. */
+/** Record an event at the present wall-clock time. `host` may be NULL. */
 void trace_add(struct trace *trace, const struct lp_call_id *id,
-	       enum trace_kind kind, const char *who, int error, int64_t a,
+	       enum trace_kind kind, const char *host, int error, int64_t a,
 	       int64_t b);
 /** Visit the events of one request, or all if NULL, oldest first. */
 void trace_visit(const struct trace *trace, const struct lp_call_id *request,
@@ -62,7 +64,7 @@
 			   void (*visit)(void *userdata,
 					 const struct trace_event *event),
 			   void *userdata);
-/** The event as a sentence. `stage` is its stage's name, or NULL. */
+/** The event as a sentence; free with g_free(). `stage` may be NULL. */
 char *trace_sentence(const struct trace_event *event, const char *stage);
 
 #endif
