--- a/policy/backoff.c
+++ b/policy/backoff.c
@@ -2,17 +2,17 @@
 
 #include <glib.h>
 
-/* The part of a wait that is drawn. */
-#define DRAWN 0.3
-/* More doublings than this are past every bound. */
+/* The share of a wait that is random. */
+#define JITTER_SHARE 0.3
+/* Beyond this every bound is reached. */
 #define DOUBLINGS_MAX 20
 
 int64_t backoff_wait_us(const struct backoff *backoff, uint32_t failures,
-			double draw)
+			double random)
 {
 	uint32_t doublings = MIN(MAX(failures, 1) - 1, DOUBLINGS_MAX);
 	int64_t wait_us =
 		MIN(backoff->initial_us << doublings, backoff->max_us);
 
-	return (int64_t)((double)wait_us * (1.0 - DRAWN * draw));
+	return (int64_t)((double)wait_us * (1.0 - JITTER_SHARE * random));
 }
--- a/policy/backoff.h
+++ b/policy/backoff.h
@@ -1,10 +1,11 @@
 /**
- * How long to wait before a service that did not serve us is asked again:
- * twice as long after each failure in a row, up to a bound, and of each wait a
- * part is drawn, so that a fleet does not ask in step.
+ * Exponential backoff with jitter, for retries at a service that failed or
+ * refused a call.
  *
- * A service that is short of something is not held down by those that ask, and
- * calls that are refused are not paid for.
+ * The wait doubles with each consecutive failure up to a bound, and a random
+ * part is subtracted, so that a fleet does not retry in step. Retries thus
+ * don't keep an overloaded service down, and fewer refused calls are made.
+ * Times are in microseconds.
  */
 #ifndef BACKOFF_H
 #define BACKOFF_H
@@ -12,12 +13,12 @@
 #include <stdint.h>
 
 struct backoff {
-	int64_t initial_us; /**< after one failure */
-	int64_t max_us;	    /**< never longer, drawn part included */
+	int64_t initial_us; /**< after the first failure */
+	int64_t max_us;	    /**< upper bound */
 };
 
-/** `failures` in a row, 1 or more; `draw` from 0 to 1. */
+/** `failures`: consecutive, at least 1; `random`: from 0 to 1. */
 int64_t backoff_wait_us(const struct backoff *backoff, uint32_t failures,
-			double draw);
+			double random);
 
 #endif
--- a/policy/bucket.c
+++ b/policy/bucket.c
@@ -4,9 +4,9 @@
 
 #include <glib.h>
 
-#define NEVER_US (3600 * LP_US_PER_S)
+#define NO_RATE_WAIT_US (3600 * LP_US_PER_S)
 
-static void fill(struct bucket *bucket, int64_t now_us)
+static void refill(struct bucket *bucket, int64_t now_us)
 {
 	double seconds = (double)(now_us - bucket->filled_us) / LP_US_PER_S;
 
@@ -27,7 +27,7 @@
 void bucket_set_rate(struct bucket *bucket, double rate_per_s, double burst,
 		     int64_t now_us)
 {
-	fill(bucket, now_us);
+	refill(bucket, now_us);
 	bucket->rate_per_s = rate_per_s;
 	bucket->burst = burst;
 	bucket->tokens = MIN(bucket->tokens, burst);
@@ -35,7 +35,7 @@
 
 bool bucket_take(struct bucket *bucket, int64_t now_us)
 {
-	fill(bucket, now_us);
+	refill(bucket, now_us);
 	if (bucket->tokens < 1)
 		return false;
 	bucket->tokens -= 1;
@@ -49,11 +49,11 @@
 
 int64_t bucket_wait_us(struct bucket *bucket, int64_t now_us)
 {
-	fill(bucket, now_us);
+	refill(bucket, now_us);
 	if (bucket->tokens >= 1)
 		return 0;
 	if (bucket->rate_per_s <= 0)
-		return NEVER_US;
+		return NO_RATE_WAIT_US;
 	return (int64_t)((1 - bucket->tokens) / bucket->rate_per_s *
 			 LP_US_PER_S);
 }
--- a/policy/bucket.h
+++ b/policy/bucket.h
@@ -1,4 +1,7 @@
-/** Token buckets: rates (per second) and retry budgets (per call). */
+/**
+ * Token bucket, for rate limits (tokens per second) and for retry budgets
+ * (tokens added per call). Times are in microseconds.
+ */
 #ifndef BUCKET_H
 #define BUCKET_H
 
@@ -8,20 +11,20 @@
 struct bucket {
 	double tokens;
 	double rate_per_s;
-	double burst;
-	int64_t filled_us;
+	double burst;	   /**< capacity in tokens */
+	int64_t filled_us; /**< when `tokens` was last updated */
 };
 
-/** A full bucket. A rate of 0 fills only by bucket_add(). */
+/** Start with a full bucket. With a rate of 0 only bucket_add() fills it. */
 void bucket_init(struct bucket *bucket, double rate_per_s, double burst,
 		 int64_t now_us);
 void bucket_set_rate(struct bucket *bucket, double rate_per_s, double burst,
 		     int64_t now_us);
-/** Take one token if there is one. */
+/** Take one token; false if there is none. */
 bool bucket_take(struct bucket *bucket, int64_t now_us);
-/** Put a part of a token in, up to the burst. */
+/** Add tokens (or a fraction of one), up to the burst. */
 void bucket_add(struct bucket *bucket, double tokens);
-/** Time until the next token; 0 when there is one. */
+/** Time until the next token; 0 if there is one, 1 hour without a rate. */
 int64_t bucket_wait_us(struct bucket *bucket, int64_t now_us);
 
 #endif
--- a/policy/concurrency_limit.c
+++ b/policy/concurrency_limit.c
@@ -2,12 +2,12 @@
 
 #include <glib.h>
 
-#define WINDOW_MIN 20
-#define GROW_BELOW 2.0 /* times the best window */
+#define WINDOW_SAMPLES_MIN 20
+#define GROW_BELOW 2.0 /* times the best window's mean */
 #define SHRINK_ABOVE 3.0
 #define SHRINK_FACTOR 0.85
-#define BEST_DRIFT 1.02 /* a window: forgets a best that is out of date */
-#define SMOOTHING 0.1
+#define BEST_DRIFT 1.02 /* per window, so that an outdated best fades */
+#define RUN_TIME_SMOOTHING 0.1
 
 void concurrency_limit_init(struct concurrency_limit *limit, uint32_t max)
 {
@@ -37,9 +37,9 @@
 	if (limit->smoothed_run_us == 0)
 		limit->smoothed_run_us = (double)run_us;
 	limit->smoothed_run_us +=
-		((double)run_us - limit->smoothed_run_us) * SMOOTHING;
+		((double)run_us - limit->smoothed_run_us) * RUN_TIME_SMOOTHING;
 	limit->sum_us += run_us;
 	limit->samples += 1;
-	if (limit->samples >= MAX(WINDOW_MIN, limit->value))
+	if (limit->samples >= MAX(WINDOW_SAMPLES_MIN, limit->value))
 		close_window(limit);
 }
--- a/policy/concurrency_limit.h
+++ b/policy/concurrency_limit.h
@@ -1,10 +1,11 @@
 /**
- * Adaptive concurrency: how many calls an upstream runs at once.
+ * Adaptive concurrency limit: how many calls may run at an upstream at once.
  *
- * Windows of run times are compared with the best recent window. While
- * times stay near it the limit grows towards the configured maximum; when
- * they inflate past the tolerance it shrinks, since more concurrency then
- * only adds waiting.
+ * The mean run time of each window of calls is compared with that of the best
+ * recent window. While it stays near the best, the limit grows towards the
+ * configured maximum. When it exceeds the best by too large a factor, the limit
+ * shrinks, as more concurrency then only adds queueing. Times are in
+ * microseconds.
  */
 #ifndef CONCURRENCY_LIMIT_H
 #define CONCURRENCY_LIMIT_H
@@ -12,16 +13,16 @@
 #include <stdint.h>
 
 struct concurrency_limit {
-	uint32_t value; /**< in force now */
-	uint32_t max;	/**< configured */
+	uint32_t value; /**< current limit */
+	uint32_t max;	/**< configured maximum */
 	uint32_t samples;
 	int64_t sum_us;
 	double best_mean_us;
-	double smoothed_run_us; /**< smoothed time of a call */
+	double smoothed_run_us; /**< moving average of run times */
 };
 
 void concurrency_limit_init(struct concurrency_limit *limit, uint32_t max);
-/** A call ended after run_us. */
+/** Add the run time of a call that ended. */
 void concurrency_limit_add_sample(struct concurrency_limit *limit,
 				  int64_t run_us);
 
--- a/policy/throttle.c
+++ b/policy/throttle.c
@@ -6,18 +6,18 @@
 #include <glib.h>
 #include <math.h>
 
-#define HALF_LIFE_US (2.0 * LP_US_PER_S)
-#define HEADROOM 1.25	   /* requests let in per accept */
-#define FREE_REQUESTS 10.0 /* below this nothing is refused */
+#define COUNT_HALF_LIFE_US (2.0 * LP_US_PER_S)
+#define HEADROOM 1.25	   /* requests admitted per accepted one */
+#define FREE_REQUESTS 10.0 /* excess below which nothing is refused */
 #define WAIT_SMOOTHING 0.3
 #define PAIRS_MAX 8192
 
 struct pair {
 	double requests;
 	double accepts;
-	int64_t faded_us;
+	int64_t decayed_us;
 	double wait_us; /* smoothed over agents */
-	int64_t wait_heard_us;
+	int64_t wait_reported_us;
 };
 
 struct throttle {
@@ -44,13 +44,14 @@
 	g_free(throttle);
 }
 
-static void fade(struct pair *pair, int64_t now_us)
+static void decay_counts(struct pair *pair, int64_t now_us)
 {
-	double factor = exp2(-(double)(now_us - pair->faded_us) / HALF_LIFE_US);
+	double factor =
+		exp2(-(double)(now_us - pair->decayed_us) / COUNT_HALF_LIFE_US);
 
 	pair->requests *= factor;
 	pair->accepts *= factor;
-	pair->faded_us = now_us;
+	pair->decayed_us = now_us;
 }
 
 static struct pair *get_pair(struct throttle *throttle,
@@ -65,11 +66,11 @@
 		if (g_hash_table_size(throttle->pairs) >= PAIRS_MAX)
 			g_hash_table_remove_all(throttle->pairs);
 		pair = g_new0(struct pair, 1);
-		pair->faded_us = now_us;
+		pair->decayed_us = now_us;
 		g_hash_table_insert(throttle->pairs,
 				    g_memdup2(&key, sizeof(key)), pair);
 	}
-	fade(pair, now_us);
+	decay_counts(pair, now_us);
 	return pair;
 }
 
@@ -90,18 +91,19 @@
 
 void throttle_record_outcome(struct throttle *throttle,
 			     const char *organisation, const char *service,
-			     bool taken, int64_t now_us)
+			     bool accepted, int64_t now_us)
 {
 	struct pair *pair = get_pair(throttle, organisation, service, now_us);
 
 	pair->requests += 1;
-	if (taken)
+	if (accepted)
 		pair->accepts += 1;
 }
 
-static double drained(const struct pair *pair, int64_t now_us)
+static double remaining_wait_us(const struct pair *pair, int64_t now_us)
 {
-	double left_us = pair->wait_us - (double)(now_us - pair->wait_heard_us);
+	double left_us =
+		pair->wait_us - (double)(now_us - pair->wait_reported_us);
 
 	return MAX(0, left_us);
 }
@@ -110,16 +112,16 @@
 			  const char *service, int64_t wait_us, int64_t now_us)
 {
 	struct pair *pair = get_pair(throttle, organisation, service, now_us);
-	double before_us = drained(pair, now_us);
+	double before_us = remaining_wait_us(pair, now_us);
 
 	pair->wait_us =
 		before_us + ((double)wait_us - before_us) * WAIT_SMOOTHING;
-	pair->wait_heard_us = now_us;
+	pair->wait_reported_us = now_us;
 }
 
 int64_t throttle_wait_us(struct throttle *throttle, const char *organisation,
 			 const char *service, int64_t now_us)
 {
-	return (int64_t)drained(
+	return (int64_t)remaining_wait_us(
 		get_pair(throttle, organisation, service, now_us), now_us);
 }
--- a/policy/throttle.h
+++ b/policy/throttle.h
@@ -1,11 +1,12 @@
 /**
- * Refusing at the door what agents would refuse later.
+ * Adaptive throttling: refuse requests at admission that agents would refuse.
  *
- * Per organisation and service, the share let in follows the share that
- * agents accepted lately (adaptive throttling: requests against accepts,
- * both fading), so that an organisation over its share wastes no work of
- * earlier stages. Others are not touched. Also kept per pair: how long a call
- * of this organisation would wait at the service's agents, as they said.
+ * For each pair of organisation and service, the share of admitted requests
+ * follows the share that agents accepted recently (decaying counts of requests
+ * and accepts), so that an organisation over its share wastes no work of
+ * earlier stages. Other organisations are not affected. A pair also has the
+ * queueing time that the service's agents reported for calls of the
+ * organisation. Times are in microseconds.
  */
 #ifndef THROTTLE_H
 #define THROTTLE_H
@@ -17,17 +18,17 @@
 
 struct throttle *throttle_create(uint64_t seed);
 void throttle_destroy(struct throttle *throttle);
-/** May a request be let in? A refusal counts as an outcome at once. */
+/** Whether to admit a request. A refusal is itself counted as an outcome. */
 bool throttle_admit(struct throttle *throttle, const char *organisation,
 		    const char *service, int64_t now_us);
-/** What an agent said to a call: taken, or refused for load. */
+/** Record whether an agent accepted a call or refused it for load. */
 void throttle_record_outcome(struct throttle *throttle,
 			     const char *organisation, const char *service,
-			     bool taken, int64_t now_us);
-/** An agent's word: what a new call of this organisation would wait there. */
+			     bool accepted, int64_t now_us);
+/** Record the queueing time that an agent reports for a new call. */
 void throttle_record_wait(struct throttle *throttle, const char *organisation,
 			  const char *service, int64_t wait_us, int64_t now_us);
-/** That wait now: it drains while time passes. */
+/** The expected queueing time now; it decreases as time passes. */
 int64_t throttle_wait_us(struct throttle *throttle, const char *organisation,
 			 const char *service, int64_t now_us);
 
