--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -1,4 +1,4 @@
-/* policy/: the parts, each on a virtual clock. */
+/* Unit tests of policy/ modules, each on a virtual clock. */
 #include "cwrap.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 constexpr int64_t MS = 1000;
 constexpr int64_t S = 1000000;
 
-TEST(Quant, QuantilesWithinABucket)
+TEST(Quantile, ErrorIsAtMostOneBucketAndOldSamplesFade)
 {
 	quantile *q = quantile_create();
 
@@ -24,7 +24,7 @@
 	quantile_destroy(q);
 }
 
-TEST(Bucket, RateAndWait)
+TEST(Bucket, TakesTokensAtTheRateAndReportsTheWait)
 {
 	bucket b;
 
@@ -36,7 +36,7 @@
 	EXPECT_TRUE(bucket_take(&b, 101 * MS));
 }
 
-TEST(Limit, ShrinksWhenTimesInflateAndGrowsBack)
+TEST(ConcurrencyLimit, ShrinksOnSlowRunsAndGrowsBack)
 {
 	concurrency_limit l;
 
@@ -52,7 +52,7 @@
 	EXPECT_EQ(l.value, 32u);
 }
 
-TEST(Queue, FairByWeightAndByDeadlineWithin)
+TEST(Queue, IsWeightedFairAndOrderedByDeadlineWithinAnOrganisation)
 {
 	queue *q = queue_create(false);
 	std::vector<queue_item> items(40);
@@ -80,7 +80,7 @@
 	queue_destroy(q);
 }
 
-TEST(Queue, ALightCallerSeesItsShareNotTheWholeQueue)
+TEST(Queue, CallsAheadOfAnIdleOrganisationFollowItsShare)
 {
 	queue *q = queue_create(false);
 	std::vector<queue_item> items(100);
@@ -99,9 +99,9 @@
 
 struct RouteTest : testing::Test {
 	TestClock clock;
-	route *table = nullptr;
+	route *routes = nullptr;
 
-	void make(bool naive = false)
+	void create(bool naive = false)
 	{
 		route_options options = {};
 
@@ -109,33 +109,33 @@
 		options.domain = "near";
 		options.seed = 5;
 		options.naive = naive;
-		table = route_create(&options);
+		routes = route_create(&options);
 	}
 	void TearDown() override
 	{
-		route_destroy(table);
+		route_destroy(routes);
 	}
 	route_upstream *add(const char *name, const char *domain,
 			    uint32_t run_us, uint32_t wait_us = 0)
 	{
 		route_upstream *upstream =
-			route_find_or_add(table, name, domain);
+			route_find_or_add(routes, name, domain);
 
-		hear(upstream, run_us, wait_us, 1);
+		report(upstream, run_us, wait_us, 1);
 		return upstream;
 	}
-	bool hear(route_upstream *upstream, uint32_t run_us, uint32_t wait_us,
-		  uint64_t incarnation, bool leaving = false)
+	bool report(route_upstream *upstream, uint32_t run_us, uint32_t wait_us,
+		    uint64_t incarnation, bool draining = false)
 	{
-		route_report word = {};
+		route_report load = {};
 
-		word.incarnation = incarnation;
-		word.agent_time_us = clock.now_us;
-		word.limit = 8;
-		word.run_us = run_us;
-		word.wait_us = wait_us;
-		word.draining = leaving;
-		return route_apply_report(table, upstream, &word);
+		load.incarnation = incarnation;
+		load.agent_time_us = clock.now_us;
+		load.limit = 8;
+		load.run_us = run_us;
+		load.wait_us = wait_us;
+		load.draining = draining;
+		return route_apply_report(routes, upstream, &load);
 	}
 	std::map<std::string, int> picks(int count, uint64_t affinity = 0)
 	{
@@ -144,7 +144,7 @@
 
 		query.affinity = affinity;
 		for (int i = 0; i < count; i++) {
-			route_upstream *chosen = route_pick(table, &query);
+			route_upstream *chosen = route_pick(routes, &query);
 
 			seen[chosen ? chosen->name : "none"]++;
 		}
@@ -152,147 +152,150 @@
 	}
 };
 
-TEST_F(RouteTest, OwnDomainFirstUnlessTheOtherIsFaster)
+TEST_F(RouteTest, PrefersOwnDomainUnlessAnotherIsFaster)
 {
-	make();
+	create();
 	add("n1", "near", 5 * MS);
 	add("n2", "near", 5 * MS);
 	add("f1", "far", 5 * MS);
 	EXPECT_EQ(picks(200)["f1"], 0);
-	hear(route_find(table, "n1"), 5 * MS, 50 * MS, 1);
-	hear(route_find(table, "n2"), 5 * MS, 50 * MS, 1);
+	report(route_find(routes, "n1"), 5 * MS, 50 * MS, 1);
+	report(route_find(routes, "n2"), 5 * MS, 50 * MS, 1);
 	EXPECT_EQ(picks(200)["f1"], 200);
 }
 
-TEST_F(RouteTest, SlowOnesAreAvoided)
+TEST_F(RouteTest, AvoidsSlowUpstreams)
 {
-	make();
+	create();
 	for (int i = 0; i < 9; i++)
 		add(("n" + std::to_string(i)).c_str(), "near", 5 * MS);
 	add("slow", "near", 50 * MS);
 	EXPECT_LT(picks(1000)["slow"], 30);
 }
 
-TEST_F(RouteTest, LeavingAndSilentGetNothing)
+TEST_F(RouteTest, SkipsDrainingAndSilentUpstreams)
 {
-	make();
+	create();
 	add("a", "near", 5 * MS);
 	add("b", "near", 5 * MS);
-	hear(route_find(table, "a"), 5 * MS, 0, 1, true);
+	report(route_find(routes, "a"), 5 * MS, 0, 1, true);
 	EXPECT_EQ(picks(100)["a"], 0);
 	clock.now_us += 8 * S;
-	EXPECT_EQ(route_tick(table), 2u);
+	EXPECT_EQ(route_tick(routes), 2u);
 	EXPECT_EQ(picks(10)["none"], 10);
-	hear(route_find(table, "b"), 5 * MS, 0, 1);
+	report(route_find(routes, "b"), 5 * MS, 0, 1);
 	EXPECT_EQ(picks(10)["b"], 10);
-	route_find(table, "b")->listed_draining = true;
+	route_find(routes, "b")->listed_draining = true;
 	EXPECT_EQ(picks(10)["none"], 10);
 }
 
-TEST_F(RouteTest, FailingIsSetAsideAndLetBack)
+TEST_F(RouteTest, EjectsFailingUpstreamTemporarilyUpToAThird)
 {
-	make();
+	create();
 	add("a", "near", 5 * MS);
 	add("b", "near", 5 * MS);
 	add("c", "near", 5 * MS);
-	route_upstream *bad = route_find(table, "a");
+	route_upstream *failing = route_find(routes, "a");
 	for (int i = 0; i < 5; i++) {
-		route_call_sent(table, bad);
-		route_call_ended(table, bad, true);
+		route_call_sent(routes, failing);
+		route_call_ended(routes, failing, true);
 	}
-	EXPECT_TRUE(route_is_ejected(table, bad));
+	EXPECT_TRUE(route_is_ejected(routes, failing));
 	EXPECT_EQ(picks(100)["a"], 0);
-	/* Never more than a third of a service. */
-	route_upstream *next = route_find(table, "b");
+	/* At most a third of a service is ejected. */
+	route_upstream *second = route_find(routes, "b");
 	for (int i = 0; i < 9; i++) {
-		route_call_sent(table, next);
-		route_call_ended(table, next, true);
+		route_call_sent(routes, second);
+		route_call_ended(routes, second, true);
 	}
-	EXPECT_FALSE(route_is_ejected(table, next));
+	EXPECT_FALSE(route_is_ejected(routes, second));
 	clock.now_us += 2 * S;
-	hear(bad, 5 * MS, 0, 1);
-	hear(next, 5 * MS, 0, 1);
+	report(failing, 5 * MS, 0, 1);
+	report(second, 5 * MS, 0, 1);
 	EXPECT_GT(picks(100)["a"], 10);
 }
 
-/* Found by the scenario bad-upstreams: the only encoder of the own domain
- * failed one call in five, and kept getting them all. */
-TEST_F(RouteTest, AFailingShareCostsMoreThanTheOtherDomain)
+/*
+ * The only upstream in the entry's domain failed one call in five and still got
+ * all calls, as its failures cost less than another domain (found by the
+ * scenario bad-upstreams).
+ */
+TEST_F(RouteTest, PartialFailuresOutweighTheCostOfAnotherDomain)
 {
-	make();
+	create();
 	route_upstream *near = add("near", "near", 5 * MS);
 	add("far", "far", 5 * MS);
 	for (int i = 0; i < 50; i++) {
-		route_call_sent(table, near);
-		route_call_ended(table, near, i % 5 == 0);
+		route_call_sent(routes, near);
+		route_call_ended(routes, near, i % 5 == 0);
 	}
 	EXPECT_EQ(picks(50)["near"], 0);
-	clock.now_us += 30 * S; /* tried again after a while */
-	hear(near, 5 * MS, 0, 1);
-	hear(route_find(table, "far"), 5 * MS, 0, 1);
+	clock.now_us += 30 * S; /* the error rate decays */
+	report(near, 5 * MS, 0, 1);
+	report(route_find(routes, "far"), 5 * MS, 0, 1);
 	EXPECT_EQ(picks(50)["near"], 50);
 }
 
-TEST_F(RouteTest, AffinityStaysAndSpillsWhenFull)
+TEST_F(RouteTest, AffinityKeepsItsOwnerUnlessOverloaded)
 {
-	make();
+	create();
 	for (int i = 0; i < 8; i++)
 		add(("n" + std::to_string(i)).c_str(), "near", 50 * MS);
 	std::map<std::string, int> seen = picks(100, 77);
 	ASSERT_EQ(seen.size(), 1u);
-	route_upstream *owner = route_find(table, seen.begin()->first.c_str());
+	route_upstream *owner = route_find(routes, seen.begin()->first.c_str());
 	for (int i = 0; i < 4; i++)
-		route_call_sent(table, owner);
+		route_call_sent(routes, owner);
 	EXPECT_EQ(picks(10, 77)[owner->name], 0);
 	for (int i = 0; i < 4; i++)
-		route_call_ended(table, owner, false);
+		route_call_ended(routes, owner, false);
 	EXPECT_EQ(picks(10, 77)[owner->name], 10);
 }
 
-TEST_F(RouteTest, ANewIncarnationIsNoticedAndOldWordsAreNot)
+TEST_F(RouteTest, DetectsNewIncarnationAndIgnoresOlderReports)
 {
-	make();
+	create();
 	route_upstream *a = add("a", "near", 5 * MS);
 	clock.now_us += MS;
-	EXPECT_TRUE(hear(a, 5 * MS, 0, 2));
-	EXPECT_FALSE(hear(a, 5 * MS, 0, 2));
-	clock.now_us -= MS; /* a word sent earlier arrives later */
-	hear(a, 5 * MS, 9 * MS, 2);
+	EXPECT_TRUE(report(a, 5 * MS, 0, 2));
+	EXPECT_FALSE(report(a, 5 * MS, 0, 2));
+	clock.now_us -= MS; /* an older report arrives later */
+	report(a, 5 * MS, 9 * MS, 2);
 	EXPECT_EQ(a->wait_us, 0u);
 }
 
 /* ---- throttle ---- */
 
-TEST(Throttle, RefusesTheFlooderOnly)
+TEST(Throttle, RefusesOnlyTheOverloadingOrganisation)
 {
 	throttle *t = throttle_create(3);
-	int let_in = 0;
+	int admitted = 0;
 	int64_t now = 0;
 
 	for (int i = 0; i < 3000; i++, now += MS) {
 		if (throttle_admit(t, "flood", "s", now)) {
-			let_in++;
+			admitted++;
 			throttle_record_outcome(t, "flood", "s", i % 10 == 0,
 						now);
 		}
 		EXPECT_TRUE(throttle_admit(t, "calm", "s", now));
 		throttle_record_outcome(t, "calm", "s", true, now);
 	}
-	EXPECT_LT(let_in, 1500);
-	EXPECT_GT(let_in, 100);
+	EXPECT_LT(admitted, 1500);
+	EXPECT_GT(admitted, 100);
 	throttle_destroy(t);
 }
 
-/* ---- keys ---- */
+/* ---- idempotency keys ---- */
 
-struct KeysTest : testing::Test {
+struct IdempotencyTest : testing::Test {
 	TestClock clock;
-	idempotency_keys *table = nullptr;
+	idempotency_keys *keys = nullptr;
 	std::vector<std::pair<void *, int>> woken;
 
 	void SetUp() override
 	{
-		make(0);
+		create(0);
 	}
 	enum idempotency_verdict begin(const char *key, uint64_t fingerprint,
 				       void *waiter, idempotency_answer *answer,
@@ -301,9 +304,9 @@
 		idempotency_request request = { key, fingerprint,
 						clock.now_us + left, waiter };
 
-		return idempotency_begin(table, &request, answer);
+		return idempotency_begin(keys, &request, answer);
 	}
-	void make(size_t bytes)
+	void create(size_t bytes)
 	{
 		idempotency_options options = {};
 
@@ -312,60 +315,60 @@
 		options.bytes_max = bytes;
 		options.wake = wake;
 		options.userdata = this;
-		idempotency_destroy(table);
-		table = idempotency_create(&options);
+		idempotency_destroy(keys);
+		keys = idempotency_create(&options);
 	}
 	void TearDown() override
 	{
-		idempotency_destroy(table);
+		idempotency_destroy(keys);
 	}
 	static void wake(void *userdata, void *waiter,
 			 const idempotency_answer *answer)
 	{
-		static_cast<KeysTest *>(userdata)->woken.push_back(
+		static_cast<IdempotencyTest *>(userdata)->woken.push_back(
 			{ waiter, answer->error });
 	}
 };
 
-TEST_F(KeysTest, SecondTryWaitsThenGetsTheAnswer)
+TEST_F(IdempotencyTest, DuplicateWaitsAndGetsTheFirstAnswer)
 {
 	idempotency_answer answer = {};
-	int second;
+	int waiter;
 
 	EXPECT_EQ(begin("k", 1, nullptr, &answer), IDEMPOTENCY_NEW);
-	EXPECT_EQ(begin("k", 1, &second, &answer), IDEMPOTENCY_WAIT);
-	EXPECT_EQ(begin("k", 2, &second, &answer), IDEMPOTENCY_MISMATCH);
+	EXPECT_EQ(begin("k", 1, &waiter, &answer), IDEMPOTENCY_WAIT);
+	EXPECT_EQ(begin("k", 2, &waiter, &answer), IDEMPOTENCY_MISMATCH);
 	answer = { LP_OK, LP_RUN_RAN, "body" };
-	idempotency_finish(table, "k", &answer);
+	idempotency_finish(keys, "k", &answer);
 	ASSERT_EQ(woken.size(), 1u);
-	EXPECT_EQ(woken[0].first, &second);
+	EXPECT_EQ(woken[0].first, &waiter);
 	answer = {};
 	EXPECT_EQ(begin("k", 1, nullptr, &answer), IDEMPOTENCY_ANSWERED);
 	EXPECT_STREQ(answer.body, "body");
 	clock.now_us += 11 * S;
-	idempotency_tick(table);
-	EXPECT_EQ(idempotency_record_count(table), 0u);
+	idempotency_tick(keys);
+	EXPECT_EQ(idempotency_record_count(keys), 0u);
 }
 
-TEST_F(KeysTest, NotRunFreesTheKeyAndUnknownDoesNot)
+TEST_F(IdempotencyTest, OnlyARequestThatDidNotRunFreesItsKey)
 {
 	idempotency_answer answer = {};
 
 	begin("a", 1, nullptr, &answer);
 	answer = { LP_ERROR_OVERLOADED, LP_RUN_NOT_RUN, nullptr };
-	idempotency_finish(table, "a", &answer);
+	idempotency_finish(keys, "a", &answer);
 	EXPECT_EQ(begin("a", 1, nullptr, &answer), IDEMPOTENCY_NEW);
 	answer = { LP_ERROR_UPSTREAM_GONE, LP_RUN_MAY_HAVE_RUN, nullptr };
-	idempotency_finish(table, "a", &answer);
+	idempotency_finish(keys, "a", &answer);
 	EXPECT_EQ(begin("a", 1, nullptr, &answer), IDEMPOTENCY_ANSWERED);
 	EXPECT_EQ(answer.run, LP_RUN_MAY_HAVE_RUN);
 }
 
-TEST_F(KeysTest, FullRefusesRatherThanForgets)
+TEST_F(IdempotencyTest, RefusesNewKeysAtTheMemoryLimit)
 {
 	idempotency_answer answer = {};
 
-	make(400);
+	create(400);
 	EXPECT_EQ(begin("a", 1, nullptr, &answer), IDEMPOTENCY_NEW);
 	EXPECT_EQ(begin("b", 1, nullptr, &answer), IDEMPOTENCY_NEW);
 	EXPECT_EQ(begin("c", 1, nullptr, &answer), IDEMPOTENCY_NEW);
@@ -373,19 +376,19 @@
 	EXPECT_EQ(begin("a", 1, this, &answer), IDEMPOTENCY_WAIT);
 }
 
-TEST_F(KeysTest, AWaiterIsNotHeldPastItsOwnDeadline)
+TEST_F(IdempotencyTest, WaiterIsWokenAtItsOwnDeadline)
 {
 	idempotency_answer answer = {};
-	int second;
+	int waiter;
 
 	begin("k", 1, nullptr, &answer);
-	EXPECT_EQ(begin("k", 1, &second, &answer, S), IDEMPOTENCY_WAIT);
+	EXPECT_EQ(begin("k", 1, &waiter, &answer, S), IDEMPOTENCY_WAIT);
 	clock.now_us += 2 * S;
-	idempotency_tick(table);
+	idempotency_tick(keys);
 	ASSERT_EQ(woken.size(), 1u);
 	EXPECT_EQ(woken[0].second, LP_ERROR_DEADLINE_PASSED);
 	answer = { LP_OK, LP_RUN_RAN, "body" };
-	idempotency_finish(table, "k", &answer);
+	idempotency_finish(keys, "k", &answer);
 	EXPECT_EQ(woken.size(), 1u);
 }
 
@@ -404,7 +407,7 @@
 	EXPECT_FALSE(idempotency_ticket_parse("order-17", &parsed));
 }
 
-/* ---- claims: against a KV that loses answers ---- */
+/* ---- claims, with a KV that loses answers ---- */
 
 struct ClaimsTest : testing::Test {
 	TestClock clock;
@@ -447,18 +450,18 @@
 	}
 	static const claims_ops ops;
 
-	/* The KV takes the write; its answer may be lost. */
-	void serve(bool lose_answer)
+	/* Applies the write to the KV; its answer may be lost. */
+	void answer_write(bool lose_answer)
 	{
 		std::vector<claim_found> found;
-		auto taken = batch;
+		auto items = batch;
 
-		for (auto &item : taken)
+		for (auto &item : items)
 			if (kv.count(item.first))
 				found.push_back({ item.first.c_str(),
 						  kv[item.first].c_str() });
 		if (found.empty())
-			for (auto &item : taken)
+			for (auto &item : items)
 				kv[item.first] = item.second;
 		if (lose_answer)
 			claims_write_done(table, LP_ERROR_PLATFORM_DOWN, false,
@@ -467,81 +470,83 @@
 			claims_write_done(table, LP_OK, found.empty(),
 					  found.data(), (uint32_t)found.size());
 	}
-	void add(const char *key, int waiter, int64_t until = 100 * S)
+	void add(const char *key, int waiter, int64_t deadline = 100 * S)
 	{
-		claims_add(table, key, "me", until, GINT_TO_POINTER(waiter));
+		claims_add(table, key, "me", deadline, GINT_TO_POINTER(waiter));
 	}
 };
 
 const claims_ops ClaimsTest::ops = { on_write, on_settled };
 
-TEST_F(ClaimsTest, WhatArrivesMeanwhileJoinsTheNextWrite)
+TEST_F(ClaimsTest, ClaimsDuringAWriteAreBatched)
 {
 	add("a", 1);
 	for (int i = 2; i <= 50; i++)
 		add(("k" + std::to_string(i)).c_str(), i);
 	EXPECT_EQ(writes, 1);
-	serve(false);
+	answer_write(false);
 	EXPECT_EQ(writes, 2);
 	EXPECT_EQ(batch.size(), 49u);
-	serve(false);
+	answer_write(false);
 	EXPECT_EQ(settled.size(), 50u);
 	EXPECT_EQ(settled[50].second, "me");
 }
 
-TEST_F(ClaimsTest, ALostAnswerIsSettledByOnesOwnClaim)
+TEST_F(ClaimsTest, RetryAfterALostAnswerFindsTheOwnClaim)
 {
 	add("a", 1);
-	serve(true); /* it took effect */
+	answer_write(true); /* the write took effect */
 	EXPECT_TRUE(settled.empty());
 	clock.now_us += S;
 	claims_tick(table);
 	EXPECT_EQ(writes, 2);
-	serve(false);
+	answer_write(false);
 	EXPECT_EQ(settled[1], std::make_pair((int)LP_OK, std::string("me")));
 }
 
-TEST_F(ClaimsTest, SomeoneElsesClaimIsToldAndTheRestGoOn)
+TEST_F(ClaimsTest, ExistingClaimIsSettledWithItsOwnerAndOthersAreRewritten)
 {
 	kv["b"] = "other";
 	add("first", 9);
 	add("a", 1);
 	add("b", 2);
 	add("c", 3);
-	serve(false);
-	serve(false);
+	answer_write(false);
+	answer_write(false);
 	EXPECT_EQ(settled[2].second, "other");
 	EXPECT_EQ(settled.count(1), 0u);
-	serve(false);
+	answer_write(false);
 	EXPECT_EQ(settled[1].second, "me");
 	EXPECT_EQ(settled[3].second, "me");
 }
 
-TEST_F(ClaimsTest, PastItsTimeAClaimIsNotKnown)
+TEST_F(ClaimsTest, UnsettledClaimFailsAtItsDeadline)
 {
 	add("a", 1, clock.now_us + S);
-	serve(true);
+	answer_write(true);
 	clock.now_us += 2 * S;
 	claims_tick(table);
 	EXPECT_EQ(settled[1].first, LP_ERROR_PLATFORM_DOWN);
 }
 
-/* Found by the scenario kv-slow: the answer came long after the deadline,
- * when the KV's did. */
-TEST_F(ClaimsTest, AWriteUnderWayHoldsNobodyPastHisTime)
+/*
+ * A claim whose write was in flight was settled only when the KV answered, long
+ * after the request's deadline (found by the scenario kv-slow).
+ */
+TEST_F(ClaimsTest, WriteInFlightDoesNotDelayAnExpiredClaim)
 {
 	add("a", 1, clock.now_us + S);
 	clock.now_us += 2 * S;
 	claims_tick(table);
 	EXPECT_EQ(settled[1].first, LP_ERROR_PLATFORM_DOWN);
-	serve(false); /* now the KV answers */
+	answer_write(false); /* now the KV answers */
 	EXPECT_EQ(settled.size(), 1u);
 	EXPECT_EQ(kv["a"], "me");
 }
 
 /* ---- quotas ---- */
 
-TEST(Quota, SharesNeverSumToOverTheRate)
+TEST(Quota, SharesNeverExceedTheRate)
 {
 	TestClock clock;
 	quota_holder *holder = quota_holder_create(&clock.clock);
@@ -563,14 +568,14 @@
 	quota_holder_destroy(holder);
 }
 
-static void ignore_ask(void *, const char *, double)
+static void ignore_request(void *, const char *, double)
 {
 }
 
-TEST(Quota, FallsBackToAStaticShareWhenTheHolderIsGone)
+TEST(Quota, UsesAStaticShareWithoutAQuotaHolder)
 {
 	TestClock clock;
-	quota_options options = { &clock.clock, ignore_ask, nullptr };
+	quota_options options = { &clock.clock, ignore_request, nullptr };
 	quota *q = quota_create(&options);
 	int passed = 0;
 	int64_t retry = 0;
@@ -590,72 +595,72 @@
 	quota_destroy(q);
 }
 
-/* ---- members ---- */
+/* ---- rendezvous hashing ---- */
 
-TEST(Member, SubsetsAreSpreadStableAndEven)
+TEST(Rendezvous, SubsetsAreEvenOverDomainsAndStable)
 {
 	std::vector<std::string> names;
-	std::vector<rendezvous_host> members;
+	std::vector<rendezvous_host> hosts;
 	std::map<std::string, int> load;
 	const char *domains[] = { "d0", "d1", "d2" };
 
 	for (int i = 0; i < 300; i++)
 		names.push_back("agent-" + std::to_string(i));
 	for (size_t i = 0; i < names.size(); i++)
-		members.push_back({ names[i].c_str(), domains[i % 3] });
+		hosts.push_back({ names[i].c_str(), domains[i % 3] });
 	for (int e = 0; e < 100; e++) {
 		std::string self = "entry-" + std::to_string(e);
 		bool chosen[300];
-		std::map<std::string, int> spread;
+		std::map<std::string, int> chosen_per_domain;
 
-		EXPECT_EQ(rendezvous_subset(self.c_str(), members.data(), 300,
-					    60, chosen),
+		EXPECT_EQ(rendezvous_subset(self.c_str(), hosts.data(), 300, 60,
+					    chosen),
 			  60u);
 		for (int i = 0; i < 300; i++) {
 			load[names[(size_t)i]] += chosen[i];
-			spread[domains[i % 3]] += chosen[i];
+			chosen_per_domain[domains[i % 3]] += chosen[i];
 		}
-		EXPECT_EQ(spread["d0"], 20);
-		EXPECT_EQ(spread["d2"], 20);
+		EXPECT_EQ(chosen_per_domain["d0"], 20);
+		EXPECT_EQ(chosen_per_domain["d2"], 20);
 	}
 	for (auto &entry : load) { /* the mean is 20 */
 		EXPECT_GT(entry.second, 5);
 		EXPECT_LT(entry.second, 40);
 	}
-	/* One agent gone moves at most one of a subset. */
+	/* Removing one agent changes at most one host of a subset. */
 	bool before[300], after[300];
 	int moved = 0;
-	rendezvous_subset("entry-1", members.data(), 300, 60, before);
-	rendezvous_subset("entry-1", members.data(), 299, 60, after);
+	rendezvous_subset("entry-1", hosts.data(), 300, 60, before);
+	rendezvous_subset("entry-1", hosts.data(), 299, 60, after);
 	for (int i = 0; i < 299; i++)
 		moved += before[i] != after[i];
 	EXPECT_LE(moved, 1);
 }
 
-TEST(Member, AsManyReadersAsAskedAndOneOwner)
+TEST(Rendezvous, ChoosesTheGivenNumberOfReadersAndOneOwner)
 {
 	std::vector<std::string> names;
-	std::vector<rendezvous_host> members;
+	std::vector<rendezvous_host> hosts;
 	int readers = 0;
 
 	for (int i = 0; i < 50; i++)
 		names.push_back("h" + std::to_string(i));
 	for (std::string &name : names)
-		members.push_back({ name.c_str(), "d" });
+		hosts.push_back({ name.c_str(), "d" });
 	for (std::string &name : names)
-		readers += rendezvous_is_reader(name.c_str(), "d",
-						members.data(), 50, 3);
+		readers += rendezvous_is_reader(name.c_str(), "d", hosts.data(),
+						50, 3);
 	EXPECT_EQ(readers, 3);
-	EXPECT_EQ(rendezvous_owner("x", members.data(), 50),
-		  rendezvous_owner("x", members.data(), 50));
-	EXPECT_EQ(rendezvous_owner("x", members.data(), 0), nullptr);
+	EXPECT_EQ(rendezvous_owner("x", hosts.data(), 50),
+		  rendezvous_owner("x", hosts.data(), 50));
+	EXPECT_EQ(rendezvous_owner("x", hosts.data(), 0), nullptr);
 }
 
-/* ---- spread of the configuration ---- */
+/* ---- config propagation ---- */
 
-struct SpreadTest : testing::Test {
+struct ConfigPropagationTest : testing::Test {
 	TestClock clock;
-	config_propagation *table = nullptr;
+	config_propagation *propagation = nullptr;
 	int reads = 0;
 	int watches = 0;
 	std::vector<std::string> pulls;
@@ -668,78 +673,81 @@
 		options.ops = &ops;
 		options.userdata = this;
 		options.seed = 1;
-		table = config_propagation_create(&options);
+		propagation = config_propagation_create(&options);
 	}
 	void TearDown() override
 	{
-		config_propagation_destroy(table);
+		config_propagation_destroy(propagation);
 	}
 	static void on_read(void *userdata)
 	{
-		static_cast<SpreadTest *>(userdata)->reads++;
+		static_cast<ConfigPropagationTest *>(userdata)->reads++;
 	}
 	static void on_watch(void *userdata, bool on)
 	{
-		static_cast<SpreadTest *>(userdata)->watches += on ? 1 : -1;
+		static_cast<ConfigPropagationTest *>(userdata)->watches +=
+			on ? 1 : -1;
 	}
 	static void on_pull(void *userdata, const char *peer)
 	{
-		static_cast<SpreadTest *>(userdata)->pulls.push_back(peer);
+		static_cast<ConfigPropagationTest *>(userdata)->pulls.push_back(
+			peer);
 	}
 	static const config_propagation_ops ops;
 	void run(int64_t time)
 	{
 		for (int64_t end = clock.now_us + time; clock.now_us < end;
 		     clock.now_us += 100 * MS)
-			config_propagation_tick(table);
+			config_propagation_tick(propagation);
 	}
 };
 
-const config_propagation_ops SpreadTest::ops = { on_read, on_watch, on_pull };
+const config_propagation_ops ConfigPropagationTest::ops = { on_read, on_watch,
+							    on_pull };
 
-TEST_F(SpreadTest, NeverReverts)
+TEST_F(ConfigPropagationTest, NeverAcceptsALowerRevision)
 {
-	EXPECT_TRUE(config_propagation_accept(table, 5));
-	EXPECT_FALSE(config_propagation_accept(table, 5));
-	EXPECT_FALSE(config_propagation_accept(table, 4));
-	config_propagation_handle_revision(table, "old", 3);
+	EXPECT_TRUE(config_propagation_accept(propagation, 5));
+	EXPECT_FALSE(config_propagation_accept(propagation, 5));
+	EXPECT_FALSE(config_propagation_accept(propagation, 4));
+	config_propagation_handle_revision(propagation, "old", 3);
 	EXPECT_TRUE(pulls.empty());
-	EXPECT_TRUE(config_propagation_accept(table, 6));
-	EXPECT_EQ(config_propagation_revision(table), 6u);
+	EXPECT_TRUE(config_propagation_accept(propagation, 6));
+	EXPECT_EQ(config_propagation_revision(propagation), 6u);
 }
 
-TEST_F(SpreadTest, OnlyReadersReadOnceTheyHaveARevision)
+TEST_F(ConfigPropagationTest, OnlyReadersReadAfterTheFirstRevision)
 {
-	config_propagation_set_reader(table, false, 100);
-	config_propagation_accept(table, 1);
+	config_propagation_set_reader(propagation, false, 100);
+	config_propagation_accept(propagation, 1);
 	for (int i = 0; i < 60; i++) {
-		config_propagation_handle_kv_age(table,
-						 S); /* the readers live */
+		config_propagation_handle_kv_age(
+			propagation, S); /* the readers reach the KV */
 		run(S);
 	}
 	EXPECT_EQ(reads, 0);
 	EXPECT_EQ(watches, 0);
-	config_propagation_set_reader(table, true, 100);
+	config_propagation_set_reader(propagation, true, 100);
 	run(S);
 	EXPECT_EQ(watches, 1);
 	EXPECT_EQ(reads, 1);
-	config_propagation_read_done(table, true);
+	config_propagation_read_done(propagation, true);
 	run(4 * S);
-	EXPECT_EQ(reads, 2); /* a watch may be silently dead */
-	config_propagation_set_reader(table, false, 100);
+	EXPECT_EQ(reads, 2); /* a watch may hang without an error */
+	config_propagation_set_reader(propagation, false, 100);
 	EXPECT_EQ(watches, 0);
 }
 
-TEST_F(SpreadTest, ANewcomerPullsAndReadsOnlyWithoutHelp)
+TEST_F(ConfigPropagationTest, WithoutARevisionPullsFromPeersBeforeReading)
 {
-	config_propagation_set_reader(table, false, 7400);
-	config_propagation_handle_revision(table, "peer", 9);
+	config_propagation_set_reader(propagation, false, 7400);
+	config_propagation_handle_revision(propagation, "peer", 9);
 	ASSERT_EQ(pulls.size(), 1u);
-	config_propagation_handle_revision(table, "peer2",
+	config_propagation_handle_revision(propagation, "peer2",
 					   9); /* one pull at a time */
 	EXPECT_EQ(pulls.size(), 1u);
 	run(S);
-	config_propagation_handle_revision(table, "peer2",
+	config_propagation_handle_revision(propagation, "peer2",
 					   9); /* the first did not answer */
 	EXPECT_EQ(pulls.size(), 2u);
 	EXPECT_EQ(reads, 0); /* 7,400 hosts read over many seconds */
@@ -747,34 +755,36 @@
 	EXPECT_EQ(reads, 1);
 }
 
-/* Found by the scenario readers-killed: the host list still named the dead
- * readers, so that nobody looked at the KV. */
-TEST_F(SpreadTest, StepsInWhenTheReadersAreSilent)
+/*
+ * While the host list still named readers that had died, no process read the KV
+ * (found by the scenario readers-killed).
+ */
+TEST_F(ConfigPropagationTest, ReadsTheKvWhenReadersFail)
 {
-	config_propagation_set_reader(table, false, 100);
-	config_propagation_accept(table, 1);
-	config_propagation_handle_kv_age(table, S);
+	config_propagation_set_reader(propagation, false, 100);
+	config_propagation_accept(propagation, 1);
+	config_propagation_handle_kv_age(propagation, S);
 	run(2 * S);
 	EXPECT_EQ(reads, 0);
 	run(8 * S);
 	EXPECT_EQ(reads, 1);
 	EXPECT_EQ(watches, 0);
-	config_propagation_read_done(table, true);
-	EXPECT_LT(config_propagation_kv_age_us(table), S);
+	config_propagation_read_done(propagation, true);
+	EXPECT_LT(config_propagation_kv_age_us(propagation), S);
 	config_propagation_handle_kv_age(
-		table, 10 * S); /* older word changes nothing */
-	EXPECT_LT(config_propagation_kv_age_us(table), S);
+		propagation, 10 * S); /* an older report is ignored */
+	EXPECT_LT(config_propagation_kv_age_us(propagation), S);
 }
 
-TEST_F(SpreadTest, BacksOffWhileTheKvIsDown)
+TEST_F(ConfigPropagationTest, BacksOffWhileTheKvIsDown)
 {
-	config_propagation_set_reader(table, true, 10);
+	config_propagation_set_reader(propagation, true, 10);
 	for (int i = 0; i < 600; i++) {
 		int before = reads;
 
-		config_propagation_tick(table);
+		config_propagation_tick(propagation);
 		if (reads > before)
-			config_propagation_read_done(table, false);
+			config_propagation_read_done(propagation, false);
 		clock.now_us += 100 * MS;
 	}
 	EXPECT_LT(reads, 25); /* in a minute */
@@ -840,28 +850,28 @@
 	}
 	static const worker_ops ops;
 
-	lp_call_id offer(int64_t left = 5 * S, int64_t age = 0,
-			 uint64_t incarnation = 7, uint32_t reuse = 0)
+	lp_call_id submit_call(int64_t left = 5 * S, int64_t age = 0,
+			       uint64_t incarnation = 7, uint32_t reuse = 0)
 	{
-		struct worker_submit offer = {};
-
-		offer.id = { 1, reuse ? reuse : ++serial, 0, 1 };
-		offer.peer = "entry";
-		offer.organisation = "org";
-		offer.weight = 1;
-		offer.incarnation = incarnation;
-		offer.echo_us = clock.now_us - age;
-		offer.left_us = left;
-		offer.payload = g_malloc(1);
-		worker_submit(work, &offer);
-		return offer.id;
-	}
-	void ask(const lp_call_id &id, bool withdraw, int64_t age = 0)
+		struct worker_submit submit = {};
+
+		submit.id = { 1, reuse ? reuse : ++serial, 0, 1 };
+		submit.peer = "entry";
+		submit.organisation = "org";
+		submit.weight = 1;
+		submit.incarnation = incarnation;
+		submit.echo_us = clock.now_us - age;
+		submit.left_us = left;
+		submit.payload = g_malloc(1);
+		worker_submit(work, &submit);
+		return submit.id;
+	}
+	void query(const lp_call_id &id, bool withdraw, int64_t age = 0)
 	{
-		worker_state_query question = { id, "entry", 7,
-						clock.now_us - age, withdraw };
+		worker_state_query request = { id, "entry", 7,
+					       clock.now_us - age, withdraw };
 
-		worker_query(work, &question);
+		worker_query(work, &request);
 	}
 	void finish(size_t index)
 	{
@@ -876,63 +886,63 @@
 const worker_ops WorkerTest::ops = { on_start,	on_cancel, on_reply,
 				     on_refuse, on_state,  on_free };
 
-TEST_F(WorkerTest, RefusesTheOldAndTheWrong)
+TEST_F(WorkerTest, RefusesStaleCallsAndOtherIncarnations)
 {
-	offer(5 * S, 9 * S);
+	submit_call(5 * S, 9 * S);
 	EXPECT_EQ(replies.back().second.error, LP_ERROR_STALE_CALL);
-	offer(5 * S, 0, 8);
+	submit_call(5 * S, 0, 8);
 	EXPECT_EQ(replies.back().second.error, LP_ERROR_WRONG_INCARNATION);
 	EXPECT_EQ(replies.back().second.run, LP_RUN_NOT_RUN);
 	EXPECT_TRUE(started.empty());
 }
 
-TEST_F(WorkerTest, ARepeatIsAnsweredFromMemory)
+TEST_F(WorkerTest, AnswersADuplicateWithoutRunningIt)
 {
-	lp_call_id id = offer();
+	lp_call_id id = submit_call();
 
 	finish(0);
-	offer(5 * S, 0, 7, id.serial);
+	submit_call(5 * S, 0, 7, id.serial);
 	EXPECT_EQ(started.size(), 1u);
 	EXPECT_EQ(replies.size(), 2u);
 	EXPECT_STREQ(replies[1].second.body, "{}");
 }
 
-TEST_F(WorkerTest, AQuestionFencesWhatItHasNotSeen)
+TEST_F(WorkerTest, QueryFencesAnUnknownCall)
 {
 	lp_call_id id = { 1, 50, 0, 1 };
 
-	ask(id, false);
+	query(id, false);
 	EXPECT_EQ(states.back(), WORKER_FENCED);
-	offer(5 * S, 0, 7, 50);
+	submit_call(5 * S, 0, 7, 50);
 	EXPECT_TRUE(started.empty());
 	EXPECT_EQ(replies.back().second.run, LP_RUN_NOT_RUN);
-	ask({ 1, 51, 0, 1 }, false, 9 * S); /* too long ago to tell */
+	query({ 1, 51, 0, 1 }, false, 9 * S); /* older than the age limit */
 	EXPECT_EQ(states.back(), WORKER_LOST);
 }
 
-TEST_F(WorkerTest, WithdrawsWhatWaitsAndEndsWhatRuns)
+TEST_F(WorkerTest, WithdrawalDequeuesOrCancels)
 {
-	lp_call_id running = offer();
-	offer();
-	lp_call_id waiting = offer();
+	lp_call_id running = submit_call();
+	submit_call();
+	lp_call_id waiting = submit_call();
 
 	EXPECT_EQ(started.size(), 2u);
-	ask(waiting, true);
+	query(waiting, true);
 	EXPECT_EQ(states.back(), WORKER_FENCED);
-	ask(running, true);
+	query(running, true);
 	EXPECT_EQ(states.back(), WORKER_CANCELLED);
 	EXPECT_EQ(cancelled, 1);
 }
 
-TEST_F(WorkerTest, LeavingGivesBackWhatWaitsAndEndsWhatRuns)
+TEST_F(WorkerTest, DrainRefusesQueuedCallsAndFinishesRunningOnes)
 {
-	offer();
-	offer();
-	offer();
+	submit_call();
+	submit_call();
+	submit_call();
 	worker_drain(work);
 	EXPECT_EQ(replies.back().second.error, LP_ERROR_LEAVING);
 	EXPECT_EQ(replies.back().second.run, LP_RUN_NOT_RUN);
-	offer();
+	submit_call();
 	EXPECT_EQ(replies.back().second.error, LP_ERROR_LEAVING);
 	EXPECT_FALSE(worker_is_idle(work));
 	finish(0);
@@ -940,28 +950,28 @@
 	EXPECT_TRUE(worker_is_idle(work));
 }
 
-TEST_F(WorkerTest, RefusesWhatCannotBeInTime)
+TEST_F(WorkerTest, RefusesCallsThatCannotMeetTheirDeadline)
 {
 	for (int i = 0; i < 40; i++) {
-		offer();
+		submit_call();
 		clock.now_us += 100 * MS;
 		finish((size_t)i);
 	}
-	offer(50 * MS);
+	submit_call(50 * MS);
 	EXPECT_EQ(replies.back().second.error, LP_ERROR_DEADLINE_UNREACHABLE);
-	offer(5 * S);
-	offer(5 * S);
+	submit_call(5 * S);
+	submit_call(5 * S);
 	size_t before = started.size();
-	offer(200 * MS); /* waits, then is too late to start */
+	submit_call(200 * MS); /* queued, then too late to start */
 	clock.now_us += 190 * MS;
 	finish(before - 1);
 	EXPECT_EQ(replies.back().second.error, LP_ERROR_DEADLINE_UNREACHABLE);
 	EXPECT_EQ(started.size(), before);
 }
 
-TEST_F(WorkerTest, ForgetsAfterItsTimeAndEndsOverdueRuns)
+TEST_F(WorkerTest, DropsExpiredCallsAndCancelsOverdueRuns)
 {
-	lp_call_id id = offer(S);
+	lp_call_id id = submit_call(S);
 
 	clock.now_us += 2 * S;
 	worker_tick(work);
@@ -971,15 +981,15 @@
 	clock.now_us += 20 * S;
 	worker_tick(work);
 	EXPECT_EQ(worker_call_count(work), 0u);
-	ask(id, false, 22 * S);
+	query(id, false, 22 * S);
 	EXPECT_EQ(states.back(), WORKER_LOST);
 }
 
-TEST(Trace, TellsInSentencesAndKeepsTheLast)
+TEST(Trace, FormatsSentencesAndKeepsTheLatestEvents)
 {
 	trace *ring = trace_create(4);
 	lp_call_id id = { 1, 2, 0, 0 };
-	std::vector<std::string> told;
+	std::vector<std::string> sentences;
 
 	for (int i = 0; i < 6; i++)
 		trace_add(ring, &id, TRACE_STARTED, nullptr, 0, i * 1000, 3);
@@ -992,10 +1002,10 @@
 				text);
 			g_free(text);
 		},
-		&told);
-	ASSERT_EQ(told.size(), 4u);
-	EXPECT_EQ(told[0], "draft: started after 2.0 ms in the queue, "
-			   "3 running");
+		&sentences);
+	ASSERT_EQ(sentences.size(), 4u);
+	EXPECT_EQ(sentences[0], "draft: started after 2.0 ms in the queue, "
+				"3 running");
 	trace_destroy(ring);
 }
 
@@ -1011,7 +1021,7 @@
 		std::string resume;
 	};
 	std::vector<Sent> sent;
-	std::vector<std::pair<lp_call_id, bool>> asked;
+	std::vector<std::pair<lp_call_id, bool>> queries;
 	std::vector<flow_outcome> finished;
 	std::string streamed;
 	int64_t agent_time = 0;
@@ -1043,10 +1053,10 @@
 			  send->attempt->incarnation, send->resume });
 		return LP_OK;
 	}
-	static void on_ask(void *userdata, const flow_attempt *attempt,
-			   bool withdraw)
+	static void on_query(void *userdata, const flow_attempt *attempt,
+			     bool withdraw)
 	{
-		of(userdata)->asked.push_back({ attempt->id, withdraw });
+		of(userdata)->queries.push_back({ attempt->id, withdraw });
 	}
 	static void on_chunk(void *userdata, flow_request *, const char *text,
 			     uint32_t)
@@ -1064,23 +1074,25 @@
 	}
 	static const flow_ops ops;
 
-	flow_report word(const char *agent, uint64_t incarnation,
-			 bool leaving = false)
+	flow_report make_report(const char *agent, uint64_t incarnation,
+				bool draining = false)
 	{
-		flow_report told = { "s", agent, "near", {} };
+		flow_report load_report = { "s", agent, "near", {} };
 
-		told.load.incarnation = incarnation;
-		told.load.agent_time_us = ++agent_time;
-		told.load.limit = 8;
-		told.load.run_us = 5 * MS;
-		told.load.draining = leaving;
-		return told;
+		load_report.load.incarnation = incarnation;
+		load_report.load.agent_time_us = ++agent_time;
+		load_report.load.limit = 8;
+		load_report.load.run_us = 5 * MS;
+		load_report.load.draining = draining;
+		return load_report;
 	}
-	void hear(const char *agent, uint64_t incarnation, bool leaving = false)
+	void report(const char *agent, uint64_t incarnation,
+		    bool draining = false)
 	{
-		flow_report told = word(agent, incarnation, leaving);
+		flow_report load_report =
+			make_report(agent, incarnation, draining);
 
-		flow_handle_report(fl, &told);
+		flow_handle_report(fl, &load_report);
 	}
 	int submit(const flow_stage *stage, int64_t left = 5 * S)
 	{
@@ -1095,7 +1107,8 @@
 		return flow_submit(fl, &submit, &id, &outcome);
 	}
 	void answer(const Sent &to, int error, lp_run run,
-		    const flow_report *told = nullptr, uint32_t chunks = 0)
+		    const flow_report *load_report = nullptr,
+		    uint32_t chunks = 0)
 	{
 		struct flow_result result = {};
 
@@ -1104,9 +1117,9 @@
 		result.run = run;
 		result.chunks = chunks;
 		result.body = "{}";
-		flow_handle_result(fl, &result, told);
+		flow_handle_result(fl, &result, load_report);
 	}
-	void pass(int64_t time)
+	void advance(int64_t time)
 	{
 		for (int64_t end = clock.now_us + time; clock.now_us < end;
 		     clock.now_us += 10 * MS)
@@ -1114,28 +1127,31 @@
 	}
 };
 
-const flow_ops FlowTest::ops = { on_send, on_ask, on_chunk, on_stage,
+const flow_ops FlowTest::ops = { on_send, on_query, on_chunk, on_stage,
 				 on_finish };
-static const flow_stage plain = { "p", "s", true, false, false };
-static const flow_stage once = { "o", "s", false, false, false };
+static const flow_stage repeatable = { "p", "s", true, false, false };
+static const flow_stage non_repeatable = { "o", "s", false, false, false };
 static const flow_stage stream = { "g", "s", true, true, false };
 
-TEST_F(FlowTest, NoUpstreamIsRefusedAtTheDoor)
+TEST_F(FlowTest, AdmissionRefusesWithoutUpstreamOrTime)
 {
-	EXPECT_EQ(submit(&plain), LP_ERROR_NO_UPSTREAM);
-	hear("a", 1);
-	EXPECT_EQ(submit(&plain, MS), LP_ERROR_DEADLINE_UNREACHABLE);
+	EXPECT_EQ(submit(&repeatable), LP_ERROR_NO_UPSTREAM);
+	report("a", 1);
+	EXPECT_EQ(submit(&repeatable, MS), LP_ERROR_DEADLINE_UNREACHABLE);
 	EXPECT_TRUE(sent.empty());
 }
 
-/* Found by the scenario kv-down: the refusal came with the new incarnation
- * and was taken for the old one's silence. */
-TEST_F(FlowTest, ARefusalByANewIncarnationDidNotRun)
+/*
+ * A refusal by a new incarnation was handled as the loss of the call at the old
+ * one, so the call was not sent again (found by the scenario kv-down).
+ */
+TEST_F(FlowTest, RefusalByANewIncarnationIsSentAgain)
 {
-	hear("a", 1);
-	ASSERT_EQ(submit(&once), LP_OK);
-	flow_report told = word("a", 2);
-	answer(sent[0], LP_ERROR_WRONG_INCARNATION, LP_RUN_NOT_RUN, &told);
+	report("a", 1);
+	ASSERT_EQ(submit(&non_repeatable), LP_OK);
+	flow_report load_report = make_report("a", 2);
+	answer(sent[0], LP_ERROR_WRONG_INCARNATION, LP_RUN_NOT_RUN,
+	       &load_report);
 	ASSERT_EQ(sent.size(), 2u);
 	EXPECT_EQ(sent[1].incarnation, 2u);
 	EXPECT_TRUE(finished.empty());
@@ -1143,24 +1159,24 @@
 	EXPECT_EQ(finished[0].error, LP_OK);
 }
 
-TEST_F(FlowTest, WhatMayNotBeRepeatedIsNotSentAgainWhenItsAgentIsGone)
+TEST_F(FlowTest, NonRepeatableCallIsNotResentAfterAnAgentRestart)
 {
-	hear("a", 1);
-	hear("b", 1);
-	ASSERT_EQ(submit(&once), LP_OK);
-	hear(sent[0].agent.c_str(), 2);
+	report("a", 1);
+	report("b", 1);
+	ASSERT_EQ(submit(&non_repeatable), LP_OK);
+	report(sent[0].agent.c_str(), 2);
 	ASSERT_EQ(finished.size(), 1u);
 	EXPECT_EQ(finished[0].error, LP_ERROR_UPSTREAM_GONE);
 	EXPECT_EQ(finished[0].run, LP_RUN_MAY_HAVE_RUN);
 	EXPECT_EQ(sent.size(), 1u);
 }
 
-TEST_F(FlowTest, ARepeatableCallMovesFromASilentAgentWithinABudget)
+TEST_F(FlowTest, RepeatableCallFailsOverFromASilentAgent)
 {
-	hear("a", 1);
-	hear("b", 1);
-	ASSERT_EQ(submit(&plain), LP_OK);
-	pass(S);
+	report("a", 1);
+	report("b", 1);
+	ASSERT_EQ(submit(&repeatable), LP_OK);
+	advance(S);
 	ASSERT_EQ(sent.size(), 2u);
 	EXPECT_NE(sent[0].agent, sent[1].agent);
 	EXPECT_EQ(flow_stats(fl)->lost, 1u);
@@ -1171,17 +1187,17 @@
 	EXPECT_EQ(finished.size(), 1u);
 }
 
-TEST_F(FlowTest, RetriesDoNotStorm)
+TEST_F(FlowTest, RetryBudgetBoundsRetries)
 {
-	hear("a", 1);
-	hear("b", 1);
+	report("a", 1);
+	report("b", 1);
 	for (int i = 0; i < 1000; i++) {
 		size_t before = sent.size();
 
 		clock.now_us += 20 * MS;
-		hear("a", 1);
-		hear("b", 1);
-		if (submit(&plain))
+		report("a", 1);
+		report("b", 1);
+		if (submit(&repeatable))
 			continue;
 		for (size_t at = before; at < sent.size(); at++) {
 			Sent to = sent[at];
@@ -1194,10 +1210,10 @@
 	EXPECT_GT(flow_stats(fl)->no_budget, 500u);
 }
 
-TEST_F(FlowTest, ABrokenStreamResumesFromWhatItHad)
+TEST_F(FlowTest, BrokenStreamResumesAfterReceivedText)
 {
-	hear("a", 1);
-	hear("b", 1);
+	report("a", 1);
+	report("b", 1);
 	ASSERT_EQ(submit(&stream), LP_OK);
 	flow_handle_chunk(fl, &sent[0].id, 0, "one ", 1);
 	flow_handle_chunk(fl, &sent[0].id, 2, "three ", 1); /* a gap */
@@ -1210,28 +1226,30 @@
 	EXPECT_EQ(finished[0].error, LP_OK);
 }
 
-/* Found by the scenario bad-upstreams: an engine that hung held its streams
- * to the deadline, since its agent truly said "running". */
-TEST_F(FlowTest, AStreamOfAHungEngineMovesOn)
+/*
+ * Streams of a hung engine lasted until the deadline, as its agent reported
+ * them correctly as running (found by the scenario bad-upstreams).
+ */
+TEST_F(FlowTest, StreamOfAHungEngineFailsOver)
 {
-	hear("a", 1);
-	hear("b", 1);
+	report("a", 1);
+	report("b", 1);
 	ASSERT_EQ(submit(&stream), LP_OK);
-	pass(300 * MS);
-	ASSERT_FALSE(asked.empty());
+	advance(300 * MS);
+	ASSERT_FALSE(queries.empty());
 	flow_handle_state(fl, &sent[0].id, FLOW_STATE_RUNNING);
 	ASSERT_EQ(sent.size(), 2u);
-	EXPECT_TRUE(asked.back().second);
+	EXPECT_TRUE(queries.back().second);
 	EXPECT_NE(sent[0].agent, sent[1].agent);
 }
 
-TEST_F(FlowTest, WithdrawsBeforeTheDeadlineAndTellsTheTruth)
+TEST_F(FlowTest, WithdrawsBeforeTheDeadlineAndReportsNotRun)
 {
-	hear("a", 1);
-	ASSERT_EQ(submit(&once, S), LP_OK);
-	pass(980 * MS);
-	ASSERT_FALSE(asked.empty());
-	EXPECT_TRUE(asked.back().second);
+	report("a", 1);
+	ASSERT_EQ(submit(&non_repeatable, S), LP_OK);
+	advance(980 * MS);
+	ASSERT_FALSE(queries.empty());
+	EXPECT_TRUE(queries.back().second);
 	EXPECT_TRUE(finished.empty());
 	flow_handle_state(fl, &sent[0].id, FLOW_STATE_NOT_RUN);
 	ASSERT_EQ(finished.size(), 1u);
@@ -1239,30 +1257,30 @@
 	EXPECT_EQ(finished[0].run, LP_RUN_NOT_RUN);
 }
 
-/* An entry that ends cut what was still under way, without a word. */
-TEST_F(FlowTest, EndsEveryRequestByTheTimeOfItsOwnEnd)
+/* An entry that shut down dropped requests in flight without an answer. */
+TEST_F(FlowTest, DeadlineCapEndsEveryRequest)
 {
-	hear("a", 1);
-	ASSERT_EQ(submit(&once, 60 * S), LP_OK);
+	report("a", 1);
+	ASSERT_EQ(submit(&non_repeatable, 60 * S), LP_OK);
 	flow_cap_deadlines(fl, clock.now_us + 2 * S);
-	ASSERT_EQ(submit(&plain, 60 * S), LP_OK);
-	pass(S);
+	ASSERT_EQ(submit(&repeatable, 60 * S), LP_OK);
+	advance(S);
 	EXPECT_TRUE(finished.empty());
-	pass(S + 10 * MS);
+	advance(S + 10 * MS);
 	ASSERT_EQ(finished.size(), 2u);
 	EXPECT_EQ(finished[0].error, LP_ERROR_DEADLINE_PASSED);
 	EXPECT_EQ(finished[1].error, LP_ERROR_DEADLINE_PASSED);
 	EXPECT_EQ(finished[0].run, LP_RUN_MAY_HAVE_RUN);
-	EXPECT_EQ(submit(&plain, 60 * S), LP_ERROR_DEADLINE_PASSED);
+	EXPECT_EQ(submit(&repeatable, 60 * S), LP_ERROR_DEADLINE_PASSED);
 }
 
-TEST_F(FlowTest, ALeavingAgentGetsNothingNew)
+TEST_F(FlowTest, DrainingAgentGetsNoNewCalls)
 {
-	hear("a", 1);
-	hear("b", 1);
-	hear("a", 1, true);
+	report("a", 1);
+	report("b", 1);
+	report("a", 1, true);
 	for (int i = 0; i < 20; i++)
-		ASSERT_EQ(submit(&plain), LP_OK);
+		ASSERT_EQ(submit(&repeatable), LP_OK);
 	for (const Sent &to : sent)
 		EXPECT_EQ(to.agent, "b");
 }
@@ -1271,8 +1289,8 @@
 
 struct OrderTest : testing::Test {
 	TestClock clock;
-	order *table = nullptr;
-	int fences = 0;
+	order *orders = nullptr;
+	int fences_taken = 0;
 	int checks = 0;
 	std::vector<std::pair<int64_t, std::string>> sent;
 
@@ -1280,15 +1298,15 @@
 	{
 		order_options options = { &clock.clock, &ops, this };
 
-		table = order_create(&options);
+		orders = order_create(&options);
 	}
 	void TearDown() override
 	{
-		order_destroy(table);
+		order_destroy(orders);
 	}
 	static void on_take(void *userdata)
 	{
-		static_cast<OrderTest *>(userdata)->fences++;
+		static_cast<OrderTest *>(userdata)->fences_taken++;
 	}
 	static void on_check(void *userdata)
 	{
@@ -1304,80 +1322,80 @@
 
 const order_ops OrderTest::ops = { on_take, on_check, on_send };
 
-TEST_F(OrderTest, NothingWantedNothingOrdered)
+TEST_F(OrderTest, SendsNothingWithoutATarget)
 {
-	order_tick(table);
-	EXPECT_EQ(fences, 0);
+	order_tick(orders);
+	EXPECT_EQ(fences_taken, 0);
 }
 
-TEST_F(OrderTest, ACheckingUpstreamGetsTheNumberAtOnce)
+TEST_F(OrderTest, FenceCheckingUpstreamGetsOrdersAtOnce)
 {
-	order_set_target(table, "m@1", true, 10 * S);
-	order_tick(table);
-	EXPECT_EQ(fences, 1);
-	order_fence_taken(table, 0); /* the KV is down */
-	order_tick(table);
-	EXPECT_EQ(fences, 1);
+	order_set_target(orders, "m@1", true, 10 * S);
+	order_tick(orders);
+	EXPECT_EQ(fences_taken, 1);
+	order_fence_taken(orders, 0); /* the KV is down */
+	order_tick(orders);
+	EXPECT_EQ(fences_taken, 1);
 	clock.now_us += 2 * S;
-	order_tick(table);
-	order_fence_taken(table, 7);
-	order_tick(table);
+	order_tick(orders);
+	order_fence_taken(orders, 7);
+	order_tick(orders);
 	ASSERT_EQ(sent.size(), 1u);
 	EXPECT_EQ(sent[0].first, 7);
-	order_finished(table, ORDER_FAILED);
+	order_finished(orders, ORDER_FAILED);
 	clock.now_us += 2 * S;
-	order_tick(table);
-	order_finished(table, ORDER_ACCEPTED);
-	EXPECT_STREQ(order_active_model(table), "m@1");
-	order_tick(table);
+	order_tick(orders);
+	order_finished(orders, ORDER_ACCEPTED);
+	EXPECT_STREQ(order_active_model(orders), "m@1");
+	order_tick(orders);
 	EXPECT_EQ(sent.size(), 2u);
-	order_set_target(table, "m@2", true, 10 * S);
-	order_tick(table);
-	order_finished(table, ORDER_REFUSED_FENCE);
-	EXPECT_TRUE(order_superseded(table));
-	order_tick(table);
+	order_set_target(orders, "m@2", true, 10 * S);
+	order_tick(orders);
+	order_finished(orders, ORDER_REFUSED_FENCE);
+	EXPECT_TRUE(order_superseded(orders));
+	order_tick(orders);
 	EXPECT_EQ(sent.size(), 3u);
 }
 
-TEST_F(OrderTest, AnIgnoringUpstreamIsWaitedForAndAskedAbout)
+TEST_F(OrderTest, FenceIgnoringUpstreamNeedsAWaitAndAFreshCheck)
 {
-	order_set_target(table, "m@1", false, 10 * S);
-	order_tick(table);
-	order_fence_taken(table, 7);
+	order_set_target(orders, "m@1", false, 10 * S);
+	order_tick(orders);
+	order_fence_taken(orders, 7);
 	clock.now_us += 9 * S;
-	order_tick(table);
-	EXPECT_EQ(checks, 0); /* the predecessor may still act */
+	order_tick(orders);
+	EXPECT_EQ(checks, 0); /* the predecessor's orders may still act */
 	clock.now_us += 2 * S;
-	order_tick(table);
+	order_tick(orders);
 	EXPECT_EQ(checks, 1);
 	EXPECT_TRUE(sent.empty());
-	order_fence_checked(table, true, true);
-	order_tick(table);
+	order_fence_checked(orders, true, true);
+	order_tick(orders);
 	ASSERT_EQ(sent.size(), 1u);
-	order_finished(table, ORDER_ACCEPTED);
-	/* It stands still, wakes, and must ask again before it orders. */
+	order_finished(orders, ORDER_ACCEPTED);
+	/* After a suspension the agent must check its fence before ordering. */
 	clock.now_us += 60 * S;
-	order_set_target(table, "m@2", false, 10 * S);
-	order_tick(table);
+	order_set_target(orders, "m@2", false, 10 * S);
+	order_tick(orders);
 	EXPECT_EQ(sent.size(), 1u);
 	EXPECT_EQ(checks, 2);
-	order_fence_checked(table, true, false);
-	order_tick(table);
+	order_fence_checked(orders, true, false);
+	order_tick(orders);
 	EXPECT_EQ(sent.size(), 1u);
-	EXPECT_TRUE(order_superseded(table));
+	EXPECT_TRUE(order_superseded(orders));
 }
 
-/* A confirmation that was long under way says what stood then, not now. */
-TEST_F(OrderTest, AnOldConfirmationIsWorthNothing)
+/* A fence check that was long in flight doesn't show the current fence. */
+TEST_F(OrderTest, StaleFenceCheckIsRepeated)
 {
-	order_set_target(table, "m@1", false, 3 * S);
-	order_tick(table);
-	order_fence_taken(table, 7);
+	order_set_target(orders, "m@1", false, 3 * S);
+	order_tick(orders);
+	order_fence_taken(orders, 7);
 	clock.now_us += 4 * S;
-	order_tick(table);
-	clock.now_us += 60 * S; /* paused with the answer in the socket */
-	order_fence_checked(table, true, true);
-	order_tick(table);
+	order_tick(orders);
+	clock.now_us += 60 * S; /* suspended with the answer in the socket */
+	order_fence_checked(orders, true, true);
+	order_tick(orders);
 	EXPECT_TRUE(sent.empty());
 	EXPECT_EQ(checks, 2);
 }
--- a/tests/sim_test.cc
+++ b/tests/sim_test.cc
@@ -1,8 +1,12 @@
 /*
- * Flow and workers together on a virtual clock, over a network that delays,
- * reorders, repeats and loses, with agents killed and frozen. Thousands of
- * seeded schedules of faults; the promises are checked as invariants. A
- * failing schedule is shrunk to the faults that it needs.
+ * Simulation of one flow and its workers on a virtual clock.
+ *
+ * The network delays, reorders, duplicates and loses messages, and agents are
+ * killed, paused and slowed. Thousands of seeded fault schedules are run, and
+ * the guarantees are checked as invariants: each request is answered once, no
+ * call that is not repeatable runs twice, streams have no gap or repeat, and
+ * outcomes say truly what ran. A failing schedule is reduced to the faults that
+ * it needs.
  */
 #include "cwrap.h"
 
@@ -20,7 +24,7 @@
 
 constexpr int64_t MS = 1000;
 constexpr int64_t S = 1000000;
-constexpr int AGENTS = 4; /* of each of two services */
+constexpr int AGENTS = 4; /* per service; there are two services */
 constexpr int REQUESTS = 30;
 constexpr int TOKENS = 5;
 constexpr int64_t DEADLINE = 4 * S;
@@ -72,7 +76,7 @@
 	lp_clock entry_clock{};
 	int64_t entry_paused_until = 0;
 	std::vector<std::unique_ptr<Request>> requests;
-	std::map<std::string, int> executions; /* by request/stage */
+	std::map<std::string, int> executions; /* by "request/stage" */
 	std::set<std::string> failures;
 	int64_t last_tick = 0;
 
@@ -80,13 +84,13 @@
 	{
 		failures.insert(what);
 	}
-	int64_t pick(int64_t low, int64_t high)
+	int64_t random_between(int64_t low, int64_t high)
 	{
 		return low + (int64_t)(random() % (uint64_t)(high - low + 1));
 	}
 	bool chance(int percent)
 	{
-		return pick(0, 99) < percent;
+		return random_between(0, 99) < percent;
 	}
 	void at(int64_t when, std::function<void()> what)
 	{
@@ -110,130 +114,135 @@
 	return "answer " + exec_key(id);
 }
 
-/* ---- the network: a message is an event at the other side ---- */
+/* ---- network: each message is an event at its receiver ---- */
 
-/* Deliver to an agent's present incarnation, when it is not frozen. */
-void to_agent(World &world, Agent &agent, std::function<void(Agent &)> what,
-	      bool repeat_allowed = true)
+/* Delivers to the agent as it is on arrival, or when its pause ends. */
+void send_to_agent(World &world, Agent &agent,
+		   std::function<void(Agent &)> message,
+		   bool may_duplicate = true)
 {
-	int64_t delay = world.pick(100, 900);
+	int64_t delay = world.random_between(100, 900);
 
 	if (world.now < agent.lossy_until && world.chance(60))
 		return;
 	if (world.now < agent.delayed_until)
-		delay += world.pick(0, world.chance(30) ? 6 * S : S);
-	auto deliver = [&world, &agent, what]() {
+		delay += world.random_between(0, world.chance(30) ? 6 * S : S);
+	auto deliver = [&world, &agent, message]() {
 		if (world.now < agent.paused_until) {
 			world.at(agent.paused_until + 1,
-				 [&agent, what]() { what(agent); });
+				 [&agent, message]() { message(agent); });
 			return;
 		}
-		what(agent);
+		message(agent);
 	};
 	world.at(world.now + delay, deliver);
-	if (repeat_allowed && world.now < agent.delayed_until &&
+	if (may_duplicate && world.now < agent.delayed_until &&
 	    world.chance(20))
-		world.at(world.now + delay + world.pick(0, 500 * MS), deliver);
+		world.at(world.now + delay + world.random_between(0, 500 * MS),
+			 deliver);
 }
 
-void to_entry(World &world, Agent &agent, std::function<void()> what)
+void send_to_entry(World &world, Agent &agent, std::function<void()> message)
 {
-	int64_t delay = world.pick(100, 900);
+	int64_t delay = world.random_between(100, 900);
 
 	if (world.now < agent.lossy_until && world.chance(60))
 		return;
 	if (world.now < agent.delayed_until)
-		delay += world.pick(0, world.chance(30) ? 6 * S : S);
-	auto deliver = [&world, what]() {
+		delay += world.random_between(0, world.chance(30) ? 6 * S : S);
+	auto deliver = [&world, message]() {
 		if (world.now < world.entry_paused_until)
-			world.at(world.entry_paused_until + 1, what);
+			world.at(world.entry_paused_until + 1, message);
 		else
-			what();
+			message();
 	};
 	world.at(world.now + delay, deliver);
 	if (world.now < agent.delayed_until && world.chance(20))
-		world.at(world.now + delay + world.pick(0, 900 * MS), deliver);
+		world.at(world.now + delay + world.random_between(0, 900 * MS),
+			 deliver);
 }
 
-route_report word_of(const Agent &agent)
+route_report make_load(const Agent &agent)
 {
 	worker_load load;
-	route_report word{};
+	route_report load_report{};
 
 	worker_get_load(agent.work, &load);
-	word.incarnation = agent.incarnation;
-	word.agent_time_us = lp_now_us(&agent.clock);
-	word.queued = load.queued;
-	word.running = load.running;
-	word.limit = load.limit;
-	word.wait_us = load.wait_us;
-	word.run_us = load.run_us;
-	word.draining = load.draining;
-	return word;
+	load_report.incarnation = agent.incarnation;
+	load_report.agent_time_us = lp_now_us(&agent.clock);
+	load_report.queued = load.queued;
+	load_report.running = load.running;
+	load_report.limit = load.limit;
+	load_report.wait_us = load.wait_us;
+	load_report.run_us = load.run_us;
+	load_report.draining = load.draining;
+	return load_report;
 }
 
-flow_report told_by(const Agent &agent, const route_report &word)
+flow_report make_report(const Agent &agent, const route_report &load_report)
 {
 	return { agent.service.c_str(), agent.name.c_str(),
-		 agent.index % 2 ? "east" : "west", word };
+		 agent.index % 2 ? "east" : "west", load_report };
 }
 
-void beat(World &world, Agent &agent)
+void send_report(World &world, Agent &agent)
 {
-	route_report word = word_of(agent);
+	route_report load_report = make_load(agent);
 
-	to_entry(world, agent, [&world, &agent, word]() {
-		flow_report told = told_by(agent, word);
+	send_to_entry(world, agent, [&world, &agent, load_report]() {
+		flow_report report = make_report(agent, load_report);
 
-		flow_handle_report(world.fl, &told);
+		flow_handle_report(world.fl, &report);
 	});
 }
 
-/* ---- an agent's actions ---- */
+/* ---- agents ---- */
 
 struct Payload {
 	lp_call_id id;
-	uint32_t tokens_had;
+	uint32_t resume_tokens;
 	bool stream;
 };
 
 void send_result(World &world, Agent &agent, const lp_call_id &id,
 		 const worker_result &result)
 {
-	route_report word = word_of(agent);
+	route_report load_report = make_load(agent);
 	std::string body = result.body ? result.body : "";
 	worker_result copy = result;
 
-	to_entry(world, agent, [&world, &agent, word, body, copy, id]() {
-		struct flow_result out {
-		};
+	send_to_entry(
+		world, agent, [&world, &agent, load_report, body, copy, id]() {
+			struct flow_result out {
+			};
 
-		out.id = id;
-		out.error = copy.error;
-		out.run = copy.run;
-		out.chunks = copy.chunks;
-		out.body = body.c_str();
-		flow_report told = told_by(agent, word);
+			out.id = id;
+			out.error = copy.error;
+			out.run = copy.run;
+			out.chunks = copy.chunks;
+			out.body = body.c_str();
+			flow_report report = make_report(agent, load_report);
 
-		flow_handle_result(world.fl, &out, &told);
-	});
+			flow_handle_result(world.fl, &out, &report);
+		});
 }
 
-void end_run(World &world, Agent &agent, uint64_t incarnation,
-	     const lp_call_id &id, worker_call *call, bool good)
+void finish_run(World &world, Agent &agent, uint64_t incarnation,
+		const lp_call_id &id, worker_call *call, bool succeeds)
 {
 	worker_result result{};
 
 	if (agent.incarnation != incarnation)
-		return; /* killed meanwhile */
+		return; /* the agent was killed after the start */
 	if (world.now < agent.paused_until) {
 		world.at(agent.paused_until + 1, [=, &world, &agent]() {
-			end_run(world, agent, incarnation, id, call, good);
+			finish_run(world, agent, incarnation, id, call,
+				   succeeds);
 		});
 		return;
 	}
-	result.error = good ? LP_OK : LP_ERROR_UPSTREAM_FAILED;
-	result.run = good ? LP_RUN_RAN : LP_RUN_MAY_HAVE_RUN;
+	result.error = succeeds ? LP_OK : LP_ERROR_UPSTREAM_FAILED;
+	result.run = succeeds ? LP_RUN_RAN : LP_RUN_MAY_HAVE_RUN;
 	result.body = g_strdup(answer_of(id).c_str());
 	worker_finished(agent.work, call, &result);
 }
@@ -251,7 +260,7 @@
 		return;
 	}
 	if (call->state != WORKER_RUNNING) {
-		end_run(world, agent, incarnation, call->id, call, false);
+		finish_run(world, agent, incarnation, call->id, call, false);
 		return;
 	}
 	lp_call_id id = call->id;
@@ -259,7 +268,7 @@
 	std::string text =
 		std::to_string(id.serial) + "." + std::to_string(token) + " ";
 
-	to_entry(world, agent, [&world, id, seq, text]() {
+	send_to_entry(world, agent, [&world, id, seq, text]() {
 		flow_handle_chunk(world.fl, &id, seq, text.c_str(), 1);
 	});
 	if (token + 1 < last)
@@ -269,7 +278,7 @@
 		});
 	else
 		world.at(world.now + MS, [=, &world, &agent]() {
-			end_run(world, agent, incarnation, id, call, true);
+			finish_run(world, agent, incarnation, id, call, true);
 		});
 }
 
@@ -280,22 +289,23 @@
 	auto *payload = static_cast<Payload *>(call->payload);
 	uint64_t incarnation = agent.incarnation;
 	lp_call_id id = call->id;
-	int64_t run = world.pick(3 * MS, 30 * MS);
-	bool good = !(world.now < agent.failing_until && world.chance(70));
+	int64_t run = world.random_between(3 * MS, 30 * MS);
+	bool succeeds = !(world.now < agent.failing_until && world.chance(70));
 
 	if (world.now < agent.slow_until)
 		run *= 40;
 	world.executions[exec_key(id)] += 1;
-	if (!payload->stream || !good) {
+	if (!payload->stream || !succeeds) {
 		world.at(world.now + run, [=, &world, &agent]() {
-			end_run(world, agent, incarnation, id, call, good);
+			finish_run(world, agent, incarnation, id, call,
+				   succeeds);
 		});
 		return;
 	}
-	uint32_t first = payload->tokens_had;
+	uint32_t first = payload->resume_tokens;
 	if (first >= TOKENS) {
 		world.at(world.now + MS, [=, &world, &agent]() {
-			end_run(world, agent, incarnation, id, call, true);
+			finish_run(world, agent, incarnation, id, call, true);
 		});
 		return;
 	}
@@ -306,7 +316,7 @@
 
 void op_cancel(void *, worker_call *)
 {
-	/* The run sees its state; a plain one goes on to its end. */
+	/* send_token() checks the call's state; other runs end normally. */
 }
 
 void op_reply(void *userdata, const worker_call *call)
@@ -335,7 +345,7 @@
 	World &world = *agent.world;
 	lp_call_id copy = *id;
 
-	to_entry(world, agent, [&world, copy, state]() {
+	send_to_entry(world, agent, [&world, copy, state]() {
 		flow_handle_state(world.fl, &copy, states[state]);
 	});
 }
@@ -355,13 +365,13 @@
 	return agent.world->now + agent.clock_offset;
 }
 
-void boot(World &world, Agent &agent)
+void start_agent(World &world, Agent &agent)
 {
 	worker_options options{};
 
 	worker_destroy(agent.work);
 	agent.incarnation = world.random() | 1;
-	agent.clock_offset = world.pick(-1000 * S, 1000 * S);
+	agent.clock_offset = world.random_between(-1000 * S, 1000 * S);
 	agent.clock = { read_agent_clock, &agent };
 	options.clock = &agent.clock;
 	options.ops = &agent_ops;
@@ -371,10 +381,10 @@
 	options.age_limit_us = AGE_LIMIT;
 	options.result_ttl_us = 2 * S;
 	agent.work = worker_create(&options);
-	beat(world, agent);
+	send_report(world, agent);
 }
 
-/* ---- the entry's actions ---- */
+/* ---- the entry ---- */
 
 Agent *find_agent(World &world, const char *name)
 {
@@ -389,42 +399,44 @@
 	World &world = *static_cast<World *>(userdata);
 	Agent &agent = *find_agent(world, send->attempt->agent);
 	const flow_stage &stage = stages[request->stage];
-	struct worker_submit offer {
+	struct worker_submit submit {
 	};
-	uint32_t had = send->resume_tokens;
+	uint32_t resume_tokens = send->resume_tokens;
 	bool stream = stage.stream;
 
-	offer.id = send->attempt->id;
-	offer.incarnation = send->attempt->incarnation;
-	offer.echo_us = send->echo_us;
-	offer.held_us = send->held_us;
-	offer.left_us = send->left_us;
-	offer.repeatable = stage.repeatable;
-	to_agent(world, agent, [offer, had, stream](Agent &there) {
-		struct worker_submit copy = offer;
-
-		copy.peer = "entry";
-		copy.organisation = "org";
-		copy.weight = 1;
-		copy.payload = new Payload{ offer.id, had, stream };
-		worker_submit(there.work, &copy);
-	});
+	submit.id = send->attempt->id;
+	submit.incarnation = send->attempt->incarnation;
+	submit.echo_us = send->echo_us;
+	submit.held_us = send->held_us;
+	submit.left_us = send->left_us;
+	submit.repeatable = stage.repeatable;
+	send_to_agent(
+		world, agent, [submit, resume_tokens, stream](Agent &receiver) {
+			struct worker_submit copy = submit;
+
+			copy.peer = "entry";
+			copy.organisation = "org";
+			copy.weight = 1;
+			copy.payload =
+				new Payload{ submit.id, resume_tokens, stream };
+			worker_submit(receiver.work, &copy);
+		});
 	return LP_OK;
 }
 
-void op_ask(void *userdata, const flow_attempt *attempt, bool withdraw)
+void op_query(void *userdata, const flow_attempt *attempt, bool withdraw)
 {
 	World &world = *static_cast<World *>(userdata);
 	Agent &agent = *find_agent(world, attempt->agent);
-	worker_state_query question{};
-
-	question.id = attempt->id;
-	question.peer = "entry";
-	question.incarnation = attempt->incarnation;
-	question.sent_us = attempt->agent_sent_us;
-	question.withdraw = withdraw;
-	to_agent(world, agent, [question](Agent &there) {
-		worker_query(there.work, &question);
+	worker_state_query query{};
+
+	query.id = attempt->id;
+	query.peer = "entry";
+	query.incarnation = attempt->incarnation;
+	query.sent_us = attempt->agent_sent_us;
+	query.withdraw = withdraw;
+	send_to_agent(world, agent, [query](Agent &receiver) {
+		worker_query(receiver.work, &query);
 	});
 }
 
@@ -442,7 +454,7 @@
 
 	id.stage = (uint16_t)stage;
 	if (answer_of(id) != body)
-		world.fail("an answer of another request");
+		world.fail("answer of another request");
 	own->results.push_back(body);
 	return LP_OK;
 }
@@ -455,7 +467,7 @@
 	own->outcome = *outcome;
 }
 
-const flow_ops entry_ops = { op_send, op_ask, op_chunk, op_stage_done,
+const flow_ops entry_ops = { op_send, op_query, op_chunk, op_stage_done,
 			     op_finish };
 
 int64_t read_entry_clock(void *userdata)
@@ -463,9 +475,9 @@
 	return static_cast<World *>(userdata)->now + 77 * S;
 }
 
-/* ---- a run ---- */
+/* ---- simulation ---- */
 
-void submit_one(World &world, int number)
+void submit_request(World &world, int number)
 {
 	auto own = std::make_unique<Request>();
 	struct flow_submit submit {
@@ -483,13 +495,13 @@
 	submit.deadline_us = lp_now_us(&world.entry_clock) + DEADLINE;
 	submit.owner = own.get();
 	world.requests.push_back(std::move(own));
-	Request &kept = *world.requests.back();
+	Request &request = *world.requests.back();
 	flow_outcome outcome{};
-	error = flow_submit(world.fl, &submit, &kept.id, &outcome);
-	kept.accepted = !error;
+	error = flow_submit(world.fl, &submit, &request.id, &outcome);
+	request.accepted = !error;
 	if (error) {
-		kept.finishes += 1;
-		kept.outcome = outcome;
+		request.finishes += 1;
+		request.outcome = outcome;
 	}
 }
 
@@ -501,7 +513,7 @@
 	switch (fault.kind) {
 	case Fault::KILL:
 		agent.paused_until = 0;
-		boot(world, agent);
+		start_agent(world, agent);
 		break;
 	case Fault::PAUSE:
 		agent.paused_until = until;
@@ -531,7 +543,7 @@
 			continue;
 		worker_tick(agent->work);
 		if (world.now / (500 * MS) != world.last_tick / (500 * MS))
-			beat(world, *agent);
+			send_report(world, *agent);
 	}
 	if (world.now >= world.entry_paused_until)
 		flow_tick(world.fl);
@@ -539,12 +551,12 @@
 	world.at(world.now + 10 * MS, [&world]() { tick(world); });
 }
 
-void check(World &world)
+void check_invariants(World &world)
 {
 	for (auto &request : world.requests) {
 		int runs = 0;
 		std::string order = std::to_string(request->id.serial) + "/2";
-		std::string whole;
+		std::string expected;
 
 		for (auto &entry : world.executions)
 			if (entry.first.rfind(
@@ -552,26 +564,27 @@
 				    0) == 0)
 				runs += entry.second;
 		if (world.executions[order] > 1)
-			world.fail("what may not be repeated ran twice");
+			world.fail("a non-repeatable stage ran twice");
 		if (request->finishes != 1)
 			world.fail(request->finishes ? "answered twice"
 						     : "never answered");
 		for (int i = 0; i < TOKENS; i++)
-			whole += std::to_string(request->id.serial) + "." +
-				 std::to_string(i) + " ";
-		if (whole.compare(0, request->streamed.size(),
-				  request->streamed) != 0)
-			world.fail("a stream with a gap or a repeat");
+			expected += std::to_string(request->id.serial) + "." +
+				    std::to_string(i) + " ";
+		if (expected.compare(0, request->streamed.size(),
+				     request->streamed) != 0)
+			world.fail("stream with a gap or a repeat");
 		if (!request->outcome.error && request->finishes) {
-			if (request->streamed != whole)
-				world.fail("a short answer called whole");
+			if (request->streamed != expected)
+				world.fail("incomplete stream reported as "
+					   "complete");
 			if (world.executions[order] != 1)
 				world.fail("answered without running");
 		} else if (request->outcome.run == LP_RUN_NOT_RUN && runs) {
-			world.fail("not_run, but it ran");
+			world.fail("reported not_run, but a stage ran");
 		} else if (request->outcome.run == LP_RUN_RAN &&
 			   world.executions[order] != 1) {
-			world.fail("ran, but it did not");
+			world.fail("reported ran, but the stage did not run");
 		}
 	}
 }
@@ -593,16 +606,16 @@
 	return faults;
 }
 
-struct Verdict {
+struct RunResult {
 	std::set<std::string> failures;
 	int answered = 0;
 };
 
-Verdict run(uint64_t seed, const std::vector<Fault> &faults)
+RunResult run(uint64_t seed, const std::vector<Fault> &faults)
 {
 	World world;
 	flow_options options{};
-	Verdict verdict;
+	RunResult result;
 
 	world.random.seed(seed);
 	world.entry_clock = { read_entry_clock, &world };
@@ -621,13 +634,13 @@
 		agent->service = i < AGENTS ? "a" : "b";
 		agent->name = agent->service + std::to_string(i);
 		world.agents.push_back(std::move(agent));
-		boot(world, *world.agents.back());
+		start_agent(world, *world.agents.back());
 	}
 	int64_t start = world.now + 100 * MS;
 	for (int i = 0; i < REQUESTS; i++)
 		world.at(start + i * 100 * MS, [&world, i]() {
 			if (world.now >= world.entry_paused_until)
-				submit_one(world, i);
+				submit_request(world, i);
 		});
 	for (const Fault &fault : faults)
 		world.at(start + fault.at,
@@ -642,19 +655,19 @@
 		world.events.erase(first);
 		what();
 	}
-	check(world);
-	verdict.failures = world.failures;
+	check_invariants(world);
+	result.failures = world.failures;
 	for (auto &request : world.requests)
-		verdict.answered += !request->outcome.error;
+		result.answered += !request->outcome.error;
 	world.events.clear();
 	flow_destroy(world.fl);
 	for (auto &agent : world.agents)
 		worker_destroy(agent->work);
-	return verdict;
+	return result;
 }
 
-std::string tell(uint64_t seed, const std::vector<Fault> &faults,
-		 const std::set<std::string> &failures)
+std::string describe(uint64_t seed, const std::vector<Fault> &faults,
+		     const std::set<std::string> &failures)
 {
 	static const char *const names[] = { "kill",	   "pause", "lose",
 					     "delay",	   "fail",  "slow",
@@ -671,7 +684,7 @@
 	return text;
 }
 
-/* Leave out faults one by one while the run still fails. */
+/* Removes faults one by one as long as the run still fails. */
 std::vector<Fault> shrink(uint64_t seed, std::vector<Fault> faults)
 {
 	for (size_t i = faults.size(); i > 0; i--) {
@@ -690,39 +703,40 @@
 
 	for (uint64_t seed = first; seed < first + count; seed++) {
 		std::vector<Fault> faults = make_faults(seed, faults_count);
-		Verdict verdict = run(seed, faults);
+		RunResult result = run(seed, faults);
 
-		answered += verdict.answered;
-		if (verdict.failures.empty())
+		answered += result.answered;
+		if (result.failures.empty())
 			continue;
 		faults = shrink(seed, faults);
-		FAIL() << tell(seed, faults, run(seed, faults).failures);
+		FAIL() << describe(seed, faults, run(seed, faults).failures);
 	}
-	/* A world in which nothing is answered would prove nothing. */
+	/* Without answered requests the invariants would hold trivially. */
 	EXPECT_GT(answered, (int)count * REQUESTS / 4);
 }
 
 } // namespace
 
-TEST(Sim, NoFaults)
+TEST(FlowSimulation, NoFaults)
 {
-	Verdict verdict = run(1, {});
+	RunResult result = run(1, {});
 
-	EXPECT_TRUE(verdict.failures.empty()) << tell(1, {}, verdict.failures);
-	EXPECT_EQ(verdict.answered, REQUESTS);
+	EXPECT_TRUE(result.failures.empty())
+		<< describe(1, {}, result.failures);
+	EXPECT_EQ(result.answered, REQUESTS);
 }
 
-TEST(Sim, OneFault)
+TEST(FlowSimulation, OneFault)
 {
 	run_seeds(1000, 400, 1);
 }
 
-TEST(Sim, TwoFaults)
+TEST(FlowSimulation, TwoFaults)
 {
 	run_seeds(2000, 800, 2);
 }
 
-TEST(Sim, ManyFaults)
+TEST(FlowSimulation, ManyFaults)
 {
 	run_seeds(3000, 800, 8);
 }
