--- a/policy/concurrency_limit.h
+++ b/policy/concurrency_limit.h
@@ -15,9 +15,10 @@
 struct concurrency_limit {
 	uint32_t value; /**< current limit */
 	uint32_t max;	/**< configured maximum */
+	/* The current window. */
 	uint32_t samples;
 	int64_t sum_us;
-	double best_mean_us;
+	double best_mean_us;	/**< of the windows; drifts upwards */
 	double smoothed_run_us; /**< moving average of run times */
 };
 
--- a/policy/quota.c
+++ b/policy/quota.c
@@ -131,13 +131,13 @@
 	int64_t share_requested_us;
 	int64_t last_request_us;
 	int64_t lease_until_us;
-	double leased;
-	double rate; /* of the bucket, per second */
+	double leased; /* rate granted until then */
+	double rate;   /* of the bucket, per second */
 };
 
 struct quota {
 	struct quota_options options;
-	GHashTable *usages;
+	GHashTable *usages; /* organisation to struct usage */
 };
 
 struct quota *quota_create(const struct quota_options *options)
--- a/policy/route.h
+++ b/policy/route.h
@@ -35,29 +35,28 @@
 	uint32_t wait_us;
 	uint32_t run_us;
 	uint32_t inflight; /**< calls from this entry that have not ended */
-	uint32_t sent_since_report; /**< calls from this entry since the report
-				     */
+	uint32_t sent_since_report; /**< calls sent since that report */
 	bool draining;		    /**< as its agent reported */
 	bool listed_draining; /**< as in the host list; set by the caller */
 	bool silent;	      /**< no report within report_timeout_us */
 	/* private */
 	double error_rate;
-	int64_t last_call_ended_us;    /* when the last call ended */
-	uint32_t consecutive_failures; /* in a row */
+	int64_t last_call_ended_us; /* when the last call ended */
+	uint32_t consecutive_failures;
 	uint32_t ejections;
 	int64_t ejected_until_us;
 };
 
 /** An agent's load report. */
 struct route_report {
-	uint64_t incarnation;
-	int64_t agent_time_us;
+	uint64_t incarnation;  /**< changes with each start of the agent */
+	int64_t agent_time_us; /**< when it was made, on the agent's clock */
 	uint64_t revision;
-	uint32_t queued;
-	uint32_t running;
-	uint32_t limit;
-	uint32_t wait_us;
-	uint32_t run_us;
+	uint32_t queued;  /**< calls waiting at the agent */
+	uint32_t running; /**< calls running at the upstream */
+	uint32_t limit;	  /**< the agent's concurrency limit */
+	uint32_t wait_us; /**< expected queueing time of a new call */
+	uint32_t run_us;  /**< usual run time of a call */
 	bool draining;
 };
 
@@ -66,7 +65,7 @@
 	const char *domain; /**< own failure domain; copied */
 	uint64_t seed;
 	int64_t remote_cost_us;	   /**< added for another domain; 0: 1 ms */
-	int64_t report_timeout_us; /**< no word for this long: silent; 0: 7 s */
+	int64_t report_timeout_us; /**< then an upstream is silent; 0: 7 s */
 	bool naive;		   /**< baseline: random choice, no ejections */
 };
 
@@ -101,6 +100,7 @@
 struct route_upstream *route_at(const struct route *route, uint32_t index);
 /** Mark upstreams without recent reports silent; returns how many. */
 uint32_t route_tick(struct route *route);
+/** Whether failures currently exclude the upstream from selection. */
 bool route_is_ejected(const struct route *route,
 		      const struct route_upstream *upstream);
 
--- a/policy/throttle.c
+++ b/policy/throttle.c
@@ -8,7 +8,7 @@
 
 #define COUNT_HALF_LIFE_US (2.0 * LP_US_PER_S)
 #define HEADROOM 1.25	   /* requests admitted per accepted one */
-#define FREE_REQUESTS 10.0 /* excess below which nothing is refused */
+#define FREE_REQUESTS 10.0 /* allowance before requests are refused */
 #define WAIT_SMOOTHING 0.3
 #define PAIRS_MAX 8192
 
--- a/policy/trace.h
+++ b/policy/trace.h
@@ -29,7 +29,7 @@
 	TRACE_QUEUED,	   /**< at an agent; a: calls ahead, b: running */
 	TRACE_STARTED,	   /**< at an agent; a: waited us, b: running */
 	TRACE_ENDED,	   /**< at an agent; error; a: run us */
-	TRACE_RETURNED,	   /**< at an agent; error; a: waited us */
+	TRACE_RETURNED,	   /**< at an agent, not run; error; a: waited us */
 };
 
 #define TRACE_HOST_SIZE 32
--- a/policy/worker.h
+++ b/policy/worker.h
@@ -86,9 +86,9 @@
 struct worker_load {
 	uint32_t queued;
 	uint32_t running;
-	uint32_t limit;
-	uint32_t wait_us;
-	uint32_t run_us;
+	uint32_t limit;	  /**< current concurrency limit */
+	uint32_t wait_us; /**< expected queueing time of a new call */
+	uint32_t run_us;  /**< median run time, or mean age of runs if more */
 	bool draining;
 };
 
