--- a/policy/claim.c
+++ b/policy/claim.c
@@ -84,7 +84,7 @@
 				   claims->batch->len);
 }
 
-/* The KV refuses a transaction with the same key twice. */
+/* The KV refuses a write that has a key twice: the second claim waits. */
 static bool is_in_batch(const struct claims *claims, const char *key)
 {
 	for (guint i = 0; i < claims->batch->len; i++) {
--- a/policy/claim.h
+++ b/policy/claim.h
@@ -53,7 +53,7 @@
 struct claims *claims_create(const struct claims_options *options);
 /** Free all claims without calling settled(). */
 void claims_destroy(struct claims *claims);
-/** Claim a key; unsettled at `until_us`, it fails with PLATFORM_DOWN. */
+/** Claim a key; unsettled at `deadline_us`, it fails with PLATFORM_DOWN. */
 void claims_add(struct claims *claims, const char *key, const char *owner,
 		int64_t deadline_us, void *waiter);
 /** Remove a waiter without calling settled(); its claim may be written. */
--- a/policy/order.c
+++ b/policy/order.c
@@ -121,7 +121,7 @@
  * An upstream that ignores fences gets an order only shortly after this agent's
  * fence was seen as current. An agent that was suspended checks it again.
  */
-static bool is_fence_fresh(const struct order *order)
+static bool may_send_order(const struct order *order)
 {
 	int64_t valid_us = order->timeout_us / VALIDITY_DIVISOR;
 
@@ -154,7 +154,7 @@
 		order->state = READY;
 	if (order->state == NO_FENCE) {
 		take_fence(order);
-	} else if (order->state == READY && !is_fence_fresh(order)) {
+	} else if (order->state == READY && !may_send_order(order)) {
 		check_fence(order);
 	} else if (order->state == READY) {
 		order->state = SENDING_ORDER;
