--- a/direct/direct.c
+++ b/direct/direct.c
@@ -1,4 +1,4 @@
-#include "direct/direct_closures.h"
+#include "direct/direct_closed_domains.h"
 #include "direct/direct_places.h"
 #include "direct/direct_private.h"
 #include "direct/direct_relay.h"
--- a/direct/direct_closures.c
+++ b/direct/direct_closed_domains.c
@@ -1,4 +1,4 @@
-#include "direct/direct_closures.h"
+#include "direct/direct_closed_domains.h"
 
 #include "base/lp_texts.h"
 
--- a/direct/direct_closures.h
+++ b/direct/direct_closed_domains.h
@@ -8,8 +8,8 @@
  * does not serve knows it too, and one that starts knows it before it takes
  * any request.
  */
-#ifndef DIRECT_CLOSURES_H
-#define DIRECT_CLOSURES_H
+#ifndef DIRECT_CLOSED_DOMAINS_H
+#define DIRECT_CLOSED_DOMAINS_H
 
 #include "base/lp_counter.h"
 #include "base/lp_event.h"
--- a/direct/direct_events.c
+++ b/direct/direct_event_stream.c
@@ -1,4 +1,4 @@
-#include "direct/direct_events.h"
+#include "direct/direct_event_stream.h"
 
 #include <glib.h>
 #include <string.h>
--- a/direct/direct_events.h
+++ b/direct/direct_event_stream.h
@@ -1,6 +1,6 @@
 /** The events of a stream as they pass: whole ones, and their ids. */
-#ifndef DIRECT_EVENTS_H
-#define DIRECT_EVENTS_H
+#ifndef DIRECT_EVENT_STREAM_H
+#define DIRECT_EVENT_STREAM_H
 
 #include <stddef.h>
 
--- a/direct/direct_memory.c
+++ b/direct/direct_prefix_cache.c
@@ -1,4 +1,4 @@
-#include "direct/direct_memory.h"
+#include "direct/direct_prefix_cache.h"
 
 #include "direct/direct_fetch.h"
 
--- a/direct/direct_memory.h
+++ b/direct/direct_prefix_cache.h
@@ -8,8 +8,8 @@
  * engine's work a little and answers are some KB, so an engine is not asked
  * again for a while, and not by entries that do not place.
  */
-#ifndef DIRECT_MEMORY_H
-#define DIRECT_MEMORY_H
+#ifndef DIRECT_PREFIX_CACHE_H
+#define DIRECT_PREFIX_CACHE_H
 
 #include "base/lp_event.h"
 #include "direct/direct_codec.h"
--- a/direct/direct_request.h
+++ b/direct/direct_request.h
@@ -1,6 +1,6 @@
 /**
  * One request of a caller, as the files that carry it through its life share
- * it: direct_request.c (from the door to the answer), direct_prepare.c (its
+ * it: direct_request.c (from the door to the answer), direct_stage_plan.c (its
  * stages), direct_sending.c (to an upstream and back).
  */
 #ifndef DIRECT_REQUEST_H
@@ -119,7 +119,7 @@
 struct direct_learnt *
 direct_request_learnt(const struct direct_request *request);
 
-/* ---- direct_prepare.c ---- */
+/* ---- direct_stage_plan.c ---- */
 
 /** Set up what its stages have to make. */
 void direct_prepare_create(struct direct_request *request);
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -1,5 +1,5 @@
 /** A request on its way to an upstream and back. */
-#include "direct/direct_events.h"
+#include "direct/direct_event_stream.h"
 
 #include "base/lp_timer.h"
 #include "direct/direct_request.h"
