--- a/direct/direct.c
+++ b/direct/direct.c
@@ -32,7 +32,7 @@
 
 	*lp_counter(direct->options.counters,
 		    "linepier_upstream_restarts_total", NULL) += 1;
-	direct_ends_saw(direct->ends, before, DIRECT_END_RESTARTED);
+	direct_ends_saw(direct->terminations, before, DIRECT_END_RESTARTED);
 	if (!lp_event_begin(log, "upstream_restarted", NULL))
 		return;
 	lp_event_text(log, "upstream", after->entry.id);
@@ -41,7 +41,8 @@
 	lp_event_int(log, "born_before_ms", before->entry.born_ms);
 	lp_event_int(log, "in_flight", before->in_flight);
 	lp_event_int(log, "list_age_us",
-		     lp_now_us(direct->options.clock) - direct->listed_us);
+		     lp_now_us(direct->options.clock) -
+			     direct->upstreams_updated_us);
 	lp_event_end(log);
 }
 
@@ -71,7 +72,7 @@
 
 	open_to_peers(direct);
 	if (!pool_close(direct->pool,
-			direct_closed_domains_known(direct->closures)))
+			direct_closed_domains_known(direct->closed_domains)))
 		return;
 	each_request(direct, direct_request_refuse_if_closed);
 	direct_calls_run(direct->calls);
@@ -112,7 +113,7 @@
 	direct->domain = g_strdup(options->domain);
 	direct->pool = pool_create(options->clock, options->domain);
 	pool_hear_restarts(direct->pool, on_restarted, direct);
-	direct->closures = direct_closed_domains_create(
+	direct->closed_domains = direct_closed_domains_create(
 		&(struct direct_closed_domains_options){
 			.log = options->log,
 			.counters = options->counters,
@@ -126,19 +127,19 @@
 			.counters = options->counters,
 			.pool = direct->pool,
 		});
-	direct->retries = retries_create(&retries);
+	direct->retry_budget = retries_create(&retries);
 	direct->requests = g_hash_table_new(NULL, NULL);
-	direct->learnt =
+	direct->route_estimates =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	direct->quarantine = direct_quarantine_create(direct);
-	direct->ends = direct_ends_create(&(struct direct_ends_options){
+	direct->terminations = direct_ends_create(&(struct direct_ends_options){
 		.direct = direct,
 		.ended = on_upstream_ended,
 		.userdata = direct,
 	});
 	direct->calls = direct_calls_create(direct);
 	direct->results = direct_results_create(direct);
-	direct->memory = direct_prefix_cache_create(
+	direct->prefix_cache = direct_prefix_cache_create(
 		&(struct direct_prefix_cache_options){
 			.clock = options->clock,
 			.log = options->log,
@@ -149,7 +150,7 @@
 	direct->stages = direct_stages_create(direct);
 	direct->answer_times = lp_histogram_create(
 		options->counters, "linepier_answer_milliseconds");
-	direct->first_times = lp_histogram_create(
+	direct->first_event_times = lp_histogram_create(
 		options->counters, "linepier_first_event_milliseconds");
 	return direct;
 }
@@ -162,23 +163,23 @@
 	http_server_destroy(direct->server);
 	if (direct->peers)
 		direct_peers_listen_none(direct->peers);
-	direct_places_destroy(direct->places);
+	direct_places_destroy(direct->placement);
 	direct_relay_destroy(direct->relay);
 	direct_calls_destroy(direct->calls);
 	direct_results_destroy(direct->results);
 	direct_stages_destroy(direct->stages);
-	direct_ends_destroy(direct->ends);
+	direct_ends_destroy(direct->terminations);
 	direct_quarantine_destroy(direct->quarantine);
-	direct_prefix_cache_destroy(direct->memory);
+	direct_prefix_cache_destroy(direct->prefix_cache);
 	direct_notices_destroy(direct->notices);
 	pool_destroy(direct->pool);
-	direct_closed_domains_destroy(direct->closures);
-	retries_destroy(direct->retries);
+	direct_closed_domains_destroy(direct->closed_domains);
+	retries_destroy(direct->retry_budget);
 	direct_config_unref(direct->config);
 	g_hash_table_unref(direct->requests);
-	g_hash_table_unref(direct->learnt);
+	g_hash_table_unref(direct->route_estimates);
 	lp_histogram_destroy(direct->answer_times);
-	lp_histogram_destroy(direct->first_times);
+	lp_histogram_destroy(direct->first_event_times);
 	g_free(direct->domain);
 	g_free(direct);
 }
@@ -235,7 +236,8 @@
 	direct_calls_configure(direct->calls, config);
 	open_to_peers(direct);
 	direct_stages_configure(direct->stages, config);
-	g_hash_table_foreach_remove(direct->learnt, is_dropped, config);
+	g_hash_table_foreach_remove(direct->route_estimates, is_dropped,
+				    config);
 	log_config(direct, before);
 	return true;
 }
@@ -252,7 +254,7 @@
 	uint32_t changes = pool_update(direct->pool, entries, count);
 
 	direct->has_upstreams = true;
-	direct->listed_us = lp_now_us(direct->options.clock);
+	direct->upstreams_updated_us = lp_now_us(direct->options.clock);
 	open_to_peers(direct);
 	if (!changes)
 		return;
@@ -273,14 +275,15 @@
 void direct_set_closed_domains(struct direct *direct, int64_t revision,
 			       const char *const *domains, uint32_t count)
 {
-	direct_closed_domains_set_all(direct->closures, revision, domains,
+	direct_closed_domains_set_all(direct->closed_domains, revision, domains,
 				      count);
 }
 
 void direct_set_domain_closed(struct direct *direct, int64_t revision,
 			      const char *domain, bool closed)
 {
-	direct_closed_domains_set(direct->closures, revision, domain, closed);
+	direct_closed_domains_set(direct->closed_domains, revision, domain,
+				  closed);
 }
 
 bool direct_needs_upstream_list(const struct direct *direct)
@@ -290,15 +293,15 @@
 
 void direct_set_retry_budget(struct direct *direct, double ratio, double slack)
 {
-	retries_set(direct->retries, ratio, slack);
+	retries_set(direct->retry_budget, ratio, slack);
 }
 
 void direct_set_peers(struct direct *direct, struct direct_peers *peers)
 {
 	direct->peers = peers;
 	if (peers)
-		direct->places = direct_places_create(direct, peers);
-	direct_closed_domains_set_peers(direct->closures, peers);
+		direct->placement = direct_places_create(direct, peers);
+	direct_closed_domains_set_peers(direct->closed_domains, peers);
 	direct_notices_set_peers(direct->notices, peers);
 	direct_quarantine_set_peers(direct->quarantine, peers);
 	direct_stages_set_peers(direct->stages, peers);
@@ -349,7 +352,8 @@
 bool direct_ready(const struct direct *direct)
 {
 	return direct->config && direct->has_upstreams &&
-	       closures_is_known(direct_closed_domains_known(direct->closures));
+	       closures_is_known(
+		       direct_closed_domains_known(direct->closed_domains));
 }
 
 void direct_drain(struct direct *direct)
@@ -361,7 +365,7 @@
 
 void direct_set_shutdown_time(struct direct *direct, int64_t end_us)
 {
-	direct->end_us = end_us;
+	direct->shutdown_us = end_us;
 }
 
 void direct_refuse_unsent(struct direct *direct)
--- a/direct/direct.h
+++ b/direct/direct.h
@@ -34,7 +34,7 @@
 	int64_t retry_window_us;
 	/** A request has come to be kept out, or for longer, by what this entry
 	 * saw itself; or NULL. */
-	void (*kept_out)(void *userdata, uint64_t content);
+	void (*blocked)(void *userdata, uint64_t content);
 	void *userdata;
 };
 
--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -86,13 +86,13 @@
 			const struct direct_service *figures)
 {
 	options->batch_max = 1;
-	if (!figures || !figures->does_pieces)
+	if (!figures || !figures->serves_pieces)
 		return;
 	options->batch_max = MAX(figures->batch_max, 1);
 	options->call_us = figures->call_us;
 	options->piece_us = figures->piece_us;
-	options->room_bytes = figures->room_bytes;
-	options->linger_us = figures->linger_us;
+	options->room_bytes = figures->result_memory_bytes;
+	options->linger_us = figures->result_ttl_us;
 }
 
 static struct service *service_of(struct direct_calls *calls, const char *name)
@@ -230,7 +230,7 @@
 		     room_other_bytes(made->upstream->room));
 	lp_event_int(log, "took_us", now_us - made->started_us);
 	lp_event_int(log, "expected_us", made->expected_us);
-	lp_event_int(log, "rest_us", call->reply.rest_us);
+	lp_event_int(log, "rest_us", call->reply.pushback_us);
 	lp_event_int(log, "others_running", call->reply.running);
 	lp_event_int(log, "others_waiting", call->reply.waiting);
 	lp_event_end(log);
@@ -350,7 +350,7 @@
 static void note_end(const struct stage_call *call,
 		     const struct http_fetch_answer *answer)
 {
-	struct direct_ends *ends = call->calls->direct->ends;
+	struct direct_ends *ends = call->calls->direct->terminations;
 
 	if (answer->error == LP_ERROR_NOT_LISTENING)
 		direct_ends_saw(ends, call->call->upstream, DIRECT_END_REFUSED);
@@ -506,8 +506,8 @@
 	struct direct *direct = question->service->calls->direct;
 
 	return !answer->error && answer->status == 200 &&
-	       direct->options.codec->read_room(answer->body, answer->size,
-						room) &&
+	       direct->options.codec->read_result_memory(answer->body,
+							 answer->size, room) &&
 	       pool_answered(direct->pool, question->upstream, room->born_ms,
 			     question->asked_us) == question->upstream;
 }
@@ -523,9 +523,9 @@
 
 	if (told)
 		pieces_room_told(question->service->pieces, question->upstream,
-				 question->own_bytes, room.least_bytes,
-				 room.most_bytes);
-	log_room(question, told, room.least_bytes);
+				 question->own_bytes, room.min_bytes,
+				 room.max_bytes);
+	log_room(question, told, room.min_bytes);
 	end_question(question);
 	schedule_run(calls);
 }
@@ -546,7 +546,7 @@
 		.notices = calls->direct->notices,
 		.upstream = upstream,
 		.method = "GET",
-		.target = codec->room_target,
+		.target = codec->result_memory_target,
 		.timeout_us = ROOM_TIMEOUT_US,
 		.done = on_room_told,
 		.userdata = question,
--- a/direct/direct_closed_domains.c
+++ b/direct/direct_closed_domains.c
@@ -7,7 +7,7 @@
 
 struct direct_closed_domains {
 	struct direct_closed_domains_options options;
-	struct closures *known;
+	struct closures *closures;
 	struct direct_peers *peers; /* NULL: nobody */
 };
 
@@ -15,7 +15,7 @@
 
 static GVariant *write_known(const struct direct_closed_domains *closures)
 {
-	g_autoptr(GPtrArray) domains = closures_list(closures->known);
+	g_autoptr(GPtrArray) domains = closures_list(closures->closures);
 	GVariantBuilder names;
 
 	g_variant_builder_init(&names, G_VARIANT_TYPE("as"));
@@ -23,7 +23,7 @@
 		g_variant_builder_add(&names, "s",
 				      g_ptr_array_index(domains, i));
 	return g_variant_new(CLOSURES_TYPE,
-			     (gint64)closures_revision(closures->known),
+			     (gint64)closures_revision(closures->closures),
 			     &names);
 }
 
@@ -32,7 +32,7 @@
 	struct direct_closed_domains *closures = userdata;
 	g_autoptr(GVariant) body = NULL;
 
-	if (!closures_is_known(closures->known))
+	if (!closures_is_known(closures->closures))
 		return;
 	body = g_variant_ref_sink(write_known(closures));
 	direct_peers_send(closures->peers, peer, KIND_CLOSURES, body);
@@ -43,7 +43,7 @@
 static void note_change(struct direct_closed_domains *closures,
 			const char *source)
 {
-	g_autoptr(GPtrArray) domains = closures_list(closures->known);
+	g_autoptr(GPtrArray) domains = closures_list(closures->closures);
 	struct lp_event_log *log = closures->options.log;
 
 	*lp_counter(closures->options.counters, "linepier_closed_domains",
@@ -54,7 +54,7 @@
 		lp_event_text(log, "domains", names);
 		lp_event_text(log, "source", source);
 		lp_event_int(log, "revision",
-			     closures_revision(closures->known));
+			     closures_revision(closures->closures));
 		lp_event_end(log);
 	}
 	closures->options.changed(closures->options.userdata);
@@ -75,7 +75,7 @@
 	gint64 revision;
 
 	g_variant_get(body, "(x^a&s)", &revision, &domains);
-	if (closures_set_all(closures->known, revision, domains,
+	if (closures_set_all(closures->closures, revision, domains,
 			     g_strv_length((char **)domains)))
 		note_change(closures, "peer");
 }
@@ -84,7 +84,7 @@
 				   int64_t revision, const char *const *domains,
 				   uint32_t count)
 {
-	if (closures_set_all(closures->known, revision, domains, count))
+	if (closures_set_all(closures->closures, revision, domains, count))
 		take_from_service(closures);
 }
 
@@ -92,14 +92,14 @@
 			       int64_t revision, const char *domain,
 			       bool closed)
 {
-	if (closures_set(closures->known, revision, domain, closed))
+	if (closures_set(closures->closures, revision, domain, closed))
 		take_from_service(closures);
 }
 
 const struct closures *
 direct_closed_domains_known(const struct direct_closed_domains *closures)
 {
-	return closures->known;
+	return closures->closures;
 }
 
 /* ---- start and end ---- */
@@ -122,7 +122,7 @@
 		g_new0(struct direct_closed_domains, 1);
 
 	closures->options = *options;
-	closures->known = closures_create();
+	closures->closures = closures_create();
 	return closures;
 }
 
@@ -130,6 +130,6 @@
 {
 	if (!closures)
 		return;
-	closures_destroy(closures->known);
+	closures_destroy(closures->closures);
 	g_free(closures);
 }
--- a/direct/direct_codec.h
+++ b/direct/direct_codec.h
@@ -13,9 +13,10 @@
 struct direct_request_info {
 	const char *id; /**< of this attempt of the caller; never NULL */
 	const char *host;
-	const char *key;     /**< that names the organisation, or NULL */
-	int64_t deadline_us; /**< how long the caller waits; 0: not said */
-	GArray *parts;	     /**< of struct pool_part; owned by the request */
+	const char
+		*organisation_key; /**< that names the organisation, or NULL */
+	int64_t timeout_us;    /**< how long the caller waits; 0: not said */
+	GArray *prefix_blocks; /**< of struct pool_part; owned by the request */
 	int64_t tokens_in;
 	int64_t tokens_out;
 	GArray *pieces; /**< uint32_t a stage: pieces it has; owned likewise */
@@ -25,13 +26,13 @@
 
 /** A request as it goes to an upstream. */
 struct direct_upstream_request {
-	const struct http_fields *from; /**< the caller's fields */
-	const char *upstream;		/**< id of the one that may run it */
-	const char *organisation;	/**< or NULL */
-	int64_t left_us;		/**< until nobody waits any more */
-	int32_t priority;		/**< 0 goes first */
-	const GPtrArray *inputs;	/**< handles, or NULL */
-	const char *last_event_id;	/**< resume after it, or NULL */
+	const struct http_fields *caller_fields; /**< the caller's fields */
+	const char *upstream;	   /**< id of the one that may run it */
+	const char *organisation;  /**< or NULL */
+	int64_t left_us;	   /**< until nobody waits any more */
+	int32_t priority;	   /**< 0 goes first */
+	const GPtrArray *inputs;   /**< handles, or NULL */
+	const char *last_event_id; /**< resume after it, or NULL */
 	const char *copy_from; /**< address of an engine that has more of the
 				  prompt in memory, or NULL */
 };
@@ -46,17 +47,17 @@
 /** What the head of an upstream's answer says. */
 struct direct_reply {
 	bool is_success;
-	bool is_ours;	    /**< it names the request that we sent */
-	bool is_genuine;    /**< it bears the upstream's mark */
-	bool not_run;	    /**< the upstream promises so */
-	bool other_process; /**< another process has the address now */
-	bool input_gone;    /**< results that it needs are gone */
-	bool is_events;	    /**< a stream of events follows */
-	int32_t running;    /**< requests or calls at work there; negative: not
-			       said */
+	bool matches_request;	/**< it names the request that we sent */
+	bool has_upstream_seal; /**< it bears the upstream's mark */
+	bool not_run;		/**< the upstream promises so */
+	bool other_process;	/**< another process has the address now */
+	bool input_gone;	/**< results that it needs are gone */
+	bool is_events;		/**< a stream of events follows */
+	int32_t running; /**< requests or calls at work there; negative: not
+			    said */
 	int32_t waiting;
-	bool leaving;	 /**< the upstream leaves: nothing new goes there */
-	int64_t rest_us; /**< a refusal: the upstream wants nothing of this
+	bool draining;	     /**< the upstream leaves: nothing new goes there */
+	int64_t pushback_us; /**< a refusal: the upstream wants nothing of this
 			    entry for so long; 0: it does not say */
 	enum direct_limit_notice limit;
 	double limit_per_s; /**< requests a second that the upstream takes of
@@ -90,17 +91,17 @@
 
 /** What an upstream says of its room for results. */
 struct direct_result_memory {
-	int64_t least_bytes; /**< it has at least so much */
-	int64_t most_bytes;  /**< and at most so much */
-	int64_t born_ms;     /**< when it was started; 0: it does not say */
+	int64_t min_bytes; /**< it has at least so much */
+	int64_t max_bytes; /**< and at most so much */
+	int64_t born_ms;   /**< when it was started; 0: it does not say */
 };
 
 struct direct_codec {
 	/** False: it carries no id or a field that cannot be read. */
-	bool (*read_ask)(const struct http_fields *fields,
-			 struct direct_request_info *ask);
-	void (*write_offer)(const struct direct_upstream_request *offer,
-			    struct http_fields *out);
+	bool (*read_request)(const struct http_fields *fields,
+			     struct direct_request_info *ask);
+	void (*write_request)(const struct direct_upstream_request *offer,
+			      struct http_fields *out);
 	void (*read_reply)(uint32_t status, const struct http_fields *fields,
 			   const char *id, struct direct_reply *reply);
 	/** Fields of an answer of our own. `wait_us`: come back after; 0: none.
@@ -119,18 +120,19 @@
 	/** Path that asks an engine which parts of prompts it has in memory,
 	 * and the answer: appended, of struct pool_part. False: it cannot be
 	 * read. */
-	const char *memory_target;
-	bool (*read_memory)(const char *body, size_t size, GArray *parts);
+	const char *prefix_cache_target;
+	bool (*read_prefix_cache)(const char *body, size_t size, GArray *parts);
 	/** Path and body of a call that gives results up. */
 	const char *free_target;
 	char *(*write_free)(const GPtrArray *handles);
 	/** Path of a question about an upstream's room for results, and its
 	 * answer. False: not said. */
-	const char *room_target;
-	bool (*read_room)(const char *body, size_t size,
-			  struct direct_result_memory *room);
+	const char *result_memory_target;
+	bool (*read_result_memory)(const char *body, size_t size,
+				   struct direct_result_memory *room);
 	/** Fields of these calls. */
-	void (*write_call)(const char *upstream, struct http_fields *out);
+	void (*write_call_fields)(const char *upstream,
+				  struct http_fields *out);
 };
 
 #endif
--- a/direct/direct_config.c
+++ b/direct/direct_config.c
@@ -15,9 +15,9 @@
 	g_free(route->name);
 	g_free(route->host);
 	g_free(route->prefix);
-	for (uint32_t i = 0; i < route->shares_count; i++)
-		g_free(route->shares[i].service);
-	g_free(route->shares);
+	for (uint32_t i = 0; i < route->weighted_services_count; i++)
+		g_free(route->weighted_services[i].service);
+	g_free(route->weighted_services);
 	for (uint32_t i = 0; i < route->stages_count; i++) {
 		g_free(route->stages[i].service);
 		g_free(route->stages[i].after);
@@ -52,7 +52,7 @@
 						 free_service);
 	config->organisations =
 		g_ptr_array_new_with_free_func(free_organisation);
-	config->by_place =
+	config->routes_by_prefix =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	config->ranks = g_array_new(FALSE, FALSE, sizeof(struct rank));
 	config->keys =
@@ -77,10 +77,10 @@
 	char *name = place_name(route->host, route->prefix, size);
 
 	config->prefix_max = MAX(config->prefix_max, size);
-	if (g_hash_table_contains(config->by_place, name))
+	if (g_hash_table_contains(config->routes_by_prefix, name))
 		g_free(name);
 	else
-		g_hash_table_insert(config->by_place, name, route);
+		g_hash_table_insert(config->routes_by_prefix, name, route);
 }
 
 /* ---- ranks ---- */
@@ -183,7 +183,7 @@
 {
 	if (!config || --config->refs)
 		return;
-	g_hash_table_unref(config->by_place);
+	g_hash_table_unref(config->routes_by_prefix);
 	g_array_unref(config->ranks);
 	g_ptr_array_unref(config->routes);
 	g_hash_table_unref(config->services);
@@ -237,7 +237,7 @@
 		if (end[-1] != '/')
 			continue;
 		*end = '\0';
-		route = g_hash_table_lookup(config->by_place, name);
+		route = g_hash_table_lookup(config->routes_by_prefix, name);
 		if (route)
 			return route;
 	}
@@ -256,15 +256,17 @@
 	uint64_t total = 0;
 	uint64_t point;
 
-	for (uint32_t i = 0; i < route->shares_count; i++)
-		total += route->shares[i].weight;
+	for (uint32_t i = 0; i < route->weighted_services_count; i++)
+		total += route->weighted_services[i].weight;
 	if (!total)
-		return route->shares_count ? route->shares[0].service : NULL;
+		return route->weighted_services_count
+			       ? route->weighted_services[0].service
+			       : NULL;
 	point = hash % total;
-	for (uint32_t i = 0; i < route->shares_count; i++) {
-		if (point < route->shares[i].weight)
-			return route->shares[i].service;
-		point -= route->shares[i].weight;
+	for (uint32_t i = 0; i < route->weighted_services_count; i++) {
+		if (point < route->weighted_services[i].weight)
+			return route->weighted_services[i].service;
+		point -= route->weighted_services[i].weight;
 	}
 	return NULL;
 }
--- a/direct/direct_config.h
+++ b/direct/direct_config.h
@@ -44,39 +44,40 @@
 	int64_t gap_us;	    /**< longest pause between events */
 	int32_t priority;   /**< 0 goes first */
 	uint32_t attempts_max; /**< upstreams that one request may be sent to */
-	struct direct_weighted_service *shares;
-	uint32_t shares_count;
+	struct direct_weighted_service *weighted_services;
+	uint32_t weighted_services_count;
 	struct direct_stage *stages;
 	uint32_t stages_count;
-	const char *homes; /**< regions that may have it: policy/homes.h */
-	bool is_public;	   /**< needs no key */
-	bool resumes;	   /**< a stream may go on at another upstream */
+	const char *allowed_regions; /**< regions that may have it:
+					policy/homes.h */
+	bool is_public;		     /**< needs no key */
+	bool resumes; /**< a stream may go on at another upstream */
 };
 
 struct direct_service {
 	char *name;
 	/* of a service that does stages' pieces */
-	bool does_pieces;
-	uint32_t batch_max; /**< pieces of one call */
-	int64_t call_us;    /**< a call's fixed time, about */
-	int64_t piece_us;   /**< and that of each piece */
-	int64_t room_bytes; /**< for results, one upstream */
-	int64_t linger_us;  /**< results that nobody gives up stay so long */
+	bool serves_pieces;
+	uint32_t batch_max;	     /**< pieces of one call */
+	int64_t call_us;	     /**< a call's fixed time, about */
+	int64_t piece_us;	     /**< and that of each piece */
+	int64_t result_memory_bytes; /**< for results, one upstream */
+	int64_t result_ttl_us; /**< results that nobody gives up stay so long */
 	/* of upstreams that have just started */
 	int64_t cold_us;   /**< cold for so long; 0: no bound */
 	double cold_per_s; /**< requests that a cold one takes, of all entries
 			    */
 	/* of a service of model engines */
-	int64_t engine_tokens;	  /**< memory for prompts, in tokens */
-	int64_t token_bytes;	  /**< of that memory */
-	double copy_bytes_per_us; /**< from engine to engine; 0: they do not
-				     copy */
+	int64_t prefix_cache_tokens; /**< memory for prompts, in tokens */
+	int64_t token_bytes;	     /**< of that memory */
+	double copy_bytes_per_us;    /**< from engine to engine; 0: they do not
+					copy */
 };
 
 struct direct_organisation {
 	char *name;
-	int32_t priority;  /**< compared before the route's; negative: none */
-	const char *homes; /**< regions that may have its requests */
+	int32_t priority; /**< compared before the route's; negative: none */
+	const char *allowed_regions; /**< regions that may have its requests */
 };
 
 struct direct_limits {
@@ -95,9 +96,10 @@
 	bool needs_keys;  /**< requests carry a key, but for public routes */
 	struct direct_limits limits;
 	/* private */
-	GHashTable *by_place; /**< host and prefix -> struct direct_route */
-	size_t prefix_max;    /**< bytes of the longest prefix */
-	GArray *ranks;	      /**< of struct rank, the most urgent first */
+	GHashTable *
+		routes_by_prefix; /**< host and prefix -> struct direct_route */
+	size_t prefix_max;	  /**< bytes of the longest prefix */
+	GArray *ranks;		  /**< of struct rank, the most urgent first */
 	uint32_t refs;
 };
 
--- a/direct/direct_ends.c
+++ b/direct/direct_ends.c
@@ -67,7 +67,8 @@
 	lp_event_text(log, "how", names[how]);
 	lp_event_int(log, "lost", lost->len);
 	lp_event_int(log, "list_age_us",
-		     lp_now_us(direct->options.clock) - direct->listed_us);
+		     lp_now_us(direct->options.clock) -
+			     direct->upstreams_updated_us);
 	lp_event_end(log);
 }
 
--- a/direct/direct_fetch.c
+++ b/direct/direct_fetch.c
@@ -40,7 +40,7 @@
 	struct http_fetch *http;
 
 	http_fields_init(&fields);
-	options->codec->write_call(options->upstream->entry.id, &fields);
+	options->codec->write_call_fields(options->upstream->entry.id, &fields);
 	http = http_fetch_start(&(struct http_fetch_options){
 		.address = options->upstream->entry.address,
 		.method = options->method,
--- a/direct/direct_notices.c
+++ b/direct/direct_notices.c
@@ -21,8 +21,8 @@
 struct direct_notices {
 	struct direct_notices_options options;
 	struct direct_peers *peers; /* NULL: nobody */
-	GArray *leaving; /* lives that are told of again, of uint64_t */
-	guint leaving_timer;
+	GArray *draining; /* lives that are told of again, of uint64_t */
+	guint resend_timer;
 };
 
 static int64_t now(const struct direct_notices *notices)
@@ -68,24 +68,24 @@
 {
 	struct direct_notices *notices = userdata;
 
-	notices->leaving_timer = 0;
+	notices->resend_timer = 0;
 	if (notices->peers)
 		direct_peers_send_all(notices->peers, KIND_LEAVING,
-				      write_leaving(notices->leaving));
-	g_array_set_size(notices->leaving, 0);
+				      write_leaving(notices->draining));
+	g_array_set_size(notices->draining, 0);
 	return G_SOURCE_REMOVE;
 }
 
 static void tell_leaving(struct direct_notices *notices,
 			 const struct pool_upstream *upstream)
 {
-	g_array_append_val(notices->leaving, upstream->life);
+	g_array_append_val(notices->draining, upstream->life);
 	if (notices->peers)
 		direct_peers_send_all(notices->peers, KIND_LEAVING,
-				      write_leaving(notices->leaving));
-	if (!notices->leaving_timer)
-		notices->leaving_timer = lp_timer_add(
-			LEAVING_AGAIN_MS, on_leaving_again, notices);
+				      write_leaving(notices->draining));
+	if (!notices->resend_timer)
+		notices->resend_timer = lp_timer_add(LEAVING_AGAIN_MS,
+						     on_leaving_again, notices);
 }
 
 static void greet_with_leaving(struct direct_notices *notices, uint64_t peer)
@@ -224,14 +224,14 @@
 {
 	/* Another process, or an answer to somebody else, says nothing of it.
 	 */
-	if (reply->other_process || !reply->is_ours)
+	if (reply->other_process || !reply->matches_request)
 		return;
 	hear_limit(notices, upstream, reply);
-	if (reply->leaving)
+	if (reply->draining)
 		hear_leaving(notices, upstream);
-	if (reply->rest_us)
+	if (reply->pushback_us)
 		pool_heard_rest(notices->options.pool, upstream,
-				reply->rest_us);
+				reply->pushback_us);
 }
 
 static void take_told(struct direct_notices *notices, uint64_t peer,
@@ -309,7 +309,7 @@
 	struct direct_notices *notices = g_new0(struct direct_notices, 1);
 
 	notices->options = *options;
-	notices->leaving = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	notices->draining = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	return notices;
 }
 
@@ -317,8 +317,8 @@
 {
 	if (!notices)
 		return;
-	if (notices->leaving_timer)
-		g_source_remove(notices->leaving_timer);
-	g_array_unref(notices->leaving);
+	if (notices->resend_timer)
+		g_source_remove(notices->resend_timer);
+	g_array_unref(notices->draining);
 	g_free(notices);
 }
--- a/direct/direct_prefix_cache.c
+++ b/direct/direct_prefix_cache.c
@@ -57,8 +57,8 @@
 	const struct direct_prefix_cache *memory = question->memory;
 
 	return !answer->error && answer->status == 200 &&
-	       memory->options.codec->read_memory(answer->body, answer->size,
-						  parts) &&
+	       memory->options.codec->read_prefix_cache(answer->body,
+							answer->size, parts) &&
 	       pool_find_life(memory->options.pool, question->engine->life) ==
 		       question->engine;
 }
@@ -96,7 +96,7 @@
 		.notices = options->notices,
 		.upstream = engine,
 		.method = "GET",
-		.target = options->codec->memory_target,
+		.target = options->codec->prefix_cache_target,
 		.timeout_us = ANSWER_TIMEOUT_US,
 		.done = on_told,
 		.userdata = question,
--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -37,7 +37,7 @@
 
 /** What is learnt of a route, for as long as it is in force. */
 struct direct_route_estimates {
-	struct patience patience;
+	struct patience client_wait;
 	struct remaining remaining[DIRECT_ESTIMATED_STAGES_MAX]; /* a stage */
 };
 
@@ -48,24 +48,25 @@
 	struct direct_config *config; /* NULL: none yet */
 	struct pool *pool;
 	bool has_upstreams;
-	int64_t listed_us; /* when the list was handed in last */
-	int64_t end_us;	   /* about to end then; 0: it is not */
-	struct retries *retries;
-	struct direct_closed_domains *closures;
+	int64_t upstreams_updated_us; /* when the list was handed in last */
+	int64_t shutdown_us;	      /* about to end then; 0: it is not */
+	struct retries *retry_budget;
+	struct direct_closed_domains *closed_domains;
 	struct direct_notices *notices;
-	struct direct_ends *ends;
+	struct direct_ends *terminations;
 	struct direct_quarantine *quarantine;
 	struct direct_stages *stages;
 	struct direct_calls *calls;
 	struct direct_results *results;
-	struct direct_prefix_cache *memory;
-	struct direct_peers *peers;   /* NULL: no other entries are known */
-	struct direct_relay *relay;   /* NULL: likewise */
-	struct direct_places *places; /* NULL: likewise */
-	GHashTable *requests;	      /* of struct direct_request */
-	GHashTable *learnt; /* route's name -> struct direct_route_estimates */
+	struct direct_prefix_cache *prefix_cache;
+	struct direct_peers *peers;	 /* NULL: no other entries are known */
+	struct direct_relay *relay;	 /* NULL: likewise */
+	struct direct_places *placement; /* NULL: likewise */
+	GHashTable *requests;		 /* of struct direct_request */
+	GHashTable *route_estimates;	 /* route's name -> struct
+					    direct_route_estimates */
 	struct lp_histogram *answer_times;
-	struct lp_histogram *first_times;
+	struct lp_histogram *first_event_times;
 };
 
 static inline int64_t *direct_counter(struct direct *direct, const char *name,
@@ -89,7 +90,7 @@
 		direct_config_service(direct->config, service);
 
 	return figures ? (int64_t)(DIRECT_PREFIX_CACHE_FRACTION *
-				   (double)figures->engine_tokens)
+				   (double)figures->prefix_cache_tokens)
 		       : 0;
 }
 
--- a/direct/direct_quarantine.c
+++ b/direct/direct_quarantine.c
@@ -319,8 +319,8 @@
 	struct quarantine_view view = { 0 };
 
 	quarantine_look(quarantine->known, request, &view);
-	if (view.out_until_us > now(quarantine) && options->kept_out)
-		options->kept_out(options->userdata, request);
+	if (view.out_until_us > now(quarantine) && options->blocked)
+		options->blocked(options->userdata, request);
 }
 
 void direct_quarantine_ended(struct direct_quarantine *quarantine,
@@ -417,23 +417,23 @@
 {
 	uint64_t digest;
 
-	if (request->is_try || quarantine_is_empty(quarantine->known))
+	if (request->is_trial || quarantine_is_empty(quarantine->known))
 		return true;
 	digest = direct_request_digest(request);
-	if (request->was_try) {
+	if (request->was_trial) {
 		*wait_us = FIND_OUT_US;
 		log_refusal(quarantine, request, *wait_us);
 		return false;
 	}
-	switch (quarantine_ask(quarantine->known, digest, request->give_up_us,
+	switch (quarantine_ask(quarantine->known, digest, request->deadline_us,
 			       wait_us)) {
 	case QUARANTINE_PASS:
 		return true;
 	case QUARANTINE_TRY:
-		request->is_try = true;
-		request->was_try = true;
+		request->is_trial = true;
+		request->was_trial = true;
 		log_change(quarantine, digest, "tried", 0);
-		set_try(quarantine, digest, request->give_up_us);
+		set_try(quarantine, digest, request->deadline_us);
 		return true;
 	case QUARANTINE_REFUSE:
 		break;
@@ -460,7 +460,7 @@
 	if (quarantine_is_empty(quarantine->known))
 		return;
 	digest = direct_request_digest(request);
-	request->is_try = false;
+	request->is_trial = false;
 	if (!quarantine_look(quarantine->known, digest, &view) || !view.count)
 		return;
 	clear_now(quarantine, digest);
@@ -473,7 +473,7 @@
 	struct quarantine_view view;
 	int64_t ran_us = now(quarantine) - request->sent_us;
 
-	if (!request->is_try ||
+	if (!request->is_trial ||
 	    !quarantine_look(quarantine->known, direct_request_digest(request),
 			     &view))
 		return;
@@ -484,9 +484,9 @@
 static void end_try(struct direct_quarantine *quarantine,
 		    struct direct_request *request, int64_t until_us)
 {
-	if (!request->is_try)
+	if (!request->is_trial)
 		return;
-	request->is_try = false;
+	request->is_trial = false;
 	set_try(quarantine, direct_request_digest(request), until_us);
 }
 
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -16,19 +16,19 @@
 void direct_request_free(struct direct_request *request)
 {
 	direct_sending_end(request, POOL_UNKNOWN);
-	direct_clear_timer(&request->give_up_timer);
+	direct_clear_timer(&request->deadline_timer);
 	direct_quarantine_over(request->direct->quarantine, request);
 	if (request->graph)
 		direct_stages_drop(request->direct->stages, request);
 	g_hash_table_remove(request->direct->requests, request);
 	graph_destroy(request->graph);
-	g_free(request->asked_us);
-	g_free(request->made_us);
+	g_free(request->requested_us);
+	g_free(request->completed_us);
 	http_fields_clear(&request->fields);
 	g_string_free(request->body, TRUE);
-	g_ptr_array_unref(request->tried);
-	g_array_unref(request->ask.parts);
-	g_array_unref(request->ask.pieces);
+	g_ptr_array_unref(request->tried_upstreams);
+	g_array_unref(request->info.prefix_blocks);
+	g_array_unref(request->info.pieces);
 	direct_config_unref(request->config);
 	g_free(request->last_event_id);
 	g_free(request->id);
@@ -48,8 +48,8 @@
 	if (!request->graph || !request->route)
 		return;
 	for (uint32_t i = 0; i < request->route->stages_count; i++) {
-		int64_t asked_us = request->asked_us[i];
-		int64_t made_us = request->made_us[i];
+		int64_t asked_us = request->requested_us[i];
+		int64_t made_us = request->completed_us[i];
 
 		if (!asked_us)
 			continue;
@@ -86,14 +86,15 @@
 	lp_event_int(log, "took_us",
 		     direct_request_now_us(request) - request->arrived_us);
 	lp_event_int(log, "first_us",
-		     request->first_us ? request->first_us - request->arrived_us
-				       : -1);
-	lp_event_int(log, "waited_us", request->waited_us);
-	if (request->give_up_us)
+		     request->first_event_us
+			     ? request->first_event_us - request->arrived_us
+			     : -1);
+	lp_event_int(log, "waited_us", request->client_waited_us);
+	if (request->deadline_us)
 		lp_event_int(log, "left_us",
-			     request->give_up_us -
+			     request->deadline_us -
 				     direct_request_now_us(request));
-	lp_event_int(log, "sendings", request->moves);
+	lp_event_int(log, "sendings", request->sendings);
 	lp_event_int(log, "config", direct_config_version(direct));
 	add_stage_times(request);
 	lp_event_end(log);
@@ -139,8 +140,8 @@
 {
 	struct direct_request *request = userdata;
 
-	request->give_up_timer = 0;
-	if (request->begun)
+	request->deadline_timer = 0;
+	if (request->answer_begun)
 		direct_request_abort(request, "deadline");
 	else if (request->state == DIRECT_STATE_SENT && request->exchange &&
 		 http_exchange_sent(request->exchange))
@@ -166,9 +167,11 @@
 uint64_t direct_request_digest(struct direct_request *request)
 {
 	const char *method = http_call_method(request->call);
-	const char *host = request->ask.host ? request->ask.host : "";
+	const char *host = request->info.host ? request->info.host : "";
 	const char *target = http_call_target(request->call);
-	const char *key = request->ask.key ? request->ask.key : "";
+	const char *key = request->info.organisation_key
+				  ? request->info.organisation_key
+				  : "";
 	struct lp_digest_part parts[] = {
 		{ method, strlen(method) },
 		{ host, strlen(host) },
@@ -192,7 +195,7 @@
 
 	if (direct_quarantine_passes(quarantine, request, &wait_us))
 		return true;
-	if (request->begun)
+	if (request->answer_begun)
 		direct_request_abort(request, "kept_out");
 	else
 		direct_request_refuse(request, wait_us, "kept_out");
@@ -215,7 +218,7 @@
 	};
 
 	direct_quarantine_lost(request->direct->quarantine, request);
-	direct_ends_lost(request->direct->ends, upstream, loss);
+	direct_ends_lost(request->direct->terminations, upstream, loss);
 }
 
 /* ---- admission ---- */
@@ -282,12 +285,12 @@
 	const struct pool *pool = request->direct->pool;
 	const struct direct_route *route = request->route;
 
-	if (pool_is_closed(pool, request->service, request->homes))
+	if (pool_is_closed(pool, request->service, request->allowed_regions))
 		return true;
 	for (uint32_t i = 0; request->graph && i < route->stages_count; i++)
 		if (!graph_stage_made(request->graph, i) &&
 		    pool_is_closed(pool, route->stages[i].service,
-				   request->homes))
+				   request->allowed_regions))
 			return true;
 	return false;
 }
@@ -311,7 +314,7 @@
 
 void direct_request_refuse_unsent(struct direct_request *request)
 {
-	if (request->state != DIRECT_STATE_SENT && !request->begun)
+	if (request->state != DIRECT_STATE_SENT && !request->answer_begun)
 		direct_request_refuse(request, DIRECT_RETRY_AFTER_DRAINING_US,
 				      "draining");
 }
@@ -333,18 +336,18 @@
 
 	request->config = direct_config_ref(direct->config);
 	request->route =
-		direct_config_route(request->config, request->ask.host, path);
+		direct_config_route(request->config, request->info.host, path);
 	if (!request->route)
 		return 404;
-	request->organisation =
-		find_organisation(request->config, request->ask.key);
+	request->organisation = find_organisation(
+		request->config, request->info.organisation_key);
 	if (request->config->needs_keys && !request->route->is_public &&
 	    !request->organisation)
 		return 401;
-	request->homes =
-		homes_both(request->route->homes,
-			   request->organisation ? request->organisation->homes
-						 : HOMES_ANYWHERE);
+	request->allowed_regions = homes_both(
+		request->route->allowed_regions,
+		request->organisation ? request->organisation->allowed_regions
+				      : HOMES_ANYWHERE);
 	request->priority = direct_config_rank(request->config, request->route,
 					       request->organisation);
 	request->service = direct_route_pick_service(request->route,
@@ -355,7 +358,7 @@
 struct direct_route_estimates *
 direct_request_estimates(const struct direct_request *request)
 {
-	GHashTable *routes = request->direct->learnt;
+	GHashTable *routes = request->direct->route_estimates;
 	const char *route = request->route->name;
 	struct direct_route_estimates *learnt =
 		g_hash_table_lookup(routes, route);
@@ -370,15 +373,15 @@
 static void set_give_up(struct direct_request *request)
 {
 	int64_t wait_us = request->route->timeout_us;
-	int64_t deadline_us = request->ask.deadline_us;
+	int64_t deadline_us = request->info.timeout_us;
 	int64_t left_us;
 
 	if (deadline_us && (!wait_us || deadline_us < wait_us))
 		wait_us = deadline_us;
-	request->give_up_us = request->arrived_us + wait_us;
-	left_us = MAX(request->give_up_us - direct_request_now_us(request), 0);
-	request->give_up_timer = lp_timer_add((guint)(left_us / LP_US_PER_MS),
-					      on_give_up, request);
+	request->deadline_us = request->arrived_us + wait_us;
+	left_us = MAX(request->deadline_us - direct_request_now_us(request), 0);
+	request->deadline_timer = lp_timer_add((guint)(left_us / LP_US_PER_MS),
+					       on_give_up, request);
 }
 
 static struct direct_request *create_request(struct direct *direct,
@@ -390,10 +393,10 @@
 	request->call = call;
 	request->arrived_us = http_call_arrived_us(call);
 	request->body = g_string_new(NULL);
-	request->tried = g_ptr_array_new_with_free_func(g_free);
-	request->ask.parts =
+	request->tried_upstreams = g_ptr_array_new_with_free_func(g_free);
+	request->info.prefix_blocks =
 		g_array_new(FALSE, FALSE, sizeof(struct pool_part));
-	request->ask.pieces = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	request->info.pieces = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	g_hash_table_add(direct->requests, request);
 	return request;
 }
@@ -401,8 +404,8 @@
 /* Before its entry does, and without putting that off. */
 static bool ends_in_time(const struct direct_request *request)
 {
-	return request->give_up_us <= request->direct->end_us &&
-	       request->give_up_us - request->arrived_us <= SHORT_US;
+	return request->deadline_us <= request->direct->shutdown_us &&
+	       request->deadline_us - request->arrived_us <= SHORT_US;
 }
 
 /* It can be read, and its entry is configured. */
@@ -419,15 +422,15 @@
 	}
 	http_call_on_gone(request->call, on_caller_gone, request);
 	set_give_up(request);
-	if (direct->end_us && !ends_in_time(request)) {
+	if (direct->shutdown_us && !ends_in_time(request)) {
 		direct_request_refuse(request, DIRECT_RETRY_AFTER_DRAINING_US,
 				      "draining");
 		return;
 	}
-	request->waited_us =
-		patience_waited_us(&direct_request_estimates(request)->patience,
-				   request->ask.deadline_us);
-	retries_saw_request(direct->retries, request->service);
+	request->client_waited_us = patience_waited_us(
+		&direct_request_estimates(request)->client_wait,
+		request->info.timeout_us);
+	retries_saw_request(direct->retry_budget, request->service);
 	if (!direct_request_check_quarantine(request))
 		return;
 	if (request->route->stages_count)
@@ -439,10 +442,10 @@
 void direct_request_begin(struct direct *direct, struct http_call *call)
 {
 	struct direct_request *request = create_request(direct, call);
-	bool readable = direct->options.codec->read_ask(http_call_fields(call),
-							&request->ask);
+	bool readable = direct->options.codec->read_request(
+		http_call_fields(call), &request->info);
 
-	request->id = g_strdup(request->ask.id ? request->ask.id : "");
+	request->id = g_strdup(request->info.id ? request->info.id : "");
 	if (!direct_ready(direct))
 		direct_request_refuse(request, DIRECT_RETRY_AFTER_STARTING_US,
 				      "not_configured");
--- a/direct/direct_request.h
+++ b/direct/direct_request.h
@@ -32,49 +32,52 @@
 	const struct direct_route *route;
 	const char *service;
 	const struct direct_organisation *organisation;
-	const char *homes; /* regions that may have it: policy/homes.h */
-	struct direct_request_info ask;
+	const char
+		*allowed_regions; /* regions that may have it: policy/homes.h */
+	struct direct_request_info info;
 	int64_t arrived_us;
-	int64_t waited_us; /* in earlier tries, about */
-	int64_t give_up_us;
+	int64_t client_waited_us; /* in earlier tries, about */
+	int64_t deadline_us;
 	int32_t priority;
 	uint64_t digest; /* of its content; 0: not asked for yet */
-	bool is_try;	 /* the only one of its content that may go */
-	bool was_try;	 /* ... or was, before it was lost */
-	guint give_up_timer;
+	bool is_trial;	 /* the only one of its content that may go */
+	bool was_trial;	 /* ... or was, before it was lost */
+	guint deadline_timer;
 	guint stall_timer;
 	enum direct_state state;
 	/* stages */
 	struct graph *graph; /* NULL: none */
-	uint32_t remakes;
-	int64_t *asked_us; /* a stage: when its pieces were asked for first */
-	int64_t *made_us;  /* and when the last of them was made */
+	uint32_t recomputations;
+	int64_t *requested_us; /* a stage: when its pieces were asked for first
+				*/
+	int64_t *completed_us; /* and when the last of them was made */
 	/* the sending under way */
-	uint64_t question; /* to its placer; 0: none */
-	struct direct_place place;
+	uint64_t placement_query; /* to its placer; 0: none */
+	struct direct_place placement;
 	struct http_exchange *exchange;
 	struct pool_upstream *upstream;
 	const struct pool_upstream *copy_from; /* only while it is sent; or
 						  NULL */
 	int64_t sent_us;
-	uint32_t round; /* direct_request_quarantine_round() then */
+	uint32_t quarantine_round; /* direct_request_quarantine_round() then */
 	int64_t expected_us;
 	int64_t cold_tokens;
-	bool heard;	  /* an event, or the head of another answer */
-	int64_t first_us; /* when that came first, of all sendings; 0: not yet
-			   */
+	bool upstream_responded; /* an event, or the head of another answer */
+	int64_t first_event_us; /* when that came first, of all sendings; 0: not
+				 * yet
+				 */
 	uint32_t status;
 	struct http_fields fields;
 	struct direct_reply reply;
 	bool unframed;
 	GString *body; /* of an answer; of a stream: what is no event yet */
 	/* over all sendings */
-	GPtrArray *tried; /* ids, owned */
+	GPtrArray *tried_upstreams; /* ids, owned */
 	uint32_t runs;
-	uint32_t moves;
-	uint32_t losses; /* sendings that were lost */
+	uint32_t sendings;
+	uint32_t lost_sendings; /* sendings that were lost */
 	bool may_have_run;
-	bool begun;
+	bool answer_begun;
 	char *last_event_id;
 };
 
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -23,9 +23,9 @@
 
 static void note_lost(struct direct_request *request)
 {
-	request->losses++;
-	direct_request_report_lost(request, request->upstream, request->round,
-				   request->sent_us);
+	request->lost_sendings++;
+	direct_request_report_lost(request, request->upstream,
+				   request->quarantine_round, request->sent_us);
 }
 
 /* End the sending under way; nothing is learnt from it but by `outcome`. */
@@ -35,21 +35,22 @@
 	struct pool_upstream *upstream = request->upstream;
 
 	direct_clear_timer(&request->stall_timer);
-	if (request->question)
-		direct_places_drop(request->direct->places, request->question);
-	request->question = 0;
+	if (request->placement_query)
+		direct_places_drop(request->direct->placement,
+				   request->placement_query);
+	request->placement_query = 0;
 	if (request->exchange)
 		http_exchange_cancel(request->exchange);
 	request->exchange = NULL;
 	if (!upstream)
 		return;
 	upstream->in_flight--;
-	if (!request->heard)
+	if (!request->upstream_responded)
 		upstream->tokens_ahead -= request->cold_tokens;
 	pool_learn(request->direct->pool, upstream, outcome, 0, 0);
-	if (request->place.peer)
-		direct_places_ended(request->direct->places, &request->place,
-				    outcome);
+	if (request->placement.peer)
+		direct_places_ended(request->direct->placement,
+				    &request->placement, outcome);
 	pool_release(upstream);
 	request->upstream = NULL;
 }
@@ -69,11 +70,11 @@
 {
 	*ask = (struct pool_ask){
 		.service = request->service,
-		.homes = request->homes,
-		.parts = (struct pool_part *)request->ask.parts->data,
-		.parts_count = request->ask.parts->len,
-		.tried = (const char *const *)request->tried->pdata,
-		.tried_count = request->tried->len,
+		.homes = request->allowed_regions,
+		.parts = (struct pool_part *)request->info.prefix_blocks->data,
+		.parts_count = request->info.prefix_blocks->len,
+		.tried = (const char *const *)request->tried_upstreams->pdata,
+		.tried_count = request->tried_upstreams->len,
 		.target_us = request->arrived_us + request->route->target_us -
 			     direct_request_now_us(request),
 	};
@@ -92,7 +93,8 @@
 static bool take_retry(void *userdata)
 {
 	struct direct_request *request = userdata;
-	bool taken = retries_take(request->direct->retries, request->service);
+	bool taken =
+		retries_take(request->direct->retry_budget, request->service);
 
 	*direct_counter(request->direct, "linepier_retries_total",
 			taken ? "budget=\"taken\"" : "budget=\"spent\"") += 1;
@@ -116,16 +118,17 @@
 	lp_event_text(log, "ended", events[event]);
 	lp_event_text(log, "why", why);
 	lp_event_text(log, "outcome", steps[step]);
-	lp_event_text(log, "upstream",
-		      request->tried->len
-			      ? g_ptr_array_index(request->tried,
-						  request->tried->len - 1)
-			      : "");
+	lp_event_text(
+		log, "upstream",
+		request->tried_upstreams->len
+			? g_ptr_array_index(request->tried_upstreams,
+					    request->tried_upstreams->len - 1)
+			: "");
 	lp_event_int(log, "status", request->status);
-	lp_event_int(log, "rest_us", request->reply.rest_us);
+	lp_event_int(log, "rest_us", request->reply.pushback_us);
 	lp_event_int(log, "after_us",
 		     direct_request_now_us(request) - request->sent_us);
-	lp_event_int(log, "sendings", request->moves);
+	lp_event_int(log, "sendings", request->sendings);
 	lp_event_end(log);
 }
 
@@ -154,7 +157,8 @@
  * this try. */
 static bool is_suspect(const struct direct_request *request)
 {
-	return request->was_try || request->losses >= QUARANTINE_SUSPECT_ENDS;
+	return request->was_trial ||
+	       request->lost_sendings >= QUARANTINE_SUSPECT_ENDS;
 }
 
 /* Not run, and not sent again: back when some upstream may take it. */
@@ -179,13 +183,13 @@
 	struct verdict_state state = {
 		.repeatable = repeatable,
 		.resumes = request->route->resumes,
-		.begun = request->begun,
+		.begun = request->answer_begun,
 		.may_have_run = request->may_have_run,
 		.runs = request->runs + 1,
 		.runs_max = MAX(request->route->attempts_max, 1),
-		.moves = request->moves,
+		.moves = request->sendings,
 		.has_time = direct_request_now_us(request) + TRY_MIN_US <
-			    request->give_up_us,
+			    request->deadline_us,
 	};
 	enum verdict_step step =
 		verdict_next(&state, event, take_retry, request);
@@ -223,9 +227,9 @@
 static int64_t stall_us(const struct direct_request *request)
 {
 	const struct direct_route *route = request->route;
-	int64_t left_us = request->give_up_us - direct_request_now_us(request);
+	int64_t left_us = request->deadline_us - direct_request_now_us(request);
 
-	if (route->kind == DIRECT_STREAM && request->heard)
+	if (route->kind == DIRECT_STREAM && request->upstream_responded)
 		return MAX(STALL_GAPS * route->gap_us, STALL_MIN_US);
 	if (route->kind == DIRECT_STREAM)
 		return MAX(STALL_EXPECTED * request->expected_us,
@@ -266,21 +270,21 @@
 	struct direct *direct = request->direct;
 	int64_t took_us = direct_request_now_us(request) - request->sent_us;
 
-	if (request->heard)
+	if (request->upstream_responded)
 		return;
-	request->heard = true;
-	if (!request->first_us) {
-		request->first_us = direct_request_now_us(request);
+	request->upstream_responded = true;
+	if (!request->first_event_us) {
+		request->first_event_us = direct_request_now_us(request);
 		direct_stage_plan_learn(request);
 	}
 	request->upstream->tokens_ahead -= request->cold_tokens;
 	pool_learn(direct->pool, request->upstream, POOL_SERVED, took_us,
 		   request->expected_us);
-	if (request->place.peer)
-		direct_places_heard(direct->places, &request->place, took_us,
-				    request->expected_us);
+	if (request->placement.peer)
+		direct_places_heard(direct->placement, &request->placement,
+				    took_us, request->expected_us);
 	if (request->route->kind == DIRECT_STREAM)
-		lp_histogram_add(direct->first_times,
+		lp_histogram_add(direct->first_event_times,
 				 direct_request_now_us(request) -
 					 request->arrived_us);
 	/* A stream that resumes has them made again: that is rare, and their
@@ -302,7 +306,7 @@
 	direct_notices_receive(request->direct->notices, request->upstream,
 			       &request->reply);
 	/* A resumed stream keeps the head of its first upstream. */
-	if (request->begun)
+	if (request->answer_begun)
 		return;
 	http_fields_clear(&request->fields);
 	http_fields_init(&request->fields);
@@ -312,14 +316,15 @@
 static bool is_stream(const struct direct_request *request)
 {
 	return request->status / 100 == 2 && request->reply.is_events &&
-	       request->reply.is_ours && request->reply.is_genuine;
+	       request->reply.matches_request &&
+	       request->reply.has_upstream_seal;
 }
 
 static void begin_answer(struct direct_request *request)
 {
-	if (request->begun)
+	if (request->answer_begun)
 		return;
-	request->begun = true;
+	request->answer_begun = true;
 	http_call_start(request->call, request->status, &request->fields);
 }
 
@@ -348,7 +353,7 @@
 		pass_events(request);
 	if (request->body->len > ANSWER_MAX ||
 	    http_call_unsent(request->call) > UNSENT_MAX) {
-		if (request->begun)
+		if (request->answer_begun)
 			direct_request_abort(request, "too_large");
 		else
 			direct_request_reply_locally(request, 502, 0,
@@ -383,8 +388,8 @@
 	bool success = request->status / 100 == 2;
 
 	if (reply->other_process) {
-		direct_ends_saw(request->direct->ends, request->upstream,
-				DIRECT_END_REPLACED);
+		direct_ends_saw(request->direct->terminations,
+				request->upstream, DIRECT_END_REPLACED);
 		direct_sending_end(request, POOL_WRONG);
 		step_on(request, VERDICT_NOT_RUN, "other_process");
 	} else if (reply->not_run) {
@@ -393,10 +398,11 @@
 			reply->input_gone ? VERDICT_INPUT_GONE
 					  : VERDICT_NOT_RUN,
 			"not_run");
-	} else if (!reply->is_ours || (success && !reply->is_genuine)) {
+	} else if (!reply->matches_request ||
+		   (success && !reply->has_upstream_seal)) {
 		direct_sending_end(request, POOL_UNREACHABLE);
 		step_on(request, VERDICT_BROKEN, "not_ours");
-	} else if (request->begun) {
+	} else if (request->answer_begun) {
 		direct_quarantine_served(request->direct->quarantine, request);
 		direct_sending_end(request, POOL_ERROR);
 		step_on(request, VERDICT_BROKEN, "no_stream");
@@ -422,7 +428,7 @@
 		if (sent)
 			note_lost(request);
 		else if (error == LP_ERROR_NOT_LISTENING)
-			direct_ends_saw(request->direct->ends,
+			direct_ends_saw(request->direct->terminations,
 					request->upstream, DIRECT_END_REFUSED);
 		direct_sending_end(request, POOL_UNREACHABLE);
 		step_on(request, sent ? VERDICT_BROKEN : VERDICT_NOT_SENT,
@@ -447,16 +453,17 @@
 {
 	GPtrArray *inputs = NULL;
 	struct direct_upstream_request offer = {
-		.from = http_call_fields(request->call),
+		.caller_fields = http_call_fields(request->call),
 		.upstream = request->upstream->entry.id,
 		.organisation = request->organisation
 					? request->organisation->name
 					: NULL,
-		.left_us = request->give_up_us - direct_request_now_us(request),
+		.left_us =
+			request->deadline_us - direct_request_now_us(request),
 		.priority = request->priority,
 		.last_event_id = request->last_event_id
 					 ? request->last_event_id
-					 : request->ask.last_event_id,
+					 : request->info.last_event_id,
 		.copy_from = request->copy_from
 				     ? request->copy_from->entry.address
 				     : NULL,
@@ -468,7 +475,7 @@
 			     inputs);
 		offer.inputs = inputs;
 	}
-	request->direct->options.codec->write_offer(&offer, fields);
+	request->direct->options.codec->write_request(&offer, fields);
 	if (inputs)
 		g_ptr_array_unref(inputs);
 }
@@ -478,7 +485,7 @@
 static struct pool_copy find_copy(const struct direct_request *request)
 {
 	const struct pool *pool = request->direct->pool;
-	const struct direct_place *place = &request->place;
+	const struct direct_place *place = &request->placement;
 	struct pool_ask ask;
 
 	if (!place->peer) {
@@ -496,7 +503,7 @@
 /* By ourselves, or as its placer counts. */
 static void count_tokens(struct direct_request *request)
 {
-	const struct direct_place *place = &request->place;
+	const struct direct_place *place = &request->placement;
 	struct pool_copy copy = find_copy(request);
 	int64_t ahead = place->peer ? place->tokens_ahead
 				    : request->upstream->tokens_ahead;
@@ -515,13 +522,13 @@
 static void prepare_sending(struct direct_request *request,
 			    struct pool_upstream *upstream)
 {
-	const GArray *parts = request->ask.parts;
+	const GArray *parts = request->info.prefix_blocks;
 
 	request->state = DIRECT_STATE_SENT;
 	request->upstream = pool_hold(upstream);
 	request->sent_us = direct_request_now_us(request);
-	request->round = direct_request_quarantine_round(request);
-	request->heard = false;
+	request->quarantine_round = direct_request_quarantine_round(request);
+	request->upstream_responded = false;
 	request->status = 0;
 	memset(&request->reply, 0, sizeof(request->reply));
 	g_string_truncate(request->body, 0);
@@ -539,8 +546,8 @@
 			"cached=\"no\"") += request->cold_tokens;
 	upstream->in_flight++;
 	upstream->tokens_ahead += request->cold_tokens;
-	request->moves++;
-	g_ptr_array_add(request->tried, g_strdup(upstream->entry.id));
+	request->sendings++;
+	g_ptr_array_add(request->tried_upstreams, g_strdup(upstream->entry.id));
 }
 
 static void log_sending(struct direct_request *request)
@@ -558,15 +565,15 @@
 	lp_event_int(log, "tokens_ahead", request->upstream->tokens_ahead);
 	lp_event_int(log, "expected_us", request->expected_us);
 	lp_event_text(log, "placer",
-		      request->place.peer
+		      request->placement.peer
 			      ? direct_peers_ip(request->direct->peers,
-						request->place.peer)
+						request->placement.peer)
 			      : "");
 	lp_event_int(log, "in_flight", request->upstream->in_flight);
 	lp_event_int(log, "waited_us", request->sent_us - request->arrived_us);
 	lp_event_int(log, "config", request->config->version);
 	lp_event_int(log, "list_age_us",
-		     request->sent_us - request->direct->listed_us);
+		     request->sent_us - request->direct->upstreams_updated_us);
 	lp_event_end(log);
 }
 
@@ -600,7 +607,7 @@
 {
 	const char *why = wait_us ? "limited" : "no_upstream";
 
-	if (request->begun)
+	if (request->answer_begun)
 		direct_request_abort(request, why);
 	else
 		direct_request_refuse(
@@ -629,7 +636,7 @@
 	struct pool *pool = request->direct->pool;
 	struct pool_upstream *upstream;
 
-	request->place = (struct direct_place){ 0 };
+	request->placement = (struct direct_place){ 0 };
 	upstream = pool_pick(pool, ask);
 	if (!upstream) { /* none of its share is left */
 		ask->share_count = 0;
@@ -650,13 +657,13 @@
 	struct direct_request *request = userdata;
 	struct pool_ask ask;
 
-	request->question = 0;
+	request->placement_query = 0;
 	if (!upstream) {
 		write_pool_ask(request, &ask);
 		place_by_ourselves(request, &ask, place->wait_us);
 		return;
 	}
-	request->place = *place;
+	request->placement = *place;
 	send_to(request, upstream);
 }
 
@@ -667,14 +674,14 @@
 	struct direct *direct = request->direct;
 	uint64_t placer;
 
-	if (!direct->places || !request->ask.parts->len)
+	if (!direct->placement || !request->info.prefix_blocks->len)
 		return false;
 	placer = direct_stages_placer(direct->stages, ask);
 	if (!placer)
 		return false;
-	request->question = direct_places_ask(direct->places, placer, ask,
-					      on_placed, request);
-	if (!request->question)
+	request->placement_query = direct_places_ask(direct->placement, placer,
+						     ask, on_placed, request);
+	if (!request->placement_query)
 		return false;
 	request->state = DIRECT_STATE_PLACING;
 	return true;
--- a/direct/direct_stage_plan.c
+++ b/direct/direct_stage_plan.c
@@ -49,7 +49,7 @@
 int64_t direct_stage_plan_engine_us(const struct direct_request *request)
 {
 	return DIRECT_ENGINE_FIRST_EVENT_US +
-	       request->ask.tokens_in * LP_US_PER_MS /
+	       request->info.tokens_in * LP_US_PER_MS /
 		       (PROMPT_PARTS * POOL_TOKENS_PER_MS);
 }
 
@@ -75,7 +75,7 @@
 static bool is_last_made(const struct direct_request *request, uint32_t stage)
 {
 	for (uint32_t i = 0; i < request->route->stages_count; i++)
-		if (request->made_us[i] > request->made_us[stage])
+		if (request->completed_us[i] > request->completed_us[stage])
 			return false;
 	return true;
 }
@@ -86,16 +86,16 @@
 {
 	const struct direct_route *route = request->route;
 
-	if (!request->made_us[stage])
+	if (!request->completed_us[stage])
 		return false;
 	if (is_last_made(request, stage))
 		return true;
 	for (uint32_t i = stage + 1; i < route->stages_count; i++)
 		for (uint32_t j = 0; j < route->stages[i].after_count; j++)
 			if (route->stages[i].after[j] == stage &&
-			    request->asked_us[i] &&
-			    request->asked_us[i] <
-				    request->made_us[stage] + AT_ONCE_US &&
+			    request->requested_us[i] &&
+			    request->requested_us[i] <
+				    request->completed_us[stage] + AT_ONCE_US &&
 			    went_on(request, i))
 				return true;
 	return false;
@@ -107,14 +107,16 @@
 		MIN(request->route->stages_count, DIRECT_ESTIMATED_STAGES_MAX);
 	struct direct_route_estimates *learnt;
 
-	if (!request->graph || request->remakes || request->moves != 1)
+	if (!request->graph || request->recomputations ||
+	    request->sendings != 1)
 		return;
 	learnt = direct_request_estimates(request);
 	for (uint32_t i = 0; i < count; i++)
 		if (went_on(request, i))
-			remaining_learn(
-				&learnt->remaining[i], expected_us(request, i),
-				request->first_us - request->made_us[i]);
+			remaining_learn(&learnt->remaining[i],
+					expected_us(request, i),
+					request->first_event_us -
+						request->completed_us[i]);
 }
 
 static bool has_missing(const struct graph *graph, uint32_t stage)
@@ -134,9 +136,9 @@
 	const struct pool_upstream *preferred = NULL;
 	struct pool_ask ask = {
 		.service = request->service,
-		.homes = request->homes,
-		.parts = (struct pool_part *)request->ask.parts->data,
-		.parts_count = request->ask.parts->len,
+		.homes = request->allowed_regions,
+		.parts = (struct pool_part *)request->info.prefix_blocks->data,
+		.parts_count = request->info.prefix_blocks->len,
 	};
 
 	for (uint32_t i = 0; i < stages[stage].after_count; i++) {
@@ -172,8 +174,8 @@
 		int64_t bytes = stages[before].bytes *
 				graph_pieces(request->graph, before);
 
-		if (maker && maker->room_bytes &&
-		    bytes * ROOM_SHARES >= maker->room_bytes)
+		if (maker && maker->result_memory_bytes &&
+		    bytes * ROOM_SHARES >= maker->result_memory_bytes)
 			return true;
 	}
 	return false;
@@ -222,29 +224,29 @@
 	struct direct_work work = {
 		.id = g_strdup(request->id),
 		.service = g_strdup(config->service),
-		.key = g_strdup(request->ask.piece_key),
+		.key = g_strdup(request->info.piece_key),
 		.inputs = copy_inputs(request->graph, stage),
 		.piece = {
 			.stage = stage,
-			.due_us = request->arrived_us - request->waited_us +
+			.due_us = request->arrived_us - request->client_waited_us +
 				  request->route->target_us -
 				  allowed_us(request, stage) - call_us,
-			.until_us = request->give_up_us,
+			.until_us = request->deadline_us,
 			.priority = request->priority,
 			.bytes = config->bytes,
-			.homes = request->homes,
+			.homes = request->allowed_regions,
 			.has_inputs = config->after_count > 0,
 			.holds_room = holds_room(request, stage),
-			.alone = request->is_try,
+			.alone = request->is_trial,
 			.split = is_begun(request->graph, stage),
 		},
 	};
 
 	set_preferred_domain(request, stage, &work.piece);
-	if (request->asked_us[stage])
-		request->remakes++;
+	if (request->requested_us[stage])
+		request->recomputations++;
 	else
-		request->asked_us[stage] = direct_request_now_us(request);
+		request->requested_us[stage] = direct_request_now_us(request);
 	work.indices = take_missing(request->graph, stage);
 	direct_stages_ask(request->direct->stages, request, &work);
 }
@@ -287,20 +289,20 @@
 
 static void note_stage_made(struct direct_request *request, uint32_t stage)
 {
-	request->made_us[stage] = direct_request_now_us(request);
-	if (request->asked_us[stage] <=
+	request->completed_us[stage] = direct_request_now_us(request);
+	if (request->requested_us[stage] <=
 	    request->arrived_us + request->route->target_us)
 		direct_stages_learn(request->direct->stages,
 				    request->route->stages[stage].service,
 				    request->priority,
-				    request->made_us[stage] -
-					    request->asked_us[stage]);
+				    request->completed_us[stage] -
+					    request->requested_us[stage]);
 }
 
 static void note_made(struct direct_request *request)
 {
 	for (uint32_t i = 0; i < request->route->stages_count; i++)
-		if (request->asked_us[i] && !request->made_us[i] &&
+		if (request->requested_us[i] && !request->completed_us[i] &&
 		    graph_stage_made(request->graph, i))
 			note_stage_made(request, i);
 }
@@ -318,7 +320,7 @@
 	if (!direct_request_check_quarantine(request))
 		return;
 	ask_ready_stages(request);
-	if (request->remakes > REMAKES_MAX) {
+	if (request->recomputations > REMAKES_MAX) {
 		direct_request_refuse(request, DIRECT_RETRY_AFTER_FULL_US,
 				      "stages_fail");
 		return;
@@ -341,13 +343,13 @@
 	for (uint32_t i = 0; i < route->stages_count; i++) {
 		stages[i].after = route->stages[i].after;
 		stages[i].after_count = route->stages[i].after_count;
-		stages[i].pieces = i < request->ask.pieces->len
-					   ? g_array_index(request->ask.pieces,
+		stages[i].pieces = i < request->info.pieces->len
+					   ? g_array_index(request->info.pieces,
 							   uint32_t, i)
 					   : 1;
 	}
 	request->graph = graph_create(stages, route->stages_count);
-	request->asked_us = g_new0(int64_t, route->stages_count);
-	request->made_us = g_new0(int64_t, route->stages_count);
+	request->requested_us = g_new0(int64_t, route->stages_count);
+	request->completed_us = g_new0(int64_t, route->stages_count);
 	g_free(stages);
 }
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -349,7 +349,7 @@
 		service->is_ours =
 			service->is_engines && places_some(stages, service);
 		if (service->is_ours && !was_ours)
-			direct_prefix_cache_query(stages->direct->memory,
+			direct_prefix_cache_query(stages->direct->prefix_cache,
 						  service->name);
 	}
 }
@@ -376,9 +376,9 @@
 		pool_set_copying(stages->direct->pool, service->name,
 				 service->token_bytes,
 				 service->copy_bytes_per_us);
-		if (service->does_pieces || service->engine_tokens)
+		if (service->serves_pieces || service->prefix_cache_tokens)
 			service_of(stages, service->name)->is_engines =
-				!service->does_pieces;
+				!service->serves_pieces;
 	}
 	find_dispatchers(stages);
 }
--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -236,7 +236,7 @@
 		options.domain = "a";
 		options.retry_ratio = 0.2;
 		options.retry_slack = 20;
-		options.kept_out = [](void *self, uint64_t content) {
+		options.blocked = [](void *self, uint64_t content) {
 			plf_kept_write(static_cast<Rig *>(self)->kept, content);
 		};
 		options.userdata = this;
--- a/tests/notices_test.cc
+++ b/tests/notices_test.cc
@@ -151,8 +151,8 @@
 	Rig rig;
 	direct_reply reply = {};
 
-	reply.leaving = true;
-	reply.is_ours = true;
+	reply.draining = true;
+	reply.matches_request = true;
 	reply.other_process = true;
 	direct_notices_options options = { rig.clock, rig.log, rig.counters,
 					   pool_create(rig.clock, "a") };
@@ -165,10 +165,10 @@
 	direct_notices_receive(notices, upstream, &reply);
 	EXPECT_FALSE(upstream->said_leaving);
 	reply.other_process = false;
-	reply.is_ours = false;
+	reply.matches_request = false;
 	direct_notices_receive(notices, upstream, &reply);
 	EXPECT_FALSE(upstream->said_leaving);
-	reply.is_ours = true;
+	reply.matches_request = true;
 	direct_notices_receive(notices, upstream, &reply);
 	EXPECT_TRUE(upstream->said_leaving);
 	direct_notices_destroy(notices);
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -284,12 +284,12 @@
 	Fields out;
 	direct_upstream_request offer = {};
 
-	offer.from = &from.it;
+	offer.caller_fields = &from.it;
 	offer.upstream = "i-1";
 	offer.organisation = "acme";
 	offer.left_us = 1234567;
 	offer.priority = 1;
-	plf_codec()->write_offer(&offer, &out.it);
+	plf_codec()->write_request(&offer, &out.it);
 	EXPECT_EQ(out.get("X-Tenant"), "acme");
 	EXPECT_EQ(out.get("X-Expect-Instance"), "i-1");
 	EXPECT_EQ(out.get("X-Deadline-Ms"), "1234");
@@ -332,8 +332,9 @@
 		direct_reply reply = {};
 
 		plf_codec()->read_reply(row.status, &fields.it, "a", &reply);
-		EXPECT_EQ(reply.is_ours, row.is_ours) << row.status;
-		EXPECT_EQ(reply.is_genuine, row.is_genuine) << row.status;
+		EXPECT_EQ(reply.matches_request, row.is_ours) << row.status;
+		EXPECT_EQ(reply.has_upstream_seal, row.is_genuine)
+			<< row.status;
 		EXPECT_EQ(reply.not_run, row.not_run) << row.status;
 		EXPECT_EQ(reply.other_process, row.other) << row.status;
 	}
@@ -353,7 +354,7 @@
 		direct_reply reply = {};
 
 		plf_codec()->read_reply(503, &fields.it, "a", &reply);
-		EXPECT_EQ(reply.leaving, row.leaving) << row.value;
+		EXPECT_EQ(reply.draining, row.leaving) << row.value;
 	}
 }
 
@@ -382,7 +383,7 @@
 		direct_reply reply = {};
 
 		plf_codec()->read_reply(row.status, &fields.it, "a", &reply);
-		EXPECT_EQ(reply.rest_us, row.rest_us) << row.value;
+		EXPECT_EQ(reply.pushback_us, row.rest_us) << row.value;
 	}
 }
 
@@ -447,11 +448,12 @@
 				{ row.name, row.value } });
 		direct_request_info ask = {};
 
-		ask.parts = g_array_new(FALSE, FALSE, sizeof(pool_part));
+		ask.prefix_blocks =
+			g_array_new(FALSE, FALSE, sizeof(pool_part));
 		ask.pieces = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-		EXPECT_EQ(plf_codec()->read_ask(&fields.it, &ask), row.good)
+		EXPECT_EQ(plf_codec()->read_request(&fields.it, &ask), row.good)
 			<< row.name << " " << row.value;
-		g_array_unref(ask.parts);
+		g_array_unref(ask.prefix_blocks);
 		g_array_unref(ask.pieces);
 	}
 }
@@ -498,15 +500,16 @@
 {
 	direct_result_memory room = {};
 	auto read = [&](const char *body) {
-		return plf_codec()->read_room(body, strlen(body), &room);
+		return plf_codec()->read_result_memory(body, strlen(body),
+						       &room);
 	};
 
 	ASSERT_TRUE(read("{\"waiting\":0,\"busy\":1,\"free_mb\":17}"));
-	EXPECT_EQ(room.least_bytes, 17000000);
-	EXPECT_EQ(room.most_bytes, 18000000);
+	EXPECT_EQ(room.min_bytes, 17000000);
+	EXPECT_EQ(room.max_bytes, 18000000);
 	EXPECT_EQ(room.born_ms, 0);
 	ASSERT_TRUE(read("{\"free_mb\":-3,\"born\":5}"));
-	EXPECT_EQ(room.least_bytes, 0);
+	EXPECT_EQ(room.min_bytes, 0);
 	EXPECT_EQ(room.born_ms, 5);
 	for (const char *bad :
 	     { "", "no", "{}", "{\"free_mb\":\"17\"}", "{\"free_mb\":[17]}",
@@ -514,7 +517,7 @@
 		EXPECT_FALSE(read(bad)) << bad;
 	/* Larger than any upstream: not out of range. */
 	ASSERT_TRUE(read("{\"free_mb\":9000000000000000000}"));
-	EXPECT_GT(room.most_bytes, room.least_bytes);
+	EXPECT_GT(room.max_bytes, room.min_bytes);
 }
 
 /* ---- the log ---- */
--- a/tests/prefix_cache_test.cc
+++ b/tests/prefix_cache_test.cc
@@ -177,8 +177,8 @@
 		GArray *parts =
 			g_array_new(FALSE, FALSE, sizeof(struct pool_part));
 
-		EXPECT_EQ(plf_codec()->read_memory(row.body, strlen(row.body),
-						   parts),
+		EXPECT_EQ(plf_codec()->read_prefix_cache(
+				  row.body, strlen(row.body), parts),
 			  row.whole)
 			<< row.body;
 		EXPECT_TRUE(!row.whole || parts->len == row.parts) << row.body;
