--- a/direct/direct.c
+++ b/direct/direct.c
@@ -10,7 +10,7 @@
 	direct_request_begin(userdata, call);
 }
 
-static void on_refused(void *userdata, int error, uint32_t status)
+static void on_request_unreadable(void *userdata, int error, uint32_t status)
 {
 	struct direct *direct = userdata;
 	struct lp_event_log *log = direct->options.log;
@@ -24,8 +24,9 @@
 	lp_event_end(log);
 }
 
-static void on_restarted(void *userdata, const struct pool_upstream *before,
-			 const struct pool_upstream *after)
+static void on_upstream_restarted(void *userdata,
+				  const struct pool_upstream *before,
+				  const struct pool_upstream *after)
 {
 	struct direct *direct = userdata;
 	struct lp_event_log *log = direct->options.log;
@@ -46,17 +47,17 @@
 	lp_event_end(log);
 }
 
-static void on_upstream_ended(void *userdata, const struct loss *lost,
-			      guint count)
+static void on_upstream_terminated(void *userdata, const struct loss *losses,
+				   guint count)
 {
 	struct direct *direct = userdata;
 
-	direct_quarantine_ended(direct->quarantine, lost, count);
+	direct_quarantine_ended(direct->quarantine, losses, count);
 }
 
 /* `act` may end the request that it is given. */
-static void each_request(struct direct *direct,
-			 void (*act)(struct direct_request *request))
+static void for_each_request(struct direct *direct,
+			     void (*act)(struct direct_request *request))
 {
 	g_autoptr(GList) requests = g_hash_table_get_keys(direct->requests);
 
@@ -64,22 +65,22 @@
 		act(at->data);
 }
 
-static void open_to_peers(struct direct *direct);
+static void update_peer_service(struct direct *direct);
 
-static void on_closures(void *userdata)
+static void on_closed_domains_changed(void *userdata)
 {
 	struct direct *direct = userdata;
 
-	open_to_peers(direct);
+	update_peer_service(direct);
 	if (!pool_close(direct->pool,
 			direct_closed_domains_known(direct->closed_domains)))
 		return;
-	each_request(direct, direct_request_refuse_if_closed);
+	for_each_request(direct, direct_request_refuse_if_closed);
 	direct_calls_run(direct->calls);
 }
 
 /* Until a configuration says more: what keeps a stranger from filling us. */
-static const struct http_limits first_limits = {
+static const struct http_limits initial_limits = {
 	.head_bytes = 16384,
 	.body_bytes = 4194304,
 	.read_us = 10 * LP_US_PER_S,
@@ -92,9 +93,9 @@
 	const struct http_server_options server = {
 		.address = options->address,
 		.clock = options->clock,
-		.limits = first_limits,
+		.limits = initial_limits,
 		.request = on_request,
-		.refused = on_refused,
+		.refused = on_request_unreadable,
 		.userdata = direct,
 	};
 	const struct retries_options retries = {
@@ -112,12 +113,12 @@
 	direct->options = *options;
 	direct->domain = g_strdup(options->domain);
 	direct->pool = pool_create(options->clock, options->domain);
-	pool_hear_restarts(direct->pool, on_restarted, direct);
+	pool_hear_restarts(direct->pool, on_upstream_restarted, direct);
 	direct->closed_domains = direct_closed_domains_create(
 		&(struct direct_closed_domains_options){
 			.log = options->log,
 			.counters = options->counters,
-			.changed = on_closures,
+			.changed = on_closed_domains_changed,
 			.userdata = direct,
 		});
 	direct->notices =
@@ -134,7 +135,7 @@
 	direct->quarantine = direct_quarantine_create(direct);
 	direct->terminations = direct_ends_create(&(struct direct_ends_options){
 		.direct = direct,
-		.ended = on_upstream_ended,
+		.ended = on_upstream_terminated,
 		.userdata = direct,
 	});
 	direct->calls = direct_calls_create(direct);
@@ -159,7 +160,7 @@
 {
 	if (!direct)
 		return;
-	each_request(direct, direct_request_discard);
+	for_each_request(direct, direct_request_discard);
 	http_server_destroy(direct->server);
 	if (direct->peers)
 		direct_peers_listen_none(direct->peers);
@@ -184,7 +185,8 @@
 	g_free(direct);
 }
 
-static gboolean is_dropped(gpointer name, gpointer learnt, gpointer userdata)
+static gboolean is_route_removed(gpointer name, gpointer estimates,
+				 gpointer userdata)
 {
 	const struct direct_config *config = userdata;
 
@@ -212,7 +214,7 @@
 }
 
 /* We dispatch for others while we know services and upstreams. */
-static void open_to_peers(struct direct *direct)
+static void update_peer_service(struct direct *direct)
 {
 	if (direct->peers)
 		direct_peers_open(direct->peers, direct_ready(direct));
@@ -234,9 +236,9 @@
 	direct->config = direct_config_ref(config);
 	http_server_set_limits(direct->server, &limits);
 	direct_calls_configure(direct->calls, config);
-	open_to_peers(direct);
+	update_peer_service(direct);
 	direct_stages_configure(direct->stages, config);
-	g_hash_table_foreach_remove(direct->route_estimates, is_dropped,
+	g_hash_table_foreach_remove(direct->route_estimates, is_route_removed,
 				    config);
 	log_config(direct, before);
 	return true;
@@ -255,7 +257,7 @@
 
 	direct->has_upstreams = true;
 	direct->upstreams_updated_us = lp_now_us(direct->options.clock);
-	open_to_peers(direct);
+	update_peer_service(direct);
 	if (!changes)
 		return;
 	if (lp_event_begin(log, "upstreams", NULL)) {
@@ -305,16 +307,16 @@
 	direct_notices_set_peers(direct->notices, peers);
 	direct_quarantine_set_peers(direct->quarantine, peers);
 	direct_stages_set_peers(direct->stages, peers);
-	open_to_peers(direct);
+	update_peer_service(direct);
 }
 
 void direct_report_unreachable(struct direct *direct, uint64_t upstream,
-			       int64_t aside_us)
+			       int64_t ejection_us)
 {
-	struct pool_upstream *heard = pool_find_life(direct->pool, upstream);
+	struct pool_upstream *target = pool_find_life(direct->pool, upstream);
 
-	if (heard)
-		pool_heard_unreachable(direct->pool, heard, aside_us);
+	if (target)
+		pool_heard_unreachable(direct->pool, target, ejection_us);
 }
 
 void direct_enforce_quarantine(struct direct *direct, bool on)
@@ -370,7 +372,7 @@
 
 void direct_refuse_unsent(struct direct *direct)
 {
-	each_request(direct, direct_request_refuse_unsent);
+	for_each_request(direct, direct_request_refuse_unsent);
 }
 
 void direct_stop_listening(struct direct *direct)
--- a/direct/direct_closed_domains.c
+++ b/direct/direct_closed_domains.c
@@ -13,40 +13,41 @@
 
 /* ---- telling ---- */
 
-static GVariant *write_known(const struct direct_closed_domains *closures)
+static GVariant *
+write_closures(const struct direct_closed_domains *closed_domains)
 {
-	g_autoptr(GPtrArray) domains = closures_list(closures->closures);
+	g_autoptr(GPtrArray) domains = closures_list(closed_domains->closures);
 	GVariantBuilder names;
 
 	g_variant_builder_init(&names, G_VARIANT_TYPE("as"));
 	for (guint i = 0; i < domains->len; i++)
 		g_variant_builder_add(&names, "s",
 				      g_ptr_array_index(domains, i));
-	return g_variant_new(CLOSURES_TYPE,
-			     (gint64)closures_revision(closures->closures),
-			     &names);
+	return g_variant_new(
+		CLOSURES_TYPE,
+		(gint64)closures_revision(closed_domains->closures), &names);
 }
 
-static void on_met(void *userdata, uint64_t peer)
+static void on_peer_discovered(void *userdata, uint64_t peer)
 {
-	struct direct_closed_domains *closures = userdata;
+	struct direct_closed_domains *closed_domains = userdata;
 	g_autoptr(GVariant) body = NULL;
 
-	if (!closures_is_known(closures->closures))
+	if (!closures_is_known(closed_domains->closures))
 		return;
-	body = g_variant_ref_sink(write_known(closures));
-	direct_peers_send(closures->peers, peer, KIND_CLOSURES, body);
+	body = g_variant_ref_sink(write_closures(closed_domains));
+	direct_peers_send(closed_domains->peers, peer, KIND_CLOSURES, body);
 }
 
 /* ---- learning ---- */
 
-static void note_change(struct direct_closed_domains *closures,
-			const char *source)
+static void report_change(struct direct_closed_domains *closed_domains,
+			  const char *source)
 {
-	g_autoptr(GPtrArray) domains = closures_list(closures->closures);
-	struct lp_event_log *log = closures->options.log;
+	g_autoptr(GPtrArray) domains = closures_list(closed_domains->closures);
+	struct lp_event_log *log = closed_domains->options.log;
 
-	*lp_counter(closures->options.counters, "linepier_closed_domains",
+	*lp_counter(closed_domains->options.counters, "linepier_closed_domains",
 		    NULL) = domains->len;
 	if (lp_event_begin(log, "closed_domains", NULL)) {
 		g_autofree char *names = lp_texts_join(domains, ",");
@@ -54,82 +55,84 @@
 		lp_event_text(log, "domains", names);
 		lp_event_text(log, "source", source);
 		lp_event_int(log, "revision",
-			     closures_revision(closures->closures));
+			     closures_revision(closed_domains->closures));
 		lp_event_end(log);
 	}
-	closures->options.changed(closures->options.userdata);
+	closed_domains->options.changed(closed_domains->options.userdata);
 }
 
-static void take_from_service(struct direct_closed_domains *closures)
+static void publish_change(struct direct_closed_domains *closed_domains)
 {
-	note_change(closures, "key_value");
-	if (closures->peers)
-		direct_peers_send_all(closures->peers, KIND_CLOSURES,
-				      write_known(closures));
+	report_change(closed_domains, "key_value");
+	if (closed_domains->peers)
+		direct_peers_send_all(closed_domains->peers, KIND_CLOSURES,
+				      write_closures(closed_domains));
 }
 
-static void on_word(void *userdata, uint64_t peer, GVariant *body)
+static void on_peer_closures(void *userdata, uint64_t peer, GVariant *body)
 {
-	struct direct_closed_domains *closures = userdata;
+	struct direct_closed_domains *closed_domains = userdata;
 	g_autofree const char **domains = NULL;
 	gint64 revision;
 
 	g_variant_get(body, "(x^a&s)", &revision, &domains);
-	if (closures_set_all(closures->closures, revision, domains,
+	if (closures_set_all(closed_domains->closures, revision, domains,
 			     g_strv_length((char **)domains)))
-		note_change(closures, "peer");
+		report_change(closed_domains, "peer");
 }
 
-void direct_closed_domains_set_all(struct direct_closed_domains *closures,
+void direct_closed_domains_set_all(struct direct_closed_domains *closed_domains,
 				   int64_t revision, const char *const *domains,
 				   uint32_t count)
 {
-	if (closures_set_all(closures->closures, revision, domains, count))
-		take_from_service(closures);
+	if (closures_set_all(closed_domains->closures, revision, domains,
+			     count))
+		publish_change(closed_domains);
 }
 
-void direct_closed_domains_set(struct direct_closed_domains *closures,
+void direct_closed_domains_set(struct direct_closed_domains *closed_domains,
 			       int64_t revision, const char *domain,
 			       bool closed)
 {
-	if (closures_set(closures->closures, revision, domain, closed))
-		take_from_service(closures);
+	if (closures_set(closed_domains->closures, revision, domain, closed))
+		publish_change(closed_domains);
 }
 
 const struct closures *
-direct_closed_domains_known(const struct direct_closed_domains *closures)
+direct_closed_domains_known(const struct direct_closed_domains *closed_domains)
 {
-	return closures->closures;
+	return closed_domains->closures;
 }
 
 /* ---- start and end ---- */
 
-void direct_closed_domains_set_peers(struct direct_closed_domains *closures,
-				     struct direct_peers *peers)
+void direct_closed_domains_set_peers(
+	struct direct_closed_domains *closed_domains,
+	struct direct_peers *peers)
 {
-	closures->peers = peers;
+	closed_domains->peers = peers;
 	if (!peers)
 		return;
-	direct_peers_listen(peers, KIND_CLOSURES, CLOSURES_TYPE, on_word,
-			    closures);
-	direct_peers_on_met(peers, on_met, closures);
+	direct_peers_listen(peers, KIND_CLOSURES, CLOSURES_TYPE,
+			    on_peer_closures, closed_domains);
+	direct_peers_on_met(peers, on_peer_discovered, closed_domains);
 }
 
 struct direct_closed_domains *direct_closed_domains_create(
 	const struct direct_closed_domains_options *options)
 {
-	struct direct_closed_domains *closures =
+	struct direct_closed_domains *closed_domains =
 		g_new0(struct direct_closed_domains, 1);
 
-	closures->options = *options;
-	closures->closures = closures_create();
-	return closures;
+	closed_domains->options = *options;
+	closed_domains->closures = closures_create();
+	return closed_domains;
 }
 
-void direct_closed_domains_destroy(struct direct_closed_domains *closures)
+void direct_closed_domains_destroy(struct direct_closed_domains *closed_domains)
 {
-	if (!closures)
+	if (!closed_domains)
 		return;
-	closures_destroy(closures->closures);
-	g_free(closures);
+	closures_destroy(closed_domains->closures);
+	g_free(closed_domains);
 }
--- a/direct/direct_closed_domains.h
+++ b/direct/direct_closed_domains.h
@@ -28,19 +28,21 @@
 
 struct direct_closed_domains *direct_closed_domains_create(
 	const struct direct_closed_domains_options *options);
-void direct_closed_domains_destroy(struct direct_closed_domains *closures);
+void direct_closed_domains_destroy(
+	struct direct_closed_domains *closed_domains);
 /** Tell these and hear them; NULL: nobody. Borrowed. */
-void direct_closed_domains_set_peers(struct direct_closed_domains *closures,
-				     struct direct_peers *peers);
+void direct_closed_domains_set_peers(
+	struct direct_closed_domains *closed_domains,
+	struct direct_peers *peers);
 /** The service says all that is closed at this revision. */
-void direct_closed_domains_set_all(struct direct_closed_domains *closures,
+void direct_closed_domains_set_all(struct direct_closed_domains *closed_domains,
 				   int64_t revision, const char *const *domains,
 				   uint32_t count);
 /** The service tells a change. */
-void direct_closed_domains_set(struct direct_closed_domains *closures,
+void direct_closed_domains_set(struct direct_closed_domains *closed_domains,
 			       int64_t revision, const char *domain,
 			       bool closed);
 const struct closures *
-direct_closed_domains_known(const struct direct_closed_domains *closures);
+direct_closed_domains_known(const struct direct_closed_domains *closed_domains);
 
 #endif
--- a/direct/direct_config.c
+++ b/direct/direct_config.c
@@ -61,7 +61,7 @@
 }
 
 /* No host and no path has an end of line: no two places share a name. */
-static char *place_name(const char *host, const char *path, size_t size)
+static char *prefix_key(const char *host, const char *path, size_t size)
 {
 	g_autofree char *lower = g_ascii_strdown(host, -1);
 	g_autofree char *prefix = g_strndup(path, size);
@@ -74,7 +74,7 @@
 			struct direct_route *route)
 {
 	size_t size = strlen(route->prefix);
-	char *name = place_name(route->host, route->prefix, size);
+	char *name = prefix_key(route->host, route->prefix, size);
 
 	config->prefix_max = MAX(config->prefix_max, size);
 	if (g_hash_table_contains(config->routes_by_prefix, name))
@@ -85,8 +85,8 @@
 
 /* ---- ranks ---- */
 
-static struct rank rank_of(const struct direct_route *route,
-			   const struct direct_organisation *organisation)
+static struct rank make_rank(const struct direct_route *route,
+			     const struct direct_organisation *organisation)
 {
 	struct rank rank = { route->priority, route->priority };
 
@@ -121,20 +121,20 @@
 	for (guint i = 0; i < config->organisations->len; i++) {
 		const struct direct_organisation *organisation =
 			g_ptr_array_index(config->organisations, i);
-		guint at = 0;
+		guint index = 0;
 
-		while (at < distinct->len &&
+		while (index < distinct->len &&
 		       ((const struct direct_organisation *)g_ptr_array_index(
-				distinct, at))
+				distinct, index))
 				       ->priority != organisation->priority)
-			at++;
-		if (at == distinct->len)
+			index++;
+		if (index == distinct->len)
 			g_ptr_array_add(distinct, (gpointer)organisation);
 	}
 	return distinct;
 }
 
-static void list_ranks(struct direct_config *config)
+static void index_ranks(struct direct_config *config)
 {
 	g_autoptr(GPtrArray) organisations = distinct_organisations(config);
 
@@ -143,12 +143,12 @@
 			g_ptr_array_index(config->routes, i);
 
 		if (route->is_public || !organisations->len)
-			add_rank(config->ranks, rank_of(route, NULL));
+			add_rank(config->ranks, make_rank(route, NULL));
 		for (guint j = 0; !route->is_public && j < organisations->len;
 		     j++)
 			add_rank(config->ranks,
-				 rank_of(route,
-					 g_ptr_array_index(organisations, j)));
+				 make_rank(route, g_ptr_array_index(
+							  organisations, j)));
 	}
 }
 
@@ -156,21 +156,21 @@
 			   const struct direct_route *route,
 			   const struct direct_organisation *organisation)
 {
-	struct rank rank = rank_of(route, organisation);
-	guint at = 0;
+	struct rank rank = make_rank(route, organisation);
+	guint index = 0;
 
-	while (at < config->ranks->len &&
-	       compare_ranks(&g_array_index(config->ranks, struct rank, at),
+	while (index < config->ranks->len &&
+	       compare_ranks(&g_array_index(config->ranks, struct rank, index),
 			     &rank) < 0)
-		at++;
-	return (int32_t)at;
+		index++;
+	return (int32_t)index;
 }
 
 void direct_config_seal(struct direct_config *config)
 {
 	for (guint i = 0; i < config->routes->len; i++)
 		index_route(config, g_ptr_array_index(config->routes, i));
-	list_ranks(config);
+	index_ranks(config);
 }
 
 struct direct_config *direct_config_ref(struct direct_config *config)
@@ -228,7 +228,7 @@
 {
 	/* A prefix ends with a slash; the longest that begins the path wins. */
 	size_t size = MIN(strlen(path), config->prefix_max);
-	g_autofree char *name = place_name(host, path, size);
+	g_autofree char *name = prefix_key(host, path, size);
 	char *begin = name + strlen(host) + 1;
 
 	for (char *end = begin + size; end > begin; end--) {
--- a/direct/direct_event_stream.c
+++ b/direct/direct_event_stream.c
@@ -3,21 +3,21 @@
 #include <glib.h>
 #include <string.h>
 
-static const char id_name[] = "id:";
+static const char id_field[] = "id:";
 
 /* One line, without its end. Only a line that begins with the name is an id:
  * data may hold that text, too. */
-static void note_line(const char *line, size_t size, char **last_id)
+static void read_id_line(const char *line, size_t size, char **last_id)
 {
-	size_t skip = sizeof(id_name) - 1;
+	size_t skip = sizeof(id_field) - 1;
 
-	if (size < skip || strncmp(line, id_name, skip) != 0)
+	if (size < skip || strncmp(line, id_field, skip) != 0)
 		return;
 	g_free(*last_id);
 	*last_id = g_strstrip(g_strndup(line + skip, size - skip));
 }
 
-static void note_ids(const char *event, size_t size, char **last_id)
+static void read_ids(const char *event, size_t size, char **last_id)
 {
 	size_t start = 0;
 
@@ -26,7 +26,7 @@
 		size_t length =
 			end ? (size_t)(end - event) - start : size - start;
 
-		note_line(event + start, length, last_id);
+		read_id_line(event + start, length, last_id);
 		start += length + 1;
 	}
 }
@@ -34,18 +34,19 @@
 size_t direct_event_stream_complete_size(const char *text, size_t size,
 					 char **last_id)
 {
-	size_t done = 0;
+	size_t complete_size = 0;
 
-	while (done < size) {
-		const char *end = g_strstr_len(text + done,
-					       (gssize)(size - done), "\n\n");
+	while (complete_size < size) {
+		const char *end =
+			g_strstr_len(text + complete_size,
+				     (gssize)(size - complete_size), "\n\n");
 		size_t event_size;
 
 		if (!end)
 			break;
-		event_size = (size_t)(end - text) + 2 - done;
-		note_ids(text + done, event_size, last_id);
-		done += event_size;
+		event_size = (size_t)(end - text) + 2 - complete_size;
+		read_ids(text + complete_size, event_size, last_id);
+		complete_size += event_size;
 	}
-	return done;
+	return complete_size;
 }
--- a/direct/direct_notices.c
+++ b/direct/direct_notices.c
@@ -9,12 +9,12 @@
 #define LIMITS_TYPE "a(tbdx)"
 /* Limits in one datagram. */
 #define LIMITS_MAX 100
-#define KIND_LEAVING 'X'
-#define LEAVING_TYPE "at" /* upstreams */
+#define KIND_DRAINING 'X'
+#define DRAINING_TYPE "at" /* upstreams */
 /* Upstreams in one datagram. */
-#define LEAVING_MAX 500
+#define DRAINING_MAX 500
 /* They are told of again after this: a datagram may be lost. */
-#define LEAVING_AGAIN_MS 500
+#define DRAINING_RESEND_MS 500
 /* A limit is logged in thousandths: log lines carry whole numbers. */
 #define LIMIT_LOG_SCALE 1000
 
@@ -25,7 +25,7 @@
 	guint resend_timer;
 };
 
-static int64_t now(const struct direct_notices *notices)
+static int64_t now_us(const struct direct_notices *notices)
 {
 	return lp_now_us(notices->options.clock);
 }
@@ -40,15 +40,15 @@
 
 	g_variant_builder_add(limits, "(tbdx)", (guint64)upstream->life,
 			      (gboolean)limit->named, limit->per_s,
-			      (gint64)(now(notices) - limit->heard_us));
+			      (gint64)(now_us(notices) - limit->heard_us));
 }
 
-static void tell_limit(struct direct_notices *notices,
+static void send_limit(struct direct_notices *notices,
 		       struct pool_upstream *upstream)
 {
 	GVariantBuilder limits;
 
-	upstream->limit.told_us = now(notices);
+	upstream->limit.told_us = now_us(notices);
 	if (!notices->peers)
 		return;
 	g_variant_builder_init(&limits, G_VARIANT_TYPE(LIMITS_TYPE));
@@ -57,57 +57,59 @@
 			      g_variant_builder_end(&limits));
 }
 
-static GVariant *write_leaving(const GArray *lives)
+static GVariant *write_draining(const GArray *incarnations)
 {
-	return g_variant_new_fixed_array(G_VARIANT_TYPE_UINT64, lives->data,
-					 MIN(lives->len, LEAVING_MAX),
-					 sizeof(uint64_t));
+	return g_variant_new_fixed_array(
+		G_VARIANT_TYPE_UINT64, incarnations->data,
+		MIN(incarnations->len, DRAINING_MAX), sizeof(uint64_t));
 }
 
-static gboolean on_leaving_again(gpointer userdata)
+static gboolean on_resend_draining(gpointer userdata)
 {
 	struct direct_notices *notices = userdata;
 
 	notices->resend_timer = 0;
 	if (notices->peers)
-		direct_peers_send_all(notices->peers, KIND_LEAVING,
-				      write_leaving(notices->draining));
+		direct_peers_send_all(notices->peers, KIND_DRAINING,
+				      write_draining(notices->draining));
 	g_array_set_size(notices->draining, 0);
 	return G_SOURCE_REMOVE;
 }
 
-static void tell_leaving(struct direct_notices *notices,
-			 const struct pool_upstream *upstream)
+static void send_draining(struct direct_notices *notices,
+			  const struct pool_upstream *upstream)
 {
 	g_array_append_val(notices->draining, upstream->life);
 	if (notices->peers)
-		direct_peers_send_all(notices->peers, KIND_LEAVING,
-				      write_leaving(notices->draining));
+		direct_peers_send_all(notices->peers, KIND_DRAINING,
+				      write_draining(notices->draining));
 	if (!notices->resend_timer)
-		notices->resend_timer = lp_timer_add(LEAVING_AGAIN_MS,
-						     on_leaving_again, notices);
+		notices->resend_timer = lp_timer_add(
+			DRAINING_RESEND_MS, on_resend_draining, notices);
 }
 
-static void greet_with_leaving(struct direct_notices *notices, uint64_t peer)
+static void send_draining_to_peer(struct direct_notices *notices, uint64_t peer)
 {
-	g_autoptr(GPtrArray) leaving = pool_said_leaving(notices->options.pool);
-	g_autoptr(GArray) lives = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	g_autoptr(GPtrArray) draining =
+		pool_said_leaving(notices->options.pool);
+	g_autoptr(GArray) incarnations =
+		g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	g_autoptr(GVariant) body = NULL;
 
-	for (guint i = 0; i < leaving->len; i++) {
+	for (guint i = 0; i < draining->len; i++) {
 		const struct pool_upstream *upstream =
-			g_ptr_array_index(leaving, i);
+			g_ptr_array_index(draining, i);
 
-		g_array_append_val(lives, upstream->life);
+		g_array_append_val(incarnations, upstream->life);
 	}
-	if (!lives->len)
+	if (!incarnations->len)
 		return;
-	body = g_variant_ref_sink(write_leaving(lives));
-	direct_peers_send(notices->peers, peer, KIND_LEAVING, body);
+	body = g_variant_ref_sink(write_draining(incarnations));
+	direct_peers_send(notices->peers, peer, KIND_DRAINING, body);
 }
 
 /* All that are named, so that who has just started keeps to them. */
-static void greet_with_limits(struct direct_notices *notices, uint64_t peer)
+static void send_limits_to_peer(struct direct_notices *notices, uint64_t peer)
 {
 	g_autoptr(GPtrArray) limited = pool_limited(notices->options.pool);
 	guint count = MIN(limited->len, LIMITS_MAX);
@@ -123,10 +125,10 @@
 	direct_peers_send(notices->peers, peer, KIND_LIMITS, body);
 }
 
-static void on_met(void *userdata, uint64_t peer)
+static void on_peer_discovered(void *userdata, uint64_t peer)
 {
-	greet_with_limits(userdata, peer);
-	greet_with_leaving(userdata, peer);
+	send_limits_to_peer(userdata, peer);
+	send_draining_to_peer(userdata, peer);
 }
 
 /* ---- learning ---- */
@@ -148,7 +150,7 @@
 	lp_event_int(log, "per_1000_s",
 		     (int64_t)(limit->per_s * LIMIT_LOG_SCALE));
 	lp_event_text(log, "source", source);
-	lp_event_int(log, "age_us", now(notices) - limit->heard_us);
+	lp_event_int(log, "age_us", now_us(notices) - limit->heard_us);
 	lp_event_end(log);
 }
 
@@ -164,14 +166,14 @@
 	lp_event_end(log);
 }
 
-static void hear_limit(struct direct_notices *notices,
-		       struct pool_upstream *upstream,
-		       const struct direct_reply *reply)
+static void receive_limit(struct direct_notices *notices,
+			  struct pool_upstream *upstream,
+			  const struct direct_reply *reply)
 {
-	struct rate_limit_word word = {
+	struct rate_limit_word notice = {
 		.named = reply->limit == DIRECT_LIMIT_ADVERTISED,
 		.per_s = reply->limit_per_s,
-		.heard_us = now(notices),
+		.heard_us = now_us(notices),
 	};
 	bool changed;
 
@@ -180,19 +182,19 @@
 		return;
 	}
 	/* A refusal or a failure may leave out what a success says. */
-	if (!word.named && !reply->is_success)
+	if (!notice.named && !reply->is_success)
 		return;
-	changed = pool_heard_limit(notices->options.pool, upstream, &word);
+	changed = pool_heard_limit(notices->options.pool, upstream, &notice);
 	if (changed)
 		log_limit(notices, upstream, "answer");
 	if (changed ||
-	    rate_limit_is_to_be_told(&upstream->limit, word.heard_us))
-		tell_limit(notices, upstream);
+	    rate_limit_is_to_be_told(&upstream->limit, notice.heard_us))
+		send_limit(notices, upstream);
 }
 
-static void log_leaving(const struct direct_notices *notices,
-			const struct pool_upstream *upstream,
-			const char *source)
+static void log_draining(const struct direct_notices *notices,
+			 const struct pool_upstream *upstream,
+			 const char *source)
 {
 	struct lp_event_log *log = notices->options.log;
 
@@ -209,13 +211,13 @@
 	lp_event_end(log);
 }
 
-static void hear_leaving(struct direct_notices *notices,
-			 struct pool_upstream *upstream)
+static void receive_draining(struct direct_notices *notices,
+			     struct pool_upstream *upstream)
 {
 	if (!pool_heard_leaving(notices->options.pool, upstream))
 		return;
-	log_leaving(notices, upstream, "answer");
-	tell_leaving(notices, upstream);
+	log_draining(notices, upstream, "answer");
+	send_draining(notices, upstream);
 }
 
 void direct_notices_receive(struct direct_notices *notices,
@@ -226,65 +228,66 @@
 	 */
 	if (reply->other_process || !reply->matches_request)
 		return;
-	hear_limit(notices, upstream, reply);
+	receive_limit(notices, upstream, reply);
 	if (reply->draining)
-		hear_leaving(notices, upstream);
+		receive_draining(notices, upstream);
 	if (reply->pushback_us)
 		pool_heard_rest(notices->options.pool, upstream,
 				reply->pushback_us);
 }
 
-static void take_told(struct direct_notices *notices, uint64_t peer,
-		      struct pool_upstream *upstream,
-		      const struct rate_limit_word *word)
+static void apply_peer_limit(struct direct_notices *notices, uint64_t peer,
+			     struct pool_upstream *upstream,
+			     const struct rate_limit_word *notice)
 {
-	if (pool_heard_limit(notices->options.pool, upstream, word))
+	if (pool_heard_limit(notices->options.pool, upstream, notice))
 		log_limit(notices, upstream,
 			  direct_peers_ip(notices->peers, peer));
 	/* Whoever told us has told the others. */
-	if (upstream->limit.heard_us == word->heard_us)
-		upstream->limit.told_us = now(notices);
+	if (upstream->limit.heard_us == notice->heard_us)
+		upstream->limit.told_us = now_us(notices);
 }
 
 static void on_limits(void *userdata, uint64_t peer, GVariant *body)
 {
 	struct direct_notices *notices = userdata;
 	GVariantIter iter;
-	guint64 life;
-	gboolean named;
+	guint64 incarnation;
+	gboolean advertised;
 	gdouble per_s;
 	gint64 age_us;
 
 	g_variant_iter_init(&iter, body);
-	while (g_variant_iter_next(&iter, "(tbdx)", &life, &named, &per_s,
-				   &age_us)) {
-		struct rate_limit_word word = {
-			.named = named,
+	while (g_variant_iter_next(&iter, "(tbdx)", &incarnation, &advertised,
+				   &per_s, &age_us)) {
+		struct rate_limit_word notice = {
+			.named = advertised,
 			.per_s = per_s,
-			.heard_us = now(notices) - MAX(age_us, 0),
+			.heard_us = now_us(notices) - MAX(age_us, 0),
 		};
 		struct pool_upstream *upstream =
-			pool_find_life(notices->options.pool, life);
+			pool_find_life(notices->options.pool, incarnation);
 
 		if (upstream && isfinite(per_s) && per_s >= 0)
-			take_told(notices, peer, upstream, &word);
+			apply_peer_limit(notices, peer, upstream, &notice);
 	}
 }
 
-static void on_leaving(void *userdata, uint64_t peer, GVariant *body)
+static void on_draining(void *userdata, uint64_t peer, GVariant *body)
 {
 	struct direct_notices *notices = userdata;
 	struct pool *pool = notices->options.pool;
 	gsize count;
-	const uint64_t *lives =
+	const uint64_t *incarnations =
 		g_variant_get_fixed_array(body, &count, sizeof(uint64_t));
 
 	for (gsize i = 0; i < count; i++) {
-		struct pool_upstream *upstream = pool_find_life(pool, lives[i]);
+		struct pool_upstream *upstream =
+			pool_find_life(pool, incarnations[i]);
 
 		if (upstream && pool_heard_leaving(pool, upstream))
-			log_leaving(notices, upstream,
-				    direct_peers_ip(notices->peers, peer));
+			log_draining(notices, upstream,
+				     direct_peers_ip(notices->peers, peer));
 	}
 }
 
@@ -298,9 +301,9 @@
 		return;
 	direct_peers_listen(peers, KIND_LIMITS, LIMITS_TYPE, on_limits,
 			    notices);
-	direct_peers_listen(peers, KIND_LEAVING, LEAVING_TYPE, on_leaving,
+	direct_peers_listen(peers, KIND_DRAINING, DRAINING_TYPE, on_draining,
 			    notices);
-	direct_peers_on_met(peers, on_met, notices);
+	direct_peers_on_met(peers, on_peer_discovered, notices);
 }
 
 struct direct_notices *
--- a/direct/direct_prefix_cache.h
+++ b/direct/direct_prefix_cache.h
@@ -29,9 +29,9 @@
 struct direct_prefix_cache *
 direct_prefix_cache_create(const struct direct_prefix_cache_options *options);
 /** Questions under way end; before the pool does. */
-void direct_prefix_cache_destroy(struct direct_prefix_cache *memory);
+void direct_prefix_cache_destroy(struct direct_prefix_cache *cache);
 /** Ask all engines of a service that have not been asked lately. */
-void direct_prefix_cache_query(struct direct_prefix_cache *memory,
+void direct_prefix_cache_query(struct direct_prefix_cache *cache,
 			       const char *service);
 
 #endif
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 /* An entry that ends still takes what lasts no longer than its restart. */
-#define SHORT_US (1 * LP_US_PER_S)
+#define SHUTDOWN_TIMEOUT_MAX_US (1 * LP_US_PER_S)
 
 /* ---- the end ---- */
 
@@ -102,7 +102,7 @@
 
 /* An answer of our own, at once. `wait_after_us`: come back after; 0: none. */
 void direct_request_reply_locally(struct direct_request *request,
-				  uint32_t status, int64_t wait_after_us,
+				  uint32_t status, int64_t retry_after_us,
 				  const char *why)
 {
 	struct http_fields fields;
@@ -112,7 +112,7 @@
 			       status, why);
 	http_fields_init(&fields);
 	request->direct->options.codec->write_refusal(request->id,
-						      wait_after_us, &fields);
+						      retry_after_us, &fields);
 	http_call_answer(request->call, status, &fields, NULL, 0);
 	http_fields_clear(&fields);
 	direct_request_free(request);
@@ -120,12 +120,12 @@
 
 /* True only if nothing that was sent can have run. */
 void direct_request_refuse(struct direct_request *request,
-			   int64_t wait_after_us, const char *why)
+			   int64_t retry_after_us, const char *why)
 {
 	if (request->may_have_run)
 		direct_request_reply_locally(request, 502, 0, why);
 	else
-		direct_request_reply_locally(request, 503, wait_after_us, why);
+		direct_request_reply_locally(request, 503, retry_after_us, why);
 }
 
 void direct_request_abort(struct direct_request *request, const char *why)
@@ -136,7 +136,7 @@
 	direct_request_free(request);
 }
 
-static gboolean on_give_up(gpointer userdata)
+static gboolean on_deadline(gpointer userdata)
 {
 	struct direct_request *request = userdata;
 
@@ -224,7 +224,7 @@
 /* ---- admission ---- */
 
 /* Time until the first event, if it were let in now. */
-static int64_t estimate_us(struct direct_request *request)
+static int64_t estimate_first_event_us(struct direct_request *request)
 {
 	const struct direct_route *route = request->route;
 	int64_t *done_us = g_new0(int64_t, route->stages_count);
@@ -245,15 +245,15 @@
 }
 
 static void log_overload(struct direct_request *request,
-			 const struct admission_request *ask)
+			 const struct admission_request *admission)
 {
 	struct lp_event_log *log = request->direct->options.log;
 
 	if (!lp_event_begin(log, "admission", request->id))
 		return;
 	lp_event_text(log, "outcome", "refused");
-	lp_event_int(log, "estimate_us", ask->estimate_us);
-	lp_event_int(log, "within_us", ask->target_us);
+	lp_event_int(log, "estimate_us", admission->estimate_us);
+	lp_event_int(log, "within_us", admission->target_us);
 	lp_event_int(log, "priority", request->priority);
 	lp_event_int(log, "config", request->config->version);
 	lp_event_end(log);
@@ -262,7 +262,7 @@
 /* Returns whether it is let in; else it is refused and gone. */
 static bool admit(struct direct_request *request)
 {
-	struct admission_request ask = {
+	struct admission_request admission = {
 		.target_us = request->route->target_us,
 		.hash = lp_hash_str(request->id),
 	};
@@ -270,17 +270,17 @@
 
 	if (!request->graph)
 		return true;
-	ask.estimate_us = estimate_us(request);
-	wait_us = admission_refuse_us(&ask);
+	admission.estimate_us = estimate_first_event_us(request);
+	wait_us = admission_refuse_us(&admission);
 	if (!wait_us)
 		return true;
-	log_overload(request, &ask);
+	log_overload(request, &admission);
 	direct_request_refuse(request, wait_us, "overload");
 	return false;
 }
 
 /* Of a service that it still needs, no upstream is open in its regions. */
-static bool needs_closed(const struct direct_request *request)
+static bool needs_closed_domain(const struct direct_request *request)
 {
 	const struct pool *pool = request->direct->pool;
 	const struct direct_route *route = request->route;
@@ -297,9 +297,9 @@
 
 /* Returns whether an open domain could serve it; else it is refused and gone.
  */
-static bool is_servable(struct direct_request *request)
+static bool check_domains_open(struct direct_request *request)
 {
-	if (!needs_closed(request))
+	if (!needs_closed_domain(request))
 		return true;
 	direct_request_refuse(request, DIRECT_RETRY_AFTER_FULL_US,
 			      "domains_closed");
@@ -309,7 +309,7 @@
 void direct_request_refuse_if_closed(struct direct_request *request)
 {
 	if (request->state == DIRECT_STATE_STAGES && request->service)
-		is_servable(request);
+		check_domains_open(request);
 }
 
 void direct_request_refuse_unsent(struct direct_request *request)
@@ -328,7 +328,7 @@
 }
 
 /* Match the request to the configuration; 0 or the status of a refusal. */
-static uint32_t match(struct direct_request *request)
+static uint32_t match_route(struct direct_request *request)
 {
 	struct direct *direct = request->direct;
 	const char *target = http_call_target(request->call);
@@ -360,17 +360,17 @@
 {
 	GHashTable *routes = request->direct->route_estimates;
 	const char *route = request->route->name;
-	struct direct_route_estimates *learnt =
+	struct direct_route_estimates *estimates =
 		g_hash_table_lookup(routes, route);
 
-	if (!learnt) {
-		learnt = g_new0(struct direct_route_estimates, 1);
-		g_hash_table_insert(routes, g_strdup(route), learnt);
+	if (!estimates) {
+		estimates = g_new0(struct direct_route_estimates, 1);
+		g_hash_table_insert(routes, g_strdup(route), estimates);
 	}
-	return learnt;
+	return estimates;
 }
 
-static void set_give_up(struct direct_request *request)
+static void set_deadline(struct direct_request *request)
 {
 	int64_t wait_us = request->route->timeout_us;
 	int64_t deadline_us = request->info.timeout_us;
@@ -381,7 +381,7 @@
 	request->deadline_us = request->arrived_us + wait_us;
 	left_us = MAX(request->deadline_us - direct_request_now_us(request), 0);
 	request->deadline_timer = lp_timer_add((guint)(left_us / LP_US_PER_MS),
-					       on_give_up, request);
+					       on_deadline, request);
 }
 
 static struct direct_request *create_request(struct direct *direct,
@@ -402,17 +402,18 @@
 }
 
 /* Before its entry does, and without putting that off. */
-static bool ends_in_time(const struct direct_request *request)
+static bool ends_before_shutdown(const struct direct_request *request)
 {
 	return request->deadline_us <= request->direct->shutdown_us &&
-	       request->deadline_us - request->arrived_us <= SHORT_US;
+	       request->deadline_us - request->arrived_us <=
+		       SHUTDOWN_TIMEOUT_MAX_US;
 }
 
 /* It can be read, and its entry is configured. */
-static void enter(struct direct_request *request)
+static void process_request(struct direct_request *request)
 {
 	struct direct *direct = request->direct;
-	uint32_t status = match(request);
+	uint32_t status = match_route(request);
 
 	if (status) {
 		direct_request_reply_locally(request, status, 0,
@@ -421,8 +422,8 @@
 		return;
 	}
 	http_call_on_gone(request->call, on_caller_gone, request);
-	set_give_up(request);
-	if (direct->shutdown_us && !ends_in_time(request)) {
+	set_deadline(request);
+	if (direct->shutdown_us && !ends_before_shutdown(request)) {
 		direct_request_refuse(request, DIRECT_RETRY_AFTER_DRAINING_US,
 				      "draining");
 		return;
@@ -435,7 +436,7 @@
 		return;
 	if (request->route->stages_count)
 		direct_stage_plan_create(request);
-	if (is_servable(request) && admit(request))
+	if (check_domains_open(request) && admit(request))
 		direct_request_advance(request);
 }
 
@@ -452,5 +453,5 @@
 	else if (!readable)
 		direct_request_reply_locally(request, 400, 0, "unreadable");
 	else
-		enter(request);
+		process_request(request);
 }
--- a/direct/direct_request.h
+++ b/direct/direct_request.h
@@ -96,11 +96,11 @@
 			    uint32_t status, const char *why);
 /** An answer of our own, at once. `wait_us`: come back after; 0: not told. */
 void direct_request_reply_locally(struct direct_request *request,
-				  uint32_t status, int64_t wait_us,
+				  uint32_t status, int64_t retry_after_us,
 				  const char *why);
 /** Refuse as "not run", or as failed if something sent may have run. */
-void direct_request_refuse(struct direct_request *request, int64_t wait_us,
-			   const char *why);
+void direct_request_refuse(struct direct_request *request,
+			   int64_t retry_after_us, const char *why);
 /** End a begun answer so that it is seen to be cut. */
 void direct_request_abort(struct direct_request *request, const char *why);
 
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -7,21 +7,21 @@
 #include <string.h>
 
 /* A further try needs at least this much time. */
-#define TRY_MIN_US (50 * LP_US_PER_MS)
+#define RETRY_TIME_MIN_US (50 * LP_US_PER_MS)
 /* What may be repeated is sent elsewhere when this much of the target has
  * passed without an answer, within these bounds. */
-#define STALL_TARGETS 2
+#define STALL_TARGET_MULTIPLE 2
 #define STALL_MIN_US (300 * LP_US_PER_MS)
 /* A stream that may resume: no event for this many of its longest pauses. */
-#define STALL_GAPS 3
+#define STALL_GAP_MULTIPLE 3
 #define STALL_FIRST_MIN_US (1000 * LP_US_PER_MS)
-#define STALL_EXPECTED 4
+#define STALL_EXPECTED_MULTIPLE 4
 /* An answer of this size is not buffered any further. */
-#define ANSWER_MAX (8 << 20)
+#define BUFFERED_ANSWER_MAX (8 << 20)
 /* A caller that takes nothing holds no more than this. */
-#define UNSENT_MAX (1 << 20)
+#define UNSENT_ANSWER_MAX (1 << 20)
 
-static void note_lost(struct direct_request *request)
+static void record_lost_sending(struct direct_request *request)
 {
 	request->lost_sendings++;
 	direct_request_report_lost(request, request->upstream,
@@ -57,16 +57,16 @@
 
 /* ---- what the pool is asked ---- */
 
-static const char *domain_of_maker(void *userdata, uint64_t maker)
+static const char *producer_domain(void *userdata, uint64_t producer)
 {
 	const struct pool *pool = userdata;
-	const struct pool_upstream *upstream = pool_find_life(pool, maker);
+	const struct pool_upstream *upstream = pool_find_life(pool, producer);
 
 	return upstream ? upstream->entry.domain : NULL;
 }
 
-static void write_pool_ask(const struct direct_request *request,
-			   struct pool_ask *ask)
+static void fill_pool_ask(const struct direct_request *request,
+			  struct pool_ask *ask)
 {
 	*ask = (struct pool_ask){
 		.service = request->service,
@@ -80,7 +80,7 @@
 	};
 	direct_stages_share(request->direct->stages, ask);
 	if (request->graph)
-		ask->domain = graph_main_domain(request->graph, domain_of_maker,
+		ask->domain = graph_main_domain(request->graph, producer_domain,
 						request->direct->pool,
 						&ask->fetch_bytes);
 	/* Late in any case. */
@@ -90,7 +90,7 @@
 
 /* ---- what follows a sending ---- */
 
-static bool take_retry(void *userdata)
+static bool take_from_retry_budget(void *userdata)
 {
 	struct direct_request *request = userdata;
 	bool taken =
@@ -101,8 +101,9 @@
 	return taken;
 }
 
-static void log_step(struct direct_request *request, enum verdict_event event,
-		     enum verdict_step step, const char *why)
+static void log_sending_end(struct direct_request *request,
+			    enum verdict_event event, enum verdict_step step,
+			    const char *why)
 {
 	static const char *const events[] = { "not_sent", "not_run",
 					      "answered", "error",
@@ -132,7 +133,7 @@
 	lp_event_end(log);
 }
 
-static void pass_answer(struct direct_request *request)
+static void forward_answer(struct direct_request *request)
 {
 	direct_request_log_end(request, "answered", request->status, NULL);
 	http_call_answer(request->call, request->status, &request->fields,
@@ -140,7 +141,7 @@
 	direct_request_free(request);
 }
 
-static void remake_inputs(struct direct_request *request)
+static void recompute_inputs(struct direct_request *request)
 {
 	if (!request->graph) {
 		direct_request_refuse(request, DIRECT_RETRY_AFTER_FULL_US,
@@ -167,15 +168,15 @@
 	struct pool_ask ask;
 	int64_t wait_us;
 
-	write_pool_ask(request, &ask);
+	fill_pool_ask(request, &ask);
 	wait_us = pool_turn_us(request->direct->pool, &ask);
 	direct_request_refuse(
 		request, wait_us ? wait_us : DIRECT_RETRY_AFTER_FULL_US, why);
 }
 
 /* The sending has ended (the upstream is left); decide and act. */
-static void step_on(struct direct_request *request, enum verdict_event event,
-		    const char *why)
+static void handle_sending_end(struct direct_request *request,
+			       enum verdict_event event, const char *why)
 {
 	bool repeatable = (request->route->kind == DIRECT_IDEMPOTENT ||
 			   request->route->resumes) &&
@@ -188,27 +189,27 @@
 		.runs = request->runs + 1,
 		.runs_max = MAX(request->route->attempts_max, 1),
 		.moves = request->sendings,
-		.has_time = direct_request_now_us(request) + TRY_MIN_US <
+		.has_time = direct_request_now_us(request) + RETRY_TIME_MIN_US <
 			    request->deadline_us,
 	};
 	enum verdict_step step =
-		verdict_next(&state, event, take_retry, request);
+		verdict_next(&state, event, take_from_retry_budget, request);
 
 	if (event == VERDICT_BROKEN || event == VERDICT_ERROR) {
 		request->may_have_run = true;
 		request->runs++;
 	}
-	log_step(request, event, step, why);
+	log_sending_end(request, event, step, why);
 	switch (step) {
 	case VERDICT_PASS:
-		pass_answer(request);
+		forward_answer(request);
 		break;
 	case VERDICT_AGAIN:
 	case VERDICT_RESUME:
 		direct_sending_start(request);
 		break;
 	case VERDICT_REMAKE:
-		remake_inputs(request);
+		recompute_inputs(request);
 		break;
 	case VERDICT_REFUSE:
 		refuse_not_run(request, why);
@@ -224,17 +225,17 @@
 
 /* ---- hearing from the upstream ---- */
 
-static int64_t stall_us(const struct direct_request *request)
+static int64_t stall_timeout_us(const struct direct_request *request)
 {
 	const struct direct_route *route = request->route;
 	int64_t left_us = request->deadline_us - direct_request_now_us(request);
 
 	if (route->kind == DIRECT_STREAM && request->upstream_responded)
-		return MAX(STALL_GAPS * route->gap_us, STALL_MIN_US);
+		return MAX(STALL_GAP_MULTIPLE * route->gap_us, STALL_MIN_US);
 	if (route->kind == DIRECT_STREAM)
-		return MAX(STALL_EXPECTED * request->expected_us,
+		return MAX(STALL_EXPECTED_MULTIPLE * request->expected_us,
 			   STALL_FIRST_MIN_US);
-	return MIN(MAX(STALL_TARGETS * route->target_us, STALL_MIN_US),
+	return MIN(MAX(STALL_TARGET_MULTIPLE * route->target_us, STALL_MIN_US),
 		   left_us / 2);
 }
 
@@ -243,9 +244,9 @@
 	struct direct_request *request = userdata;
 
 	request->stall_timer = 0;
-	note_lost(request);
+	record_lost_sending(request);
 	direct_sending_end(request, POOL_UNREACHABLE);
-	step_on(request, VERDICT_BROKEN, "silent");
+	handle_sending_end(request, VERDICT_BROKEN, "silent");
 	return G_SOURCE_REMOVE;
 }
 
@@ -260,12 +261,13 @@
 		return;
 	if (request->runs + 1 >= route->attempts_max)
 		return;
-	request->stall_timer = lp_timer_add(
-		(guint)(stall_us(request) / LP_US_PER_MS), on_stall, request);
+	request->stall_timer =
+		lp_timer_add((guint)(stall_timeout_us(request) / LP_US_PER_MS),
+			     on_stall, request);
 }
 
 /* The upstream has begun to answer: it has read the prompt and its inputs. */
-static void note_heard(struct direct_request *request)
+static void record_first_response(struct direct_request *request)
 {
 	struct direct *direct = request->direct;
 	int64_t took_us = direct_request_now_us(request) - request->sent_us;
@@ -313,7 +315,7 @@
 	http_fields_copy_end_to_end(&request->fields, fields);
 }
 
-static bool is_stream(const struct direct_request *request)
+static bool is_event_stream(const struct direct_request *request)
 {
 	return request->status / 100 == 2 && request->reply.is_events &&
 	       request->reply.matches_request &&
@@ -328,7 +330,7 @@
 	http_call_start(request->call, request->status, &request->fields);
 }
 
-static void pass_events(struct direct_request *request)
+static void forward_events(struct direct_request *request)
 {
 	size_t size = direct_event_stream_complete_size(
 		request->body->str, request->body->len,
@@ -336,7 +338,7 @@
 
 	if (!size)
 		return;
-	note_heard(request);
+	record_first_response(request);
 	begin_answer(request);
 	http_call_write(request->call, request->body->str, size);
 	g_string_erase(request->body, 0, (gssize)size);
@@ -349,10 +351,10 @@
 	struct direct_request *request = userdata;
 
 	g_string_append_len(request->body, bytes, (gssize)size);
-	if (is_stream(request))
-		pass_events(request);
-	if (request->body->len > ANSWER_MAX ||
-	    http_call_unsent(request->call) > UNSENT_MAX) {
+	if (is_event_stream(request))
+		forward_events(request);
+	if (request->body->len > BUFFERED_ANSWER_MAX ||
+	    http_call_unsent(request->call) > UNSENT_ANSWER_MAX) {
 		if (request->answer_begun)
 			direct_request_abort(request, "too_large");
 		else
@@ -361,17 +363,17 @@
 	}
 }
 
-static void end_stream(struct direct_request *request)
+static void finish_stream(struct direct_request *request)
 {
-	bool torn = request->unframed && request->body->len;
+	bool truncated = request->unframed && request->body->len;
 
-	note_heard(request);
-	if (torn)
-		note_lost(request);
-	direct_sending_end(request, torn ? POOL_UNREACHABLE : POOL_SERVED);
-	if (torn) {
+	record_first_response(request);
+	if (truncated)
+		record_lost_sending(request);
+	direct_sending_end(request, truncated ? POOL_UNREACHABLE : POOL_SERVED);
+	if (truncated) {
 		g_string_truncate(request->body, 0);
-		step_on(request, VERDICT_BROKEN, "torn");
+		handle_sending_end(request, VERDICT_BROKEN, "torn");
 		return;
 	}
 	direct_quarantine_served(request->direct->quarantine, request);
@@ -382,7 +384,7 @@
 	direct_request_free(request);
 }
 
-static void end_plain(struct direct_request *request)
+static void finish_answer(struct direct_request *request)
 {
 	const struct direct_reply *reply = &request->reply;
 	bool success = request->status / 100 == 2;
@@ -391,30 +393,30 @@
 		direct_ends_saw(request->direct->terminations,
 				request->upstream, DIRECT_END_REPLACED);
 		direct_sending_end(request, POOL_WRONG);
-		step_on(request, VERDICT_NOT_RUN, "other_process");
+		handle_sending_end(request, VERDICT_NOT_RUN, "other_process");
 	} else if (reply->not_run) {
 		direct_sending_end(request, POOL_FULL);
-		step_on(request,
-			reply->input_gone ? VERDICT_INPUT_GONE
-					  : VERDICT_NOT_RUN,
-			"not_run");
+		handle_sending_end(request,
+				   reply->input_gone ? VERDICT_INPUT_GONE
+						     : VERDICT_NOT_RUN,
+				   "not_run");
 	} else if (!reply->matches_request ||
 		   (success && !reply->has_upstream_seal)) {
 		direct_sending_end(request, POOL_UNREACHABLE);
-		step_on(request, VERDICT_BROKEN, "not_ours");
+		handle_sending_end(request, VERDICT_BROKEN, "not_ours");
 	} else if (request->answer_begun) {
 		direct_quarantine_served(request->direct->quarantine, request);
 		direct_sending_end(request, POOL_ERROR);
-		step_on(request, VERDICT_BROKEN, "no_stream");
+		handle_sending_end(request, VERDICT_BROKEN, "no_stream");
 	} else if (request->status >= 500) {
 		direct_quarantine_served(request->direct->quarantine, request);
 		direct_sending_end(request, POOL_ERROR);
-		step_on(request, VERDICT_ERROR, "error");
+		handle_sending_end(request, VERDICT_ERROR, "error");
 	} else {
 		direct_quarantine_served(request->direct->quarantine, request);
-		note_heard(request);
+		record_first_response(request);
 		direct_sending_end(request, POOL_SERVED);
-		step_on(request, VERDICT_ANSWERED, "answered");
+		handle_sending_end(request, VERDICT_ANSWERED, "answered");
 	}
 }
 
@@ -426,17 +428,18 @@
 	if (error) {
 		g_string_truncate(request->body, 0);
 		if (sent)
-			note_lost(request);
+			record_lost_sending(request);
 		else if (error == LP_ERROR_NOT_LISTENING)
 			direct_ends_saw(request->direct->terminations,
 					request->upstream, DIRECT_END_REFUSED);
 		direct_sending_end(request, POOL_UNREACHABLE);
-		step_on(request, sent ? VERDICT_BROKEN : VERDICT_NOT_SENT,
+		handle_sending_end(
+			request, sent ? VERDICT_BROKEN : VERDICT_NOT_SENT,
 			error == LP_ERROR_PROTOCOL ? "garbled" : "connection");
-	} else if (is_stream(request)) {
-		end_stream(request);
+	} else if (is_event_stream(request)) {
+		finish_stream(request);
 	} else {
-		end_plain(request);
+		finish_answer(request);
 	}
 }
 
@@ -448,8 +451,8 @@
 
 /* ---- sending ---- */
 
-static void write_fields(struct direct_request *request,
-			 struct http_fields *fields)
+static void write_request_fields(struct direct_request *request,
+				 struct http_fields *fields)
 {
 	GPtrArray *inputs = NULL;
 	struct direct_upstream_request offer = {
@@ -482,31 +485,32 @@
 
 /* What the engine lacks of the prompt and copies: by ourselves, or as its
  * placer says. */
-static struct pool_copy find_copy(const struct direct_request *request)
+static struct pool_copy find_prefix_copy(const struct direct_request *request)
 {
 	const struct pool *pool = request->direct->pool;
-	const struct direct_place *place = &request->placement;
+	const struct direct_place *placement = &request->placement;
 	struct pool_ask ask;
 
-	if (!place->peer) {
-		write_pool_ask(request, &ask);
+	if (!placement->peer) {
+		fill_pool_ask(request, &ask);
 		return pool_find_copy(pool, request->upstream, &ask);
 	}
 	return (struct pool_copy){
-		.from = place->source ? pool_find_life(pool, place->source)
-				      : NULL,
-		.tokens = place->copied_tokens,
-		.cold_tokens = place->cold_tokens,
+		.from = placement->source
+				? pool_find_life(pool, placement->source)
+				: NULL,
+		.tokens = placement->copied_tokens,
+		.cold_tokens = placement->cold_tokens,
 	};
 }
 
 /* By ourselves, or as its placer counts. */
-static void count_tokens(struct direct_request *request)
+static void estimate_prompt_read(struct direct_request *request)
 {
-	const struct direct_place *place = &request->placement;
-	struct pool_copy copy = find_copy(request);
-	int64_t ahead = place->peer ? place->tokens_ahead
-				    : request->upstream->tokens_ahead;
+	const struct direct_place *placement = &request->placement;
+	struct pool_copy copy = find_prefix_copy(request);
+	int64_t ahead = placement->peer ? placement->tokens_ahead
+					: request->upstream->tokens_ahead;
 
 	request->copy_from = copy.from;
 	request->cold_tokens = copy.cold_tokens;
@@ -536,7 +540,7 @@
 	request->expected_us = 0;
 	request->copy_from = NULL;
 	if (parts->len) {
-		count_tokens(request);
+		estimate_prompt_read(request);
 		pool_remember(request->direct->pool, upstream,
 			      (struct pool_part *)parts->data, parts->len,
 			      direct_prefix_cache_capacity(request->direct,
@@ -585,7 +589,7 @@
 	const char *body = http_call_body(request->call, &size);
 
 	http_fields_init(&fields);
-	write_fields(request, &fields);
+	write_request_fields(request, &fields);
 	request->exchange = http_exchange_start(&(struct http_exchange_options){
 		.address = request->upstream->entry.address,
 		.method = method,
@@ -615,23 +619,23 @@
 			why);
 }
 
-static void send_to(struct direct_request *request,
-		    struct pool_upstream *upstream)
+static void send_to_upstream(struct direct_request *request,
+			     struct pool_upstream *upstream)
 {
 	prepare_sending(request, upstream);
 	log_sending(request);
 	start_exchange(request);
 	if (!request->exchange) {
 		direct_sending_end(request, POOL_UNREACHABLE);
-		step_on(request, VERDICT_NOT_SENT, "connection");
+		handle_sending_end(request, VERDICT_NOT_SENT, "connection");
 		return;
 	}
 	set_stall_timer(request);
 }
 
 /* `wait_us`: its placer had none and says when some may take it; else 0. */
-static void place_by_ourselves(struct direct_request *request,
-			       struct pool_ask *ask, int64_t wait_us)
+static void place_locally(struct direct_request *request, struct pool_ask *ask,
+			  int64_t wait_us)
 {
 	struct pool *pool = request->direct->pool;
 	struct pool_upstream *upstream;
@@ -648,28 +652,28 @@
 		return;
 	}
 	pool_sent(pool, upstream);
-	send_to(request, upstream);
+	send_to_upstream(request, upstream);
 }
 
 static void on_placed(void *userdata, struct pool_upstream *upstream,
-		      const struct direct_place *place)
+		      const struct direct_place *placement)
 {
 	struct direct_request *request = userdata;
 	struct pool_ask ask;
 
 	request->placement_query = 0;
 	if (!upstream) {
-		write_pool_ask(request, &ask);
-		place_by_ourselves(request, &ask, place->wait_us);
+		fill_pool_ask(request, &ask);
+		place_locally(request, &ask, placement->wait_us);
 		return;
 	}
-	request->placement = *place;
-	send_to(request, upstream);
+	request->placement = *placement;
+	send_to_upstream(request, upstream);
 }
 
 /* Returns whether a peer was asked where the prompt goes. */
-static bool ask_placer(struct direct_request *request,
-		       const struct pool_ask *ask)
+static bool query_placer(struct direct_request *request,
+			 const struct pool_ask *ask)
 {
 	struct direct *direct = request->direct;
 	uint64_t placer;
@@ -695,10 +699,10 @@
 		return;
 	if (request->graph &&
 	    !graph_inputs_kept(request->graph, request->route->stages_count)) {
-		remake_inputs(request);
+		recompute_inputs(request);
 		return;
 	}
-	write_pool_ask(request, &ask);
-	if (!ask_placer(request, &ask))
-		place_by_ourselves(request, &ask, 0);
+	fill_pool_ask(request, &ask);
+	if (!query_placer(request, &ask))
+		place_locally(request, &ask, 0);
 }
--- a/direct/direct_stage_plan.c
+++ b/direct/direct_stage_plan.c
@@ -2,21 +2,21 @@
 #include "direct/direct_request.h"
 
 /* Part of a prompt that an engine has still to read, on the average. */
-#define PROMPT_PARTS 4
+#define COLD_PROMPT_DIVISOR 4
 /* Pieces that have to be made again, for all stages of one request. */
-#define REMAKES_MAX 24
+#define RECOMPUTATIONS_MAX 24
 /* A request's results that fill this part of an upstream's room (a fiftieth)
  * are not left waiting there. */
-#define ROOM_SHARES 50
+#define RESULT_MEMORY_DIVISOR 50
 
 /* A stage is asked for this soon after its inputs are made, if nothing else
  * holds it back. */
-#define AT_ONCE_US (20 * LP_US_PER_MS)
+#define IMMEDIATE_US (20 * LP_US_PER_MS)
 
 /* ---- stages ---- */
 
 /* Time that a stage takes by itself, about. */
-static int64_t stage_us(struct direct_request *request, uint32_t stage)
+static int64_t stage_time_us(struct direct_request *request, uint32_t stage)
 {
 	const struct direct_service *service = direct_config_service(
 		request->config, request->route->stages[stage].service);
@@ -28,7 +28,8 @@
 }
 
 /* Time that a request still needs once this stage is made, about. */
-static int64_t after_stage_us(struct direct_request *request, uint32_t stage)
+static int64_t time_after_stage_us(struct direct_request *request,
+				   uint32_t stage)
 {
 	const struct direct_route *route = request->route;
 	int64_t longest_us = 0;
@@ -39,7 +40,8 @@
 
 			if (route->stages[i].after[j] != stage)
 				continue;
-			us = stage_us(request, i) + after_stage_us(request, i);
+			us = stage_time_us(request, i) +
+			     time_after_stage_us(request, i);
 			longest_us = MAX(longest_us, us);
 		}
 	}
@@ -50,29 +52,31 @@
 {
 	return DIRECT_ENGINE_FIRST_EVENT_US +
 	       request->info.tokens_in * LP_US_PER_MS /
-		       (PROMPT_PARTS * POOL_TOKENS_PER_MS);
+		       (COLD_PROMPT_DIVISOR * POOL_TOKENS_PER_MS);
 }
 
 /* Time from the end of a stage to the first event, about. */
-static int64_t expected_us(struct direct_request *request, uint32_t stage)
+static int64_t expected_remaining_us(struct direct_request *request,
+				     uint32_t stage)
 {
-	return after_stage_us(request, stage) +
+	return time_after_stage_us(request, stage) +
 	       direct_stage_plan_engine_us(request);
 }
 
 /* ... as it is allowed for. */
-static int64_t allowed_us(struct direct_request *request, uint32_t stage)
+static int64_t budgeted_remaining_us(struct direct_request *request,
+				     uint32_t stage)
 {
-	const struct direct_route_estimates *learnt =
+	const struct direct_route_estimates *estimates =
 		direct_request_estimates(request);
-	int64_t us = expected_us(request, stage);
+	int64_t us = expected_remaining_us(request, stage);
 
 	return stage < DIRECT_ESTIMATED_STAGES_MAX
-		       ? remaining_us(&learnt->remaining[stage], us)
+		       ? remaining_us(&estimates->remaining[stage], us)
 		       : us;
 }
 
-static bool is_last_made(const struct direct_request *request, uint32_t stage)
+static bool completed_last(const struct direct_request *request, uint32_t stage)
 {
 	for (uint32_t i = 0; i < request->route->stages_count; i++)
 		if (request->completed_us[i] > request->completed_us[stage])
@@ -82,21 +86,23 @@
 
 /* Whether the request went on at once from this stage to its first event: what
  * it took then waited for nothing beside it. */
-static bool went_on(const struct direct_request *request, uint32_t stage)
+static bool continued_at_once(const struct direct_request *request,
+			      uint32_t stage)
 {
 	const struct direct_route *route = request->route;
 
 	if (!request->completed_us[stage])
 		return false;
-	if (is_last_made(request, stage))
+	if (completed_last(request, stage))
 		return true;
 	for (uint32_t i = stage + 1; i < route->stages_count; i++)
 		for (uint32_t j = 0; j < route->stages[i].after_count; j++)
 			if (route->stages[i].after[j] == stage &&
 			    request->requested_us[i] &&
 			    request->requested_us[i] <
-				    request->completed_us[stage] + AT_ONCE_US &&
-			    went_on(request, i))
+				    request->completed_us[stage] +
+					    IMMEDIATE_US &&
+			    continued_at_once(request, i))
 				return true;
 	return false;
 }
@@ -105,21 +111,21 @@
 {
 	uint32_t count =
 		MIN(request->route->stages_count, DIRECT_ESTIMATED_STAGES_MAX);
-	struct direct_route_estimates *learnt;
+	struct direct_route_estimates *estimates;
 
 	if (!request->graph || request->recomputations ||
 	    request->sendings != 1)
 		return;
-	learnt = direct_request_estimates(request);
+	estimates = direct_request_estimates(request);
 	for (uint32_t i = 0; i < count; i++)
-		if (went_on(request, i))
-			remaining_learn(&learnt->remaining[i],
-					expected_us(request, i),
+		if (continued_at_once(request, i))
+			remaining_learn(&estimates->remaining[i],
+					expected_remaining_us(request, i),
 					request->first_event_us -
 						request->completed_us[i]);
 }
 
-static bool has_missing(const struct graph *graph, uint32_t stage)
+static bool has_missing_piece(const struct graph *graph, uint32_t stage)
 {
 	for (uint32_t i = 0; i < graph_pieces(graph, stage); i++)
 		if (graph_state(graph, stage, i) == GRAPH_PIECE_MISSING)
@@ -142,17 +148,18 @@
 	};
 
 	for (uint32_t i = 0; i < stages[stage].after_count; i++) {
-		uint32_t before = stages[stage].after[i];
-		uint64_t maker = graph_maker(request->graph, before);
+		uint32_t input_stage = stages[stage].after[i];
+		uint64_t producer = graph_maker(request->graph, input_stage);
 
-		if (!maker)
+		if (!producer)
 			continue;
-		preferred = pool_find_life(pool, maker);
+		preferred = pool_find_life(pool, producer);
 		piece->preferred_bytes +=
-			stages[before].bytes *
-			(int64_t)graph_pieces(request->graph, before);
+			stages[input_stage].bytes *
+			(int64_t)graph_pieces(request->graph, input_stage);
 	}
-	if (!stages[stage].after_count && !after_stage_us(request, stage)) {
+	if (!stages[stage].after_count &&
+	    !time_after_stage_us(request, stage)) {
 		direct_stages_share(request->direct->stages, &ask);
 		preferred = pool_home(pool, &ask);
 		piece->preferred_bytes = stages[stage].bytes;
@@ -163,26 +170,28 @@
 }
 
 /* Whether a stage's inputs take up a good part of their makers' room. */
-static bool holds_room(const struct direct_request *request, uint32_t stage)
+static bool occupies_result_memory(const struct direct_request *request,
+				   uint32_t stage)
 {
 	const struct direct_stage *stages = request->route->stages;
 
 	for (uint32_t i = 0; i < stages[stage].after_count; i++) {
-		uint32_t before = stages[stage].after[i];
-		const struct direct_service *maker = direct_config_service(
-			request->config, stages[before].service);
-		int64_t bytes = stages[before].bytes *
-				graph_pieces(request->graph, before);
-
-		if (maker && maker->result_memory_bytes &&
-		    bytes * ROOM_SHARES >= maker->result_memory_bytes)
+		uint32_t input_stage = stages[stage].after[i];
+		const struct direct_service *producer = direct_config_service(
+			request->config, stages[input_stage].service);
+		int64_t bytes = stages[input_stage].bytes *
+				graph_pieces(request->graph, input_stage);
+
+		if (producer && producer->result_memory_bytes &&
+		    bytes * RESULT_MEMORY_DIVISOR >=
+			    producer->result_memory_bytes)
 			return true;
 	}
 	return false;
 }
 
 /* Whether some pieces of a stage are made or asked for already. */
-static bool is_begun(const struct graph *graph, uint32_t stage)
+static bool has_started_piece(const struct graph *graph, uint32_t stage)
 {
 	for (uint32_t i = 0; i < graph_pieces(graph, stage); i++)
 		if (graph_state(graph, stage, i) != GRAPH_PIECE_MISSING)
@@ -202,7 +211,7 @@
 }
 
 /* The missing pieces of a stage, which count as asked for from now on. */
-static GArray *take_missing(struct graph *graph, uint32_t stage)
+static GArray *claim_missing_pieces(struct graph *graph, uint32_t stage)
 {
 	GArray *indices = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 
@@ -215,7 +224,7 @@
 	return indices;
 }
 
-static void ask_pieces(struct direct_request *request, uint32_t stage)
+static void request_pieces(struct direct_request *request, uint32_t stage)
 {
 	const struct direct_stage *config = &request->route->stages[stage];
 	const struct direct_service *service =
@@ -230,15 +239,15 @@
 			.stage = stage,
 			.due_us = request->arrived_us - request->client_waited_us +
 				  request->route->target_us -
-				  allowed_us(request, stage) - call_us,
+				  budgeted_remaining_us(request, stage) - call_us,
 			.until_us = request->deadline_us,
 			.priority = request->priority,
 			.bytes = config->bytes,
 			.homes = request->allowed_regions,
 			.has_inputs = config->after_count > 0,
-			.holds_room = holds_room(request, stage),
+			.holds_room = occupies_result_memory(request, stage),
 			.alone = request->is_trial,
-			.split = is_begun(request->graph, stage),
+			.split = has_started_piece(request->graph, stage),
 		},
 	};
 
@@ -247,22 +256,23 @@
 		request->recomputations++;
 	else
 		request->requested_us[stage] = direct_request_now_us(request);
-	work.indices = take_missing(request->graph, stage);
+	work.indices = claim_missing_pieces(request->graph, stage);
 	direct_stages_ask(request->direct->stages, request, &work);
 }
 
 /* Results take up room until the request goes off. What is needed only at the
  * end is made together with the last steps of the longest way there. */
-static bool is_early(struct direct_request *request, uint32_t stage)
+static bool should_wait(struct direct_request *request, uint32_t stage)
 {
-	int64_t own_us =
-		stage_us(request, stage) + after_stage_us(request, stage);
+	int64_t own_us = stage_time_us(request, stage) +
+			 time_after_stage_us(request, stage);
 
 	for (uint32_t i = 0; i < request->route->stages_count; i++) {
-		if (!has_missing(request->graph, i))
+		if (!has_missing_piece(request->graph, i))
 			continue;
-		if (stage_us(request, i) + after_stage_us(request, i) >
-		    own_us + stage_us(request, stage))
+		if (stage_time_us(request, i) +
+			    time_after_stage_us(request, i) >
+		    own_us + stage_time_us(request, stage))
 			return true;
 	}
 	return false;
@@ -270,12 +280,12 @@
 
 /* Ask for what can be made now. A stage whose inputs were given up already
  * has them made again, so look once more from the start. */
-static void ask_ready_stages(struct direct_request *request)
+static void request_ready_stages(struct direct_request *request)
 {
 	for (uint32_t i = 0; i < request->route->stages_count; i++) {
-		if (!has_missing(request->graph, i) ||
+		if (!has_missing_piece(request->graph, i) ||
 		    !graph_stage_ready(request->graph, i) ||
-		    is_early(request, i))
+		    should_wait(request, i))
 			continue;
 		if (!graph_inputs_kept(request->graph, i)) {
 			direct_stages_lost_inputs(request->direct->stages,
@@ -283,11 +293,12 @@
 			i = UINT32_MAX; /* the loop adds one */
 			continue;
 		}
-		ask_pieces(request, i);
+		request_pieces(request, i);
 	}
 }
 
-static void note_stage_made(struct direct_request *request, uint32_t stage)
+static void record_stage_completion(struct direct_request *request,
+				    uint32_t stage)
 {
 	request->completed_us[stage] = direct_request_now_us(request);
 	if (request->requested_us[stage] <=
@@ -299,12 +310,12 @@
 					    request->requested_us[stage]);
 }
 
-static void note_made(struct direct_request *request)
+static void record_completed_stages(struct direct_request *request)
 {
 	for (uint32_t i = 0; i < request->route->stages_count; i++)
 		if (request->requested_us[i] && !request->completed_us[i] &&
 		    graph_stage_made(request->graph, i))
-			note_stage_made(request, i);
+			record_stage_completion(request, i);
 }
 
 void direct_request_advance(struct direct_request *request)
@@ -312,15 +323,15 @@
 	if (request->state != DIRECT_STATE_STAGES)
 		return;
 	if (request->graph)
-		note_made(request);
+		record_completed_stages(request);
 	if (!request->graph || graph_complete(request->graph)) {
 		direct_sending_start(request);
 		return;
 	}
 	if (!direct_request_check_quarantine(request))
 		return;
-	ask_ready_stages(request);
-	if (request->recomputations > REMAKES_MAX) {
+	request_ready_stages(request);
+	if (request->recomputations > RECOMPUTATIONS_MAX) {
 		direct_request_refuse(request, DIRECT_RETRY_AFTER_FULL_US,
 				      "stages_fail");
 		return;
