--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -1,4 +1,4 @@
-/** A request from the door to its answer. */
+/** A request from admission to its answer. */
 #include "direct/direct_request.h"
 
 #include "base/lp_digest.h"
@@ -8,10 +8,11 @@
 
 #include <string.h>
 
-/* An entry that ends still takes what lasts no longer than its restart. */
+/* An entry that shuts down still admits requests that last no longer than its
+ * restart. */
 #define SHUTDOWN_TIMEOUT_MAX_US (1 * LP_US_PER_S)
 
-/* ---- the end ---- */
+/* ---- answering and freeing ---- */
 
 void direct_request_free(struct direct_request *request)
 {
@@ -40,7 +41,9 @@
 	direct_request_free(request);
 }
 
-/* For each stage "asked+took" in ms since the request arrived. */
+/* Adds "stage:requested+took" for each stage: when its pieces were requested,
+ * in ms since the request arrived, and how many ms they took (-1: incomplete).
+ */
 static void add_stage_times(struct direct_request *request)
 {
 	g_autoptr(GString) text = g_string_new(NULL);
@@ -100,7 +103,6 @@
 	lp_event_end(log);
 }
 
-/* An answer of our own, at once. `wait_after_us`: come back after; 0: none. */
 void direct_request_reply_locally(struct direct_request *request,
 				  uint32_t status, int64_t retry_after_us,
 				  const char *why)
@@ -118,7 +120,8 @@
 	direct_request_free(request);
 }
 
-/* True only if nothing that was sent can have run. */
+/* The status 503 says "not run", which holds only if no sending can have run.
+ */
 void direct_request_refuse(struct direct_request *request,
 			   int64_t retry_after_us, const char *why)
 {
@@ -160,10 +163,11 @@
 	direct_request_free(request);
 }
 
-/* ---- its content ---- */
+/* ---- digest ---- */
 
-/* The caller's own key makes the digest: all entries have it of the caller, and
- * nobody else can try texts against what logs and datagrams say. */
+/* The digest is keyed with the caller's own API key. Every entry receives the
+ * key from the caller, and nobody without it can test guesses of the content
+ * against digests in logs and datagrams. */
 uint64_t direct_request_digest(struct direct_request *request)
 {
 	const char *method = http_call_method(request->call);
@@ -186,7 +190,7 @@
 	return request->digest;
 }
 
-/* ---- upstreams that end under it ---- */
+/* ---- quarantine ---- */
 
 bool direct_request_check_quarantine(struct direct_request *request)
 {
@@ -223,7 +227,7 @@
 
 /* ---- admission ---- */
 
-/* Time until the first event, if it were let in now. */
+/* Estimated time until the first event if the request were admitted now. */
 static int64_t estimate_first_event_us(struct direct_request *request)
 {
 	const struct direct_route *route = request->route;
@@ -259,7 +263,8 @@
 	lp_event_end(log);
 }
 
-/* Returns whether it is let in; else it is refused and gone. */
+/* Returns whether the request is admitted; otherwise it is refused and freed.
+ */
 static bool admit(struct direct_request *request)
 {
 	struct admission_request admission = {
@@ -279,7 +284,8 @@
 	return false;
 }
 
-/* Of a service that it still needs, no upstream is open in its regions. */
+/* Whether a service that the request still needs has upstreams in closed
+ * domains only, within the allowed regions. */
 static bool needs_closed_domain(const struct direct_request *request)
 {
 	const struct pool *pool = request->direct->pool;
@@ -295,8 +301,8 @@
 	return false;
 }
 
-/* Returns whether an open domain could serve it; else it is refused and gone.
- */
+/* Returns whether open domains can serve the request; otherwise it is refused
+ * and freed. */
 static bool check_domains_open(struct direct_request *request)
 {
 	if (!needs_closed_domain(request))
@@ -319,7 +325,7 @@
 				      "draining");
 }
 
-/* ---- the beginning ---- */
+/* ---- arrival ---- */
 
 static const struct direct_organisation *
 find_organisation(const struct direct_config *config, const char *key)
@@ -327,7 +333,8 @@
 	return key ? g_hash_table_lookup(config->keys, key) : NULL;
 }
 
-/* Match the request to the configuration; 0 or the status of a refusal. */
+/* Finds route, organisation, allowed regions, priority and service of a
+ * request. Returns 0 or the status of a refusal. */
 static uint32_t match_route(struct direct_request *request)
 {
 	struct direct *direct = request->direct;
@@ -401,7 +408,8 @@
 	return request;
 }
 
-/* Before its entry does, and without putting that off. */
+/* Whether the deadline of a request lies before the planned termination of the
+ * entry and is short enough not to delay it. */
 static bool ends_before_shutdown(const struct direct_request *request)
 {
 	return request->deadline_us <= request->direct->shutdown_us &&
@@ -409,7 +417,7 @@
 		       SHUTDOWN_TIMEOUT_MAX_US;
 }
 
-/* It can be read, and its entry is configured. */
+/* Serves a readable request at an entry that is ready. */
 static void process_request(struct direct_request *request)
 {
 	struct direct *direct = request->direct;
--- a/direct/direct_request.h
+++ b/direct/direct_request.h
@@ -1,7 +1,11 @@
 /**
- * One request of a caller, as the files that carry it through its life share
- * it: direct_request.c (from the door to the answer), direct_stage_plan.c (its
- * stages), direct_sending.c (to an upstream and back).
+ * One request of a caller, shared by the files that process it:
+ * direct_request.c (admission, deadline, local replies), direct_stage_plan.c
+ * (its stages), direct_sending.c (sending it to upstreams).
+ *
+ * A request is owned by the entry's table of requests from
+ * direct_request_begin() on and freed by direct_request_free(). Functions that
+ * answer, refuse or abort a request free it.
  */
 #ifndef DIRECT_REQUEST_H
 #define DIRECT_REQUEST_H
@@ -9,19 +13,23 @@
 #include "direct/direct_places.h"
 #include "direct/direct_private.h"
 
-/** An entry that ends: another takes the request as soon as it is asked. */
+/** Retry-After of an entry that shuts down: another entry can admit the request
+ * at once. */
 #define DIRECT_RETRY_AFTER_DRAINING_US (20 * LP_US_PER_MS)
-/** One that has just started is configured within about 100 ms. */
+/** Retry-After of an entry that has just started: it is configured within about
+ * 100 ms. */
 #define DIRECT_RETRY_AFTER_STARTING_US (100 * LP_US_PER_MS)
-/** A queue that is full empties within about a call. */
+/** Retry-After where no upstream has capacity: a full queue drains within about
+ * one call. */
 #define DIRECT_RETRY_AFTER_FULL_US (250 * LP_US_PER_MS)
-/** A first event at an engine without load, about; slowness is learnt. */
+/** Approximate time to the first event of an engine without load. Slower
+ * services are accounted for by the learnt estimates. */
 #define DIRECT_ENGINE_FIRST_EVENT_US (120 * LP_US_PER_MS)
 
 enum direct_state {
-	DIRECT_STATE_STAGES,  /* pieces are being made */
-	DIRECT_STATE_PLACING, /* a peer is asked where it goes */
-	DIRECT_STATE_SENT,    /* an upstream has it */
+	DIRECT_STATE_STAGES,  /* its pieces are being computed */
+	DIRECT_STATE_PLACING, /* its placer was asked for an engine */
+	DIRECT_STATE_SENT,    /* it was sent to an upstream */
 };
 
 struct direct_request {
@@ -32,50 +40,49 @@
 	const struct direct_route *route;
 	const char *service;
 	const struct direct_organisation *organisation;
-	const char
-		*allowed_regions; /* regions that may have it: policy/homes.h */
+	const char *allowed_regions; /* policy/homes.h */
 	struct direct_request_info info;
 	int64_t arrived_us;
-	int64_t client_waited_us; /* in earlier tries, about */
+	int64_t client_waited_us; /* estimate: by its caller, in earlier tries
+				   */
 	int64_t deadline_us;
 	int32_t priority;
-	uint64_t digest; /* of its content; 0: not asked for yet */
-	bool is_trial;	 /* the only one of its content that may go */
-	bool was_trial;	 /* ... or was, before it was lost */
+	uint64_t digest; /* direct_request_digest(); 0: not computed yet */
+	bool is_trial;	 /* the single run that the quarantine allows */
+	bool was_trial;	 /* it is or was a trial, also after it was lost */
 	guint deadline_timer;
 	guint stall_timer;
 	enum direct_state state;
 	/* stages */
-	struct graph *graph; /* NULL: none */
+	struct graph *graph; /* NULL: the route has no stages */
 	uint32_t recomputations;
-	int64_t *requested_us; /* a stage: when its pieces were asked for first
-				*/
-	int64_t *completed_us; /* and when the last of them was made */
-	/* the sending under way */
-	uint64_t placement_query; /* to its placer; 0: none */
+	int64_t *requested_us; /* per stage: first request for its pieces */
+	int64_t *completed_us; /* per stage: completion of its last piece */
+	/* the sending in progress */
+	uint64_t placement_query; /* query to its placer; 0: none */
 	struct direct_place placement;
 	struct http_exchange *exchange;
 	struct pool_upstream *upstream;
-	const struct pool_upstream *copy_from; /* only while it is sent; or
-						  NULL */
+	const struct pool_upstream *copy_from; /* borrowed; valid only while the
+						  request is written; or NULL */
 	int64_t sent_us;
-	uint32_t quarantine_round; /* direct_request_quarantine_round() then */
-	int64_t expected_us;
-	int64_t cold_tokens;
-	bool upstream_responded; /* an event, or the head of another answer */
-	int64_t first_event_us; /* when that came first, of all sendings; 0: not
-				 * yet
-				 */
+	uint32_t quarantine_round; /* as of sent_us */
+	int64_t expected_us; /* estimate: from sent_us to the first response */
+	int64_t cold_tokens; /* prompt tokens that the engine has to read */
+	bool upstream_responded; /* with an event or a complete answer */
+	int64_t first_event_us;	 /* first response of all sendings; 0: none yet
+				  */
 	uint32_t status;
 	struct http_fields fields;
 	struct direct_reply reply;
 	bool unframed;
-	GString *body; /* of an answer; of a stream: what is no event yet */
-	/* over all sendings */
-	GPtrArray *tried_upstreams; /* ids, owned */
-	uint32_t runs;
+	GString *body; /* of an answer; of a stream: an incomplete event */
+	/* totals of all sendings */
+	GPtrArray *tried_upstreams; /* ids of upstreams, owned */
+	uint32_t runs;		    /* sendings that may have run */
 	uint32_t sendings;
-	uint32_t lost_sendings; /* sendings that were lost */
+	uint32_t lost_sendings; /* sendings lost with their upstream or
+				   connection */
 	bool may_have_run;
 	bool answer_begun;
 	char *last_event_id;
@@ -89,55 +96,65 @@
 
 /* ---- direct_request.c ---- */
 
-/** Free it; whatever is under way for it ends. Its call must be over. */
+/** Free a request and cancel its sending and its stages. Its HTTP call must
+ * have been answered, aborted or lost before, unless the entry is destroyed. */
 void direct_request_free(struct direct_request *request);
-/** The line of its end; counts it. `why` may be NULL. */
+/** Log and count the outcome of a request. `why`: the reason; may be NULL. */
 void direct_request_log_end(struct direct_request *request, const char *outcome,
 			    uint32_t status, const char *why);
-/** An answer of our own, at once. `wait_us`: come back after; 0: not told. */
+/** Answer with a status of this entry's own, and free the request.
+ * `retry_after_us`: Retry-After; 0: none. */
 void direct_request_reply_locally(struct direct_request *request,
 				  uint32_t status, int64_t retry_after_us,
 				  const char *why);
-/** Refuse as "not run", or as failed if something sent may have run. */
+/** Refuse a request as "not run" (503), or as failed (502) if one of its
+ * sendings may have run. Frees it. */
 void direct_request_refuse(struct direct_request *request,
 			   int64_t retry_after_us, const char *why);
-/** End a begun answer so that it is seen to be cut. */
+/** Abort an answer that has begun, so that the caller sees it to be incomplete.
+ * Frees the request. */
 void direct_request_abort(struct direct_request *request, const char *why);
 
-/** A keyed digest of what a caller would send again: caller, path and body. It
- * is the same at all entries and in all tries, and tells nothing of them. */
+/** Keyed digest of a request: its method, host, target and body, under the
+ * caller's key. A repeat of the request has the same digest at every entry, and
+ * the digest does not reveal the content. */
 uint64_t direct_request_digest(struct direct_request *request);
 
-/** Whether it may go to an upstream. If not, it is answered and freed. */
+/** Whether the quarantine allows a request to be sent to an upstream. If not,
+ * the request is answered and freed. */
 bool direct_request_check_quarantine(struct direct_request *request);
-/** The round of ends to which those under it would belong from now on. */
+/** The quarantine round to which terminations under this request count from now
+ * on. */
 uint32_t direct_request_quarantine_round(struct direct_request *request);
-/** It, or pieces of it, were lost with an upstream or with the way there.
- * `round` and `began_us`: direct_request_quarantine_round() and the time when
- * it was sent.
- */
+/** Report that a request, or pieces of it, were lost with an upstream or with
+ * the connection to it. `round` and `began_us`:
+ * direct_request_quarantine_round() and the time at which the request or the
+ * pieces were sent. */
 void direct_request_report_lost(struct direct_request *request,
 				const struct pool_upstream *upstream,
 				uint32_t round, int64_t began_us);
 
-/** What is learnt of its route. */
+/** Estimates of the route of a request; created if there are none. */
 struct direct_route_estimates *
 direct_request_estimates(const struct direct_request *request);
 
 /* ---- direct_stage_plan.c ---- */
 
-/** Set up what its stages have to make. */
+/** Create the graph of the pieces that the stages of a request compute. */
 void direct_stage_plan_create(struct direct_request *request);
-/** Time of the engine until its first event, about. */
+/** Estimated time from sending a request to an engine until its first event. */
 int64_t direct_stage_plan_engine_us(const struct direct_request *request);
-/** Its first event has come: how long it took from each of its stages. */
+/** Record, at the first event of a request, the time since the completion of
+ * each of its stages. */
 void direct_stage_plan_learn(struct direct_request *request);
 
 /* ---- direct_sending.c ---- */
 
-/** Send it to the best upstream; what follows is decided there. */
+/** Send a request to the best upstream. Handles retries, resumption and the
+ * answer, and may free the request. */
 void direct_sending_start(struct direct_request *request);
-/** End the sending under way, if any; `outcome` is learnt of the upstream. */
+/** End the sending in progress, if any, and report `outcome` of its upstream to
+ * the pool. */
 void direct_sending_end(struct direct_request *request,
 			enum pool_outcome outcome);
 
