--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -1,4 +1,4 @@
-/** A request on its way to an upstream and back. */
+/** Sends a request to upstreams and handles their answers. */
 #include "direct/direct_event_stream.h"
 
 #include "base/lp_timer.h"
@@ -6,19 +6,21 @@
 
 #include <string.h>
 
-/* A further try needs at least this much time. */
+/* A request is sent again only if this much time is left until its deadline. */
 #define RETRY_TIME_MIN_US (50 * LP_US_PER_MS)
-/* What may be repeated is sent elsewhere when this much of the target has
- * passed without an answer, within these bounds. */
+/* A repeatable request is sent to another upstream if this multiple of the
+ * route's target time passes without an answer: at least STALL_MIN_US, but at
+ * most half of the time left. */
 #define STALL_TARGET_MULTIPLE 2
 #define STALL_MIN_US (300 * LP_US_PER_MS)
-/* A stream that may resume: no event for this many of its longest pauses. */
+/* A resumable stream is moved if no event comes for this multiple of the
+ * route's longest pause; before the first event, of its expected time. */
 #define STALL_GAP_MULTIPLE 3
 #define STALL_FIRST_MIN_US (1000 * LP_US_PER_MS)
 #define STALL_EXPECTED_MULTIPLE 4
-/* An answer of this size is not buffered any further. */
+/* Bytes of an answer, or of an incomplete event, that are buffered at most. */
 #define BUFFERED_ANSWER_MAX (8 << 20)
-/* A caller that takes nothing holds no more than this. */
+/* Bytes that a caller may leave unread before its answer is aborted. */
 #define UNSENT_ANSWER_MAX (1 << 20)
 
 static void record_lost_sending(struct direct_request *request)
@@ -28,7 +30,6 @@
 				   request->quarantine_round, request->sent_us);
 }
 
-/* End the sending under way; nothing is learnt from it but by `outcome`. */
 void direct_sending_end(struct direct_request *request,
 			enum pool_outcome outcome)
 {
@@ -55,7 +56,7 @@
 	request->upstream = NULL;
 }
 
-/* ---- what the pool is asked ---- */
+/* ---- query to the pool ---- */
 
 static const char *producer_domain(void *userdata, uint64_t producer)
 {
@@ -83,12 +84,12 @@
 		ask->domain = graph_main_domain(request->graph, producer_domain,
 						request->direct->pool,
 						&ask->fetch_bytes);
-	/* Late in any case. */
+	/* The target time has passed already. */
 	if (ask->target_us < 0)
 		ask->target_us = 0;
 }
 
-/* ---- what follows a sending ---- */
+/* ---- after a sending ---- */
 
 static bool take_from_retry_budget(void *userdata)
 {
@@ -154,15 +155,16 @@
 	direct_request_advance(request);
 }
 
-/* It may have ended the upstreams that it was lost with: no more of them in
- * this try. */
+/* A suspect request may have terminated the upstreams that it was lost with, so
+ * it is not sent to further ones in this attempt of its caller. */
 static bool is_suspect(const struct direct_request *request)
 {
 	return request->was_trial ||
 	       request->lost_sendings >= QUARANTINE_SUSPECT_ENDS;
 }
 
-/* Not run, and not sent again: back when some upstream may take it. */
+/* Refuses a request that did not run. Retry-After is the time until some
+ * upstream can take it. */
 static void refuse_not_run(struct direct_request *request, const char *why)
 {
 	struct pool_ask ask;
@@ -174,7 +176,8 @@
 		request, wait_us ? wait_us : DIRECT_RETRY_AFTER_FULL_US, why);
 }
 
-/* The sending has ended (the upstream is left); decide and act. */
+/* Decides what follows a sending, and does it. To be called after
+ * direct_sending_end(). May free the request. */
 static void handle_sending_end(struct direct_request *request,
 			       enum verdict_event event, const char *why)
 {
@@ -223,7 +226,7 @@
 	}
 }
 
-/* ---- hearing from the upstream ---- */
+/* ---- answers of upstreams ---- */
 
 static int64_t stall_timeout_us(const struct direct_request *request)
 {
@@ -250,8 +253,8 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Only what may be repeated is taken from an upstream that is silent, and
- * only while a repeat is still allowed. */
+/* Only requests that may be repeated are moved away from a silent upstream, and
+ * only while another attempt is allowed. */
 static void set_stall_timer(struct direct_request *request)
 {
 	const struct direct_route *route = request->route;
@@ -266,7 +269,8 @@
 			     on_stall, request);
 }
 
-/* The upstream has begun to answer: it has read the prompt and its inputs. */
+/* An upstream that answers has read the prompt and the inputs of the request.
+ */
 static void record_first_response(struct direct_request *request)
 {
 	struct direct *direct = request->direct;
@@ -289,8 +293,9 @@
 		lp_histogram_add(direct->first_event_times,
 				 direct_request_now_us(request) -
 					 request->arrived_us);
-	/* A stream that resumes has them made again: that is rare, and their
-	 * makers' room is scarce. */
+	/* Results are freed although a resumed stream has to recompute them:
+	 * resumption is rare, and the result memory of their producers is
+	 * scarce. */
 	if (request->graph)
 		direct_stages_free_results(direct->stages, request, true);
 }
@@ -307,7 +312,7 @@
 						   &request->reply);
 	direct_notices_receive(request->direct->notices, request->upstream,
 			       &request->reply);
-	/* A resumed stream keeps the head of its first upstream. */
+	/* A resumed stream keeps the header fields of its first upstream. */
 	if (request->answer_begun)
 		return;
 	http_fields_clear(&request->fields);
@@ -483,8 +488,8 @@
 		g_ptr_array_unref(inputs);
 }
 
-/* What the engine lacks of the prompt and copies: by ourselves, or as its
- * placer says. */
+/* Where the engine copies a part of the prompt's prefix from, and what it has
+ * to read: from the placer's answer, or by this entry's own knowledge. */
 static struct pool_copy find_prefix_copy(const struct direct_request *request)
 {
 	const struct pool *pool = request->direct->pool;
@@ -504,7 +509,8 @@
 	};
 }
 
-/* By ourselves, or as its placer counts. */
+/* Estimates what the engine has to read of the prompt, and the time until its
+ * first response. */
 static void estimate_prompt_read(struct direct_request *request)
 {
 	const struct direct_place *placement = &request->placement;
@@ -606,7 +612,8 @@
 	http_fields_clear(&fields);
 }
 
-/* Nobody may take it; some upstream may in `wait_us`; 0: that is not known. */
+/* Refuses a request that no upstream can take. `wait_us`: time until one can;
+ * 0: unknown. */
 static void refuse_unplaced(struct direct_request *request, int64_t wait_us)
 {
 	const char *why = wait_us ? "limited" : "no_upstream";
@@ -633,7 +640,8 @@
 	set_stall_timer(request);
 }
 
-/* `wait_us`: its placer had none and says when some may take it; else 0. */
+/* Selects an upstream without a placer. `wait_us`: time after which the placer
+ * expects an upstream to be available; 0: no such answer. */
 static void place_locally(struct direct_request *request, struct pool_ask *ask,
 			  int64_t wait_us)
 {
@@ -642,7 +650,7 @@
 
 	request->placement = (struct direct_place){ 0 };
 	upstream = pool_pick(pool, ask);
-	if (!upstream) { /* none of its share is left */
+	if (!upstream) { /* no usable upstream in the shard */
 		ask->share_count = 0;
 		upstream = pool_pick(pool, ask);
 	}
@@ -671,7 +679,7 @@
 	send_to_upstream(request, upstream);
 }
 
-/* Returns whether a peer was asked where the prompt goes. */
+/* Returns whether a peer was asked to place the prompt. */
 static bool query_placer(struct direct_request *request,
 			 const struct pool_ask *ask)
 {
