--- a/direct/direct_stage_plan.c
+++ b/direct/direct_stage_plan.c
@@ -1,21 +1,23 @@
-/** The stages of one request: which pieces are asked for, and when. */
+/** Plans the stages of one request: which pieces are requested, and when. */
 #include "direct/direct_request.h"
 
-/* Part of a prompt that an engine has still to read, on the average. */
+/* On average an engine has to read one part in this many of a prompt; the rest
+ * is in its prefix cache. */
 #define COLD_PROMPT_DIVISOR 4
-/* Pieces that have to be made again, for all stages of one request. */
+/* Repeated requests for pieces of a stage, over all stages of one request,
+ * beyond which the request is refused. */
 #define RECOMPUTATIONS_MAX 24
-/* A request's results that fill this part of an upstream's room (a fiftieth)
- * are not left waiting there. */
+/* Results of a request that fill at least this part (1/50) of an upstream's
+ * result memory are not left waiting there. */
 #define RESULT_MEMORY_DIVISOR 50
 
-/* A stage is asked for this soon after its inputs are made, if nothing else
- * holds it back. */
+/* A stage that is requested within this time after its inputs are completed was
+ * not held back by anything else. */
 #define IMMEDIATE_US (20 * LP_US_PER_MS)
 
 /* ---- stages ---- */
 
-/* Time that a stage takes by itself, about. */
+/* Estimated time of a stage by itself. */
 static int64_t stage_time_us(struct direct_request *request, uint32_t stage)
 {
 	const struct direct_service *service = direct_config_service(
@@ -27,7 +29,7 @@
 	       service->piece_us * graph_pieces(request->graph, stage);
 }
 
-/* Time that a request still needs once this stage is made, about. */
+/* Estimated time of the longest path of stages after this one. */
 static int64_t time_after_stage_us(struct direct_request *request,
 				   uint32_t stage)
 {
@@ -55,7 +57,7 @@
 		       (COLD_PROMPT_DIVISOR * POOL_TOKENS_PER_MS);
 }
 
-/* Time from the end of a stage to the first event, about. */
+/* Estimated time from the completion of a stage to the first event. */
 static int64_t expected_remaining_us(struct direct_request *request,
 				     uint32_t stage)
 {
@@ -63,7 +65,7 @@
 	       direct_stage_plan_engine_us(request);
 }
 
-/* ... as it is allowed for. */
+/* The same, corrected by what was learnt of the route. */
 static int64_t budgeted_remaining_us(struct direct_request *request,
 				     uint32_t stage)
 {
@@ -84,8 +86,9 @@
 	return true;
 }
 
-/* Whether the request went on at once from this stage to its first event: what
- * it took then waited for nothing beside it. */
+/* Whether the request continued from this stage to its first event without
+ * waiting for other stages: only then is the time it took an observation for
+ * this stage. */
 static bool continued_at_once(const struct direct_request *request,
 			      uint32_t stage)
 {
@@ -133,7 +136,8 @@
 	return false;
 }
 
-/* Near its inputs, if it has any; else near the engine that will take it. */
+/* Prefers the domain of the piece's inputs, if it has any; else the domain of
+ * the engine that will receive its result. */
 static void set_preferred_domain(struct direct_request *request, uint32_t stage,
 				 struct piece *piece)
 {
@@ -164,12 +168,14 @@
 		preferred = pool_home(pool, &ask);
 		piece->preferred_bytes = stages[stage].bytes;
 	}
-	/* The upstream may be gone before the piece is. Domains are few. */
+	/* Interned, since the upstream may be freed before the piece. Domains
+	 * are few. */
 	piece->preferred_domain =
 		preferred ? g_intern_string(preferred->entry.domain) : NULL;
 }
 
-/* Whether a stage's inputs take up a good part of their makers' room. */
+/* Whether a stage's inputs fill a large part of the result memory of their
+ * producers. */
 static bool occupies_result_memory(const struct direct_request *request,
 				   uint32_t stage)
 {
@@ -190,7 +196,7 @@
 	return false;
 }
 
-/* Whether some pieces of a stage are made or asked for already. */
+/* Whether some pieces of a stage are completed or requested already. */
 static bool has_started_piece(const struct graph *graph, uint32_t stage)
 {
 	for (uint32_t i = 0; i < graph_pieces(graph, stage); i++)
@@ -210,7 +216,8 @@
 	return inputs;
 }
 
-/* The missing pieces of a stage, which count as asked for from now on. */
+/* The indices of the missing pieces of a stage, which are marked as requested.
+ */
 static GArray *claim_missing_pieces(struct graph *graph, uint32_t stage)
 {
 	GArray *indices = g_array_new(FALSE, FALSE, sizeof(uint32_t));
@@ -260,8 +267,9 @@
 	direct_stages_ask(request->direct->stages, request, &work);
 }
 
-/* Results take up room until the request goes off. What is needed only at the
- * end is made together with the last steps of the longest way there. */
+/* Results occupy result memory until the request is sent. A stage that is not
+ * on the longest path therefore waits until it runs together with the last
+ * stages of that path. */
 static bool should_wait(struct direct_request *request, uint32_t stage)
 {
 	int64_t own_us = stage_time_us(request, stage) +
@@ -278,8 +286,9 @@
 	return false;
 }
 
-/* Ask for what can be made now. A stage whose inputs were given up already
- * has them made again, so look once more from the start. */
+/* Requests all pieces that can be computed now. If the inputs of a stage were
+ * freed already, they are recomputed first, and the stages are examined again
+ * from the start. */
 static void request_ready_stages(struct direct_request *request)
 {
 	for (uint32_t i = 0; i < request->route->stages_count; i++) {
