--- a/direct/direct_config.c
+++ b/direct/direct_config.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* What is compared first, and what then. */
+/* Sort key of priorities: `second` decides between equal `first`. */
 struct rank {
 	int32_t first;
 	int32_t second;
@@ -60,7 +60,8 @@
 	return config;
 }
 
-/* No host and no path has an end of line: no two places share a name. */
+/* Key of routes_by_prefix: host and path prefix. Neither contains a line feed,
+ * so keys are unique. */
 static char *prefix_key(const char *host, const char *path, size_t size)
 {
 	g_autofree char *lower = g_ascii_strdown(host, -1);
@@ -69,7 +70,7 @@
 	return g_strconcat(lower, "\n", prefix, NULL);
 }
 
-/* Of two routes of one place the first counts. */
+/* Of two routes with the same host and prefix the first one is used. */
 static void index_route(struct direct_config *config,
 			struct direct_route *route)
 {
@@ -113,7 +114,8 @@
 	}
 }
 
-/* One organisation of each priority: there are few of them, and many routes. */
+/* One organisation of each priority, since routes are many and priorities few.
+ */
 static GPtrArray *distinct_organisations(const struct direct_config *config)
 {
 	GPtrArray *distinct = g_ptr_array_new();
@@ -226,7 +228,7 @@
 direct_config_route(const struct direct_config *config, const char *host,
 		    const char *path)
 {
-	/* A prefix ends with a slash; the longest that begins the path wins. */
+	/* Prefixes end with a slash; the longest one is tried first. */
 	size_t size = MIN(strlen(path), config->prefix_max);
 	g_autofree char *name = prefix_key(host, path, size);
 	char *begin = name + strlen(host) + 1;
