--- a/direct/direct_closed_domains.c
+++ b/direct/direct_closed_domains.c
@@ -8,10 +8,10 @@
 struct direct_closed_domains {
 	struct direct_closed_domains_options options;
 	struct closures *closures;
-	struct direct_peers *peers; /* NULL: nobody */
+	struct direct_peers *peers; /* NULL: no peers */
 };
 
-/* ---- telling ---- */
+/* ---- sending to peers ---- */
 
 static GVariant *
 write_closures(const struct direct_closed_domains *closed_domains)
@@ -39,7 +39,7 @@
 	direct_peers_send(closed_domains->peers, peer, KIND_CLOSURES, body);
 }
 
-/* ---- learning ---- */
+/* ---- receiving ---- */
 
 static void report_change(struct direct_closed_domains *closed_domains,
 			  const char *source)
@@ -104,7 +104,7 @@
 	return closed_domains->closures;
 }
 
-/* ---- start and end ---- */
+/* ---- creation ---- */
 
 void direct_closed_domains_set_peers(
 	struct direct_closed_domains *closed_domains,
--- a/direct/direct_closed_domains.h
+++ b/direct/direct_closed_domains.h
@@ -1,12 +1,12 @@
 /**
- * Which failure domains operators have closed to new work, as this entry and
- * its peers know it (policy/closures.h).
+ * The failure domains that operators have closed to new work, shared with the
+ * peers of this entry (policy/closures.h).
  *
- * Learnt from the platform's service, whole or change by change, and from
- * peers: whoever learns of a change from the service tells all members, and
- * each member that is met is told what holds. So an entry that the service
- * does not serve knows it too, and one that starts knows it before it takes
- * any request.
+ * Changes come from the platform's key-value service, as a whole set or one at
+ * a time, and from peers: an entry that receives a change from the service
+ * sends the set to all peers, and each peer receives the current set on first
+ * contact. An entry without access to the service is therefore informed, too,
+ * and an entry that starts knows the closed domains before it admits requests.
  */
 #ifndef DIRECT_CLOSED_DOMAINS_H
 #define DIRECT_CLOSED_DOMAINS_H
@@ -21,7 +21,7 @@
 struct direct_closed_domains_options {
 	struct lp_event_log *log;
 	struct lp_counters *counters;
-	/** Something newer is known, from wherever it came. */
+	/** Called after each change, from the service or from a peer. */
 	void (*changed)(void *userdata);
 	void *userdata;
 };
@@ -30,18 +30,20 @@
 	const struct direct_closed_domains_options *options);
 void direct_closed_domains_destroy(
 	struct direct_closed_domains *closed_domains);
-/** Tell these and hear them; NULL: nobody. Borrowed. */
+/** Exchange changes with these peers; NULL: none. Borrowed. */
 void direct_closed_domains_set_peers(
 	struct direct_closed_domains *closed_domains,
 	struct direct_peers *peers);
-/** The service says all that is closed at this revision. */
+/** Apply the whole set of closed domains, as of this revision of the service.
+ */
 void direct_closed_domains_set_all(struct direct_closed_domains *closed_domains,
 				   int64_t revision, const char *const *domains,
 				   uint32_t count);
-/** The service tells a change. */
+/** Apply a change of one domain, as of this revision of the service. */
 void direct_closed_domains_set(struct direct_closed_domains *closed_domains,
 			       int64_t revision, const char *domain,
 			       bool closed);
+/** The current set; borrowed. */
 const struct closures *
 direct_closed_domains_known(const struct direct_closed_domains *closed_domains);
 
--- a/direct/direct_event_stream.c
+++ b/direct/direct_event_stream.c
@@ -5,8 +5,8 @@
 
 static const char id_field[] = "id:";
 
-/* One line, without its end. Only a line that begins with the name is an id:
- * data may hold that text, too. */
+/* Reads one line, without its line feed. Only a line that begins with "id:" is
+ * an id, since data may contain the same text. */
 static void read_id_line(const char *line, size_t size, char **last_id)
 {
 	size_t skip = sizeof(id_field) - 1;
--- a/direct/direct_fetch.h
+++ b/direct/direct_fetch.h
@@ -1,7 +1,7 @@
 /**
- * Questions and calls of an entry's own to an upstream, as opposed to requests
- * of callers: one exchange whose answer is wanted whole. What the upstream says
- * of itself in it is heard (direct_notices.h).
+ * Calls of the entry itself to an upstream, as opposed to requests of callers:
+ * one HTTP exchange whose answer is read completely. Notices in the answer's
+ * header are applied (direct_notices.h).
  */
 #ifndef DIRECT_FETCH_H
 #define DIRECT_FETCH_H
@@ -12,8 +12,8 @@
 #include "http/http_fetch.h"
 
 /**
- * Within a region a connection stands in a few ms; a lost packet is sent again
- * after a second, and by then another upstream is the better choice.
+ * Within a region a connection is established in a few ms. A lost packet is
+ * retransmitted after a second, and until then another upstream is faster.
  */
 #define DIRECT_CONNECT_TIMEOUT_US (400 * LP_US_PER_MS)
 
@@ -22,24 +22,25 @@
 struct direct_fetch_options {
 	const struct direct_codec *codec;
 	struct direct_notices *notices;
-	struct pool_upstream *upstream; /**< held while it lasts */
+	struct pool_upstream *upstream; /**< held until the fetch is freed */
 	const char *method;
 	const char *target;
-	const char *body; /**< NUL-terminated, or NULL: none is sent */
+	const char *body; /**< NUL-terminated, or NULL: no body */
 	int64_t timeout_us;
-	/** Called once, never from inside direct_fetch_start(); the fetch is
-	 * gone by then. `reply`: what the answer's head says, or as one that
-	 * says nothing. Both are borrowed. */
+	/** Called once, never from inside direct_fetch_start(), after the fetch
+	 * was freed. `reply`: header of the answer; empty if there was none.
+	 * Both are borrowed. */
 	void (*done)(void *userdata, const struct http_fetch_answer *answer,
 		     const struct direct_reply *reply);
 	void *userdata;
 };
 
-/** Only the upstream that is expected there answers. NULL: no connection can be
- * begun; done() is not called. */
+/** Start a call. It is addressed to one upstream by id, and a different process
+ * at the address refuses it. Returns NULL if no connection can be started;
+ * done() is not called then. */
 struct direct_fetch *
 direct_fetch_start(const struct direct_fetch_options *options);
-/** End it at once; done() is not called. */
+/** Cancel and free a fetch; done() is not called. */
 void direct_fetch_cancel(struct direct_fetch *fetch);
 
 #endif
--- a/direct/direct_notices.c
+++ b/direct/direct_notices.c
@@ -5,23 +5,24 @@
 #include <math.h>
 
 #define KIND_LIMITS 'N'
-/* upstream, whether it names a limit, requests a second, us since the answer */
+/* incarnation, whether a limit is advertised, requests a second, us since the
+ * answer that said so */
 #define LIMITS_TYPE "a(tbdx)"
-/* Limits in one datagram. */
+/* Limits per datagram. */
 #define LIMITS_MAX 100
 #define KIND_DRAINING 'X'
-#define DRAINING_TYPE "at" /* upstreams */
-/* Upstreams in one datagram. */
+#define DRAINING_TYPE "at" /* incarnations */
+/* Incarnations per datagram. */
 #define DRAINING_MAX 500
-/* They are told of again after this: a datagram may be lost. */
+/* Drain notices are sent once more after this time: a datagram may be lost. */
 #define DRAINING_RESEND_MS 500
-/* A limit is logged in thousandths: log lines carry whole numbers. */
+/* Limits are logged in thousandths, since log fields are integers. */
 #define LIMIT_LOG_SCALE 1000
 
 struct direct_notices {
 	struct direct_notices_options options;
-	struct direct_peers *peers; /* NULL: nobody */
-	GArray *draining; /* lives that are told of again, of uint64_t */
+	struct direct_peers *peers; /* NULL: no peers */
+	GArray *draining; /* of uint64_t: incarnations to send once more */
 	guint resend_timer;
 };
 
@@ -30,7 +31,7 @@
 	return lp_now_us(notices->options.clock);
 }
 
-/* ---- telling ---- */
+/* ---- sending to peers ---- */
 
 static void add_limit(const struct direct_notices *notices,
 		      const struct pool_upstream *upstream,
@@ -108,7 +109,8 @@
 	direct_peers_send(notices->peers, peer, KIND_DRAINING, body);
 }
 
-/* All that are named, so that who has just started keeps to them. */
+/* Sends all advertised limits, so that an entry that has just started observes
+ * them. */
 static void send_limits_to_peer(struct direct_notices *notices, uint64_t peer)
 {
 	g_autoptr(GPtrArray) limited = pool_limited(notices->options.pool);
@@ -131,7 +133,7 @@
 	send_draining_to_peer(userdata, peer);
 }
 
-/* ---- learning ---- */
+/* ---- receiving ---- */
 
 static void log_limit(const struct direct_notices *notices,
 		      const struct pool_upstream *upstream, const char *source)
@@ -181,7 +183,8 @@
 		log_unreadable(notices, upstream);
 		return;
 	}
-	/* A refusal or a failure may leave out what a success says. */
+	/* A refusal or a failure may omit the limit; only a success without one
+	 * means that there is none. */
 	if (!notice.named && !reply->is_success)
 		return;
 	changed = pool_heard_limit(notices->options.pool, upstream, &notice);
@@ -224,8 +227,8 @@
 			    struct pool_upstream *upstream,
 			    const struct direct_reply *reply)
 {
-	/* Another process, or an answer to somebody else, says nothing of it.
-	 */
+	/* An answer of another process, or to another request, is no statement
+	 * of this upstream. */
 	if (reply->other_process || !reply->matches_request)
 		return;
 	receive_limit(notices, upstream, reply);
@@ -243,7 +246,7 @@
 	if (pool_heard_limit(notices->options.pool, upstream, notice))
 		log_limit(notices, upstream,
 			  direct_peers_ip(notices->peers, peer));
-	/* Whoever told us has told the others. */
+	/* The peer has sent the limit to all other entries, too. */
 	if (upstream->limit.heard_us == notice->heard_us)
 		upstream->limit.told_us = now_us(notices);
 }
@@ -291,7 +294,7 @@
 	}
 }
 
-/* ---- start and end ---- */
+/* ---- creation ---- */
 
 void direct_notices_set_peers(struct direct_notices *notices,
 			      struct direct_peers *peers)
--- a/direct/direct_notices.h
+++ b/direct/direct_notices.h
@@ -1,14 +1,14 @@
 /**
- * What upstreams say of themselves in their answers, whatever was asked: that
- * they take only so many requests a second (policy/rate_limit.h), leave, or
- * want nothing of this entry for a while.
+ * Notices of upstreams in the header of their answers: an advertised rate limit
+ * (policy/rate_limit.h), a drain notice, and pushback (Retry-After).
  *
- * Every answer of an upstream is read here, of requests as of calls of our own,
- * and what it changes is believed in the pool. Rest is asked of one entry; of
- * the others, members are told, and each that is met: a limit holds for all
- * entries together, and who sends there next may not have had an answer yet. A
- * word of a limit that is lost is told again with a later answer; of one that
- * leaves there may be none, so it is told twice.
+ * Every answer of an upstream is examined, to callers' requests and to calls of
+ * the entry itself, and its notices are applied to the pool. Pushback concerns
+ * this entry only. Rate limits and drain notices are sent to all peers, and to
+ * each peer on first contact, since a limit holds for all entries together and
+ * a peer may send a request before it has received an answer of its own. A
+ * lost datagram with a limit is made up for by a later answer. A draining
+ * upstream may give no later answer, so a drain notice is sent twice.
  */
 #ifndef DIRECT_NOTICES_H
 #define DIRECT_NOTICES_H
@@ -30,10 +30,10 @@
 struct direct_notices *
 direct_notices_create(const struct direct_notices_options *options);
 void direct_notices_destroy(struct direct_notices *notices);
-/** Tell these and hear them; NULL: nobody. Borrowed. */
+/** Exchange notices with these peers; NULL: none. Borrowed. */
 void direct_notices_set_peers(struct direct_notices *notices,
 			      struct direct_peers *peers);
-/** The head of an answer of this upstream has come. */
+/** Apply the notices in the header of an answer of this upstream. */
 void direct_notices_receive(struct direct_notices *notices,
 			    struct pool_upstream *upstream,
 			    const struct direct_reply *reply);
--- a/direct/direct_prefix_cache.c
+++ b/direct/direct_prefix_cache.c
@@ -2,9 +2,9 @@
 
 #include "direct/direct_fetch.h"
 
-/* What is not told by then has been learnt by placing. */
+/* Contents that are not reported by then are known from placed prompts. */
 #define ANSWER_TIMEOUT_US (1 * LP_US_PER_S)
-/* An engine is asked once in this time at the most. */
+/* Shortest interval between two queries to an engine. */
 #define QUERY_INTERVAL_US (10 * LP_US_PER_S)
 
 struct query {
@@ -16,7 +16,7 @@
 
 struct direct_prefix_cache {
 	struct direct_prefix_cache_options options;
-	GHashTable *queries; /* of struct question */
+	GHashTable *queries; /* of struct query, owned */
 };
 
 static int64_t now_us(const struct direct_prefix_cache *cache)
@@ -25,7 +25,7 @@
 }
 
 static void log_answer(const struct query *query, const char *outcome,
-		       uint32_t parts)
+		       uint32_t blocks)
 {
 	const struct direct_prefix_cache *cache = query->cache;
 	struct lp_event_log *log = cache->options.log;
@@ -35,7 +35,7 @@
 	lp_event_text(log, "service", query->engine->entry.service);
 	lp_event_text(log, "upstream", query->engine->entry.id);
 	lp_event_text(log, "outcome", outcome);
-	lp_event_int(log, "parts", parts);
+	lp_event_int(log, "parts", blocks);
 	lp_event_int(log, "took_us", now_us(cache) - query->started_us);
 	lp_event_end(log);
 }
@@ -50,15 +50,16 @@
 	g_free(query);
 }
 
-/* Only the life that was asked, and is there still, has told its own. */
+/* Returns whether the answer is valid. It is discarded if the queried
+ * incarnation is no longer in the pool. */
 static bool read_answer(const struct query *query,
-			const struct http_fetch_answer *answer, GArray *parts)
+			const struct http_fetch_answer *answer, GArray *blocks)
 {
 	const struct direct_prefix_cache *cache = query->cache;
 
 	return !answer->error && answer->status == 200 &&
 	       cache->options.codec->read_prefix_cache(answer->body,
-						       answer->size, parts) &&
+						       answer->size, blocks) &&
 	       pool_find_life(cache->options.pool, query->engine->life) ==
 		       query->engine;
 }
@@ -68,16 +69,16 @@
 {
 	struct query *query = userdata;
 	struct direct_prefix_cache *cache = query->cache;
-	g_autoptr(GArray) parts =
+	g_autoptr(GArray) blocks =
 		g_array_new(FALSE, FALSE, sizeof(struct pool_part));
-	bool accepted = read_answer(query, answer, parts);
+	bool accepted = read_answer(query, answer, blocks);
 
 	query->fetch = NULL;
 	if (accepted)
 		pool_set_memory(cache->options.pool, query->engine,
-				(const struct pool_part *)parts->data,
-				parts->len);
-	log_answer(query, accepted ? "told" : "not_told", parts->len);
+				(const struct pool_part *)blocks->data,
+				blocks->len);
+	log_answer(query, accepted ? "told" : "not_told", blocks->len);
 	g_hash_table_remove(cache->queries, query);
 }
 
@@ -110,7 +111,8 @@
 static bool should_query(const struct direct_prefix_cache *cache,
 			 const struct pool_upstream *engine)
 {
-	/* One that takes only so many requests gets those of callers. */
+	/* The capacity of an engine with an advertised rate limit is left to
+	 * callers. */
 	return pool_usable(cache->options.pool, engine) &&
 	       !engine->limit.named &&
 	       (!engine->memory_asked_us ||
--- a/direct/direct_prefix_cache.h
+++ b/direct/direct_prefix_cache.h
@@ -1,12 +1,13 @@
 /**
- * What engines have in memory, asked of them by an entry that begins to place
- * prompts there.
+ * Queries engines for the contents of their prefix caches when an entry becomes
+ * the placer of their service.
  *
- * A placer knows prefixes by the prompts it has placed. One that has just
- * started, or taken over, knows none: it would have prompts read again that
- * engines still hold. So it asks each engine once. The question delays an
- * engine's work a little and answers are some KB, so an engine is not asked
- * again for a while, and not by entries that do not place.
+ * A placer knows cached prefixes from the prompts it has placed. A placer that
+ * has just started, or has just taken over, knows none: prompts would be placed
+ * at engines that have to read them again, although others have them cached. It
+ * therefore queries each engine once. A query delays the work of an engine a
+ * little, and its answer has some KB, so an engine is not queried again for a
+ * while, and only by placers.
  */
 #ifndef DIRECT_PREFIX_CACHE_H
 #define DIRECT_PREFIX_CACHE_H
@@ -28,9 +29,9 @@
 
 struct direct_prefix_cache *
 direct_prefix_cache_create(const struct direct_prefix_cache_options *options);
-/** Questions under way end; before the pool does. */
+/** Cancels queries in progress. To be called before the pool is destroyed. */
 void direct_prefix_cache_destroy(struct direct_prefix_cache *cache);
-/** Ask all engines of a service that have not been asked lately. */
+/** Query all usable engines of a service that have not been queried lately. */
 void direct_prefix_cache_query(struct direct_prefix_cache *cache,
 			       const char *service);
 
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -532,7 +532,7 @@
 static void prepare_sending(struct direct_request *request,
 			    struct pool_upstream *upstream)
 {
-	const GArray *parts = request->info.prefix_blocks;
+	const GArray *blocks = request->info.prefix_blocks;
 
 	request->state = DIRECT_STATE_SENT;
 	request->upstream = pool_hold(upstream);
@@ -545,10 +545,10 @@
 	request->cold_tokens = 0;
 	request->expected_us = 0;
 	request->copy_from = NULL;
-	if (parts->len) {
+	if (blocks->len) {
 		estimate_prompt_read(request);
 		pool_remember(request->direct->pool, upstream,
-			      (struct pool_part *)parts->data, parts->len,
+			      (struct pool_part *)blocks->data, blocks->len,
 			      direct_prefix_cache_capacity(request->direct,
 							   request->service));
 	}
