--- a/tests/closed_domains_test.cc
+++ b/tests/closed_domains_test.cc
@@ -12,10 +12,11 @@
 {
 	static int number = 0;
 
-	return std::to_string(
-		Ask(rig.address, std::to_string(++number).c_str(), target)
-			.wait()
-			.status);
+	return std::to_string(CallerRequest(rig.address,
+					    std::to_string(++number).c_str(),
+					    target)
+				      .wait()
+				      .status);
 }
 
 uint32_t arrivals(const std::vector<pe_upstream *> &upstreams)
@@ -53,7 +54,7 @@
 
 void wait_ms(int64_t ms)
 {
-	turn_until([] { return false; }, ms);
+	run_loop_until([] { return false; }, ms);
 }
 
 /* One request of each kind: a call, a stream, a stream with stages. */
@@ -62,8 +63,8 @@
 	for (int i = 0; i < count; i++) {
 		EXPECT_EQ(ask(rig), whole);
 		EXPECT_EQ(ask(rig, "/once/x"), whole);
-		EXPECT_EQ(ask_staged(rig, "s" + std::to_string(i)),
-			  whole_stream);
+		EXPECT_EQ(request_staged(rig, "s" + std::to_string(i)),
+			  complete_stream);
 	}
 }
 
@@ -129,8 +130,8 @@
 
 	pe_set_work_ms(only, 200);
 	rig.settle();
-	Ask under_way(rig.address, "u", "/look/x");
-	ASSERT_TRUE(turn_until([&] { return pe_arrivals(only) == 1; }));
+	CallerRequest under_way(rig.address, "u", "/look/x");
+	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(only) == 1; }));
 	pe_evacuate(rig.platform, "a");
 	EXPECT_EQ(under_way.wait().status, 200u);
 }
@@ -147,11 +148,12 @@
 	rig.settle();
 	pe_evacuate(rig.platform, "a");
 	wait_ms(300);
-	Ask plain(rig.address, "p", "/order/x");
-	Ask staged(rig.address, "s", "/staged/x",
-		   Fields{ { "X-Pieces", "3,2" }, { "X-Piece-Key", "k" } });
+	CallerRequest plain(rig.address, "p", "/order/x");
+	CallerRequest staged(
+		rig.address, "s", "/staged/x",
+		Fields{ { "X-Pieces", "3,2" }, { "X-Piece-Key", "k" } });
 
-	for (Ask *refused : { &plain, &staged }) {
+	for (CallerRequest *refused : { &plain, &staged }) {
 		EXPECT_EQ(refused->wait().status, 503u);
 		EXPECT_NE(refused->retry_after, "");
 		EXPECT_LT(refused->took_us, 200 * LP_US_PER_MS);
@@ -172,7 +174,7 @@
 	two.rig.join("127.0.0.1", 500, { "127.0.0.2" });
 	cut.join("127.0.0.2", 500, { "127.0.0.1" });
 	pe_store_fault(cut.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] {
+	ASSERT_TRUE(run_loop_until([&] {
 		return !plf_feed_in_touch(cut.feed) &&
 		       direct_peers_count(cut.peers) == 2;
 	}));
@@ -207,16 +209,16 @@
 	pe_evacuate(two.rig.platform, "a");
 	wait_ms(300);
 	pe_store_fault(two.rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(
-		turn_until([&] { return !plf_feed_in_touch(two.rig.feed); }));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return !plf_feed_in_touch(two.rig.feed); }));
 	before = arrivals(two.a);
 	ask_each(two.rig, 2);
 	EXPECT_EQ(arrivals(two.a), before);
 	pe_take_back(two.rig.platform, "a");
 	pe_store_fault(two.rig.platform, PE_STORE_FINE);
-	ASSERT_TRUE(
-		turn_until([&] { return plf_feed_in_touch(two.rig.feed); }));
-	EXPECT_TRUE(turn_until([&] {
+	ASSERT_TRUE(run_loop_until(
+		[&] { return plf_feed_in_touch(two.rig.feed); }));
+	EXPECT_TRUE(run_loop_until([&] {
 		ask(two.rig);
 		return arrivals(two.a) > before;
 	}));
@@ -244,7 +246,7 @@
 	Rig rig;
 	pe_upstream *cold[] = { rig.add(PE_ENGINE, "engine"),
 				rig.add(PE_ENGINE, "engine") };
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> asks;
 	int refused = 0;
 
 	set_cold_config(rig, 2);
@@ -253,7 +255,7 @@
 		pe_set_cold(engine, 5000);
 	wait_ms(600);
 	for (int i = 0; i < 100; i++) {
-		asks.push_back(std::make_unique<Ask>(
+		asks.push_back(std::make_unique<CallerRequest>(
 			rig.address, std::to_string(i).c_str(), "/once/x",
 			Fields{ { "X-Token-Counts", "10,6" },
 				{ "X-Prompt-Prefix", "a:5,b:5" } }));
--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -15,8 +15,8 @@
 #include <string>
 #include <vector>
 
-inline bool turn_until(const std::function<bool()> &done,
-		       int64_t limit_ms = 10000)
+inline bool run_loop_until(const std::function<bool()> &done,
+			   int64_t limit_ms = 10000)
 {
 	const gint64 end_us = g_get_monotonic_time() + limit_ms * 1000;
 	const guint ticks = g_timeout_add(
@@ -32,7 +32,7 @@
 using Fields = std::map<std::string, std::string>;
 
 /* One request of a caller. */
-struct Ask {
+struct CallerRequest {
 	http_exchange *exchange;
 	uint32_t status = 0;
 	std::string body;
@@ -43,8 +43,9 @@
 	int64_t begun_us = g_get_monotonic_time();
 	int64_t took_us = 0;
 
-	Ask(const std::string &address, const char *id, const char *target,
-	    const Fields &more = {}, const char *body = "")
+	CallerRequest(const std::string &address, const char *id,
+		      const char *target, const Fields &more = {},
+		      const char *body = "")
 	{
 		static const http_exchange_events events = { on_head, on_body,
 							     on_done };
@@ -74,7 +75,7 @@
 		exchange = http_exchange_start(&options);
 		http_fields_clear(&fields);
 	}
-	~Ask()
+	~CallerRequest()
 	{
 		if (exchange && !done)
 			http_exchange_cancel(exchange);
@@ -82,7 +83,7 @@
 	static void on_head(void *self, uint32_t status,
 			    const http_fields *fields)
 	{
-		auto *ask = static_cast<Ask *>(self);
+		auto *ask = static_cast<CallerRequest *>(self);
 		const char *after = http_fields_get(fields, "Retry-After");
 		const char *seal = http_fields_get(fields, "X-Server-Seal");
 
@@ -92,22 +93,22 @@
 	}
 	static void on_body(void *self, const char *bytes, size_t size)
 	{
-		static_cast<Ask *>(self)->body.append(bytes, size);
+		static_cast<CallerRequest *>(self)->body.append(bytes, size);
 	}
 	static void on_done(void *self, int error, bool)
 	{
-		auto *ask = static_cast<Ask *>(self);
+		auto *ask = static_cast<CallerRequest *>(self);
 
 		ask->done = true;
 		ask->error = error;
 		ask->took_us = g_get_monotonic_time() - ask->begun_us;
 	}
-	Ask &wait()
+	CallerRequest &wait()
 	{
-		EXPECT_TRUE(turn_until([this] { return done; }));
+		EXPECT_TRUE(run_loop_until([this] { return done; }));
 		return *this;
 	}
-	void leave()
+	void cancel()
 	{
 		http_exchange_cancel(exchange);
 		done = true;
@@ -346,32 +347,34 @@
 	/* The entry knows the configuration and all upstreams. */
 	void settle(int64_t version = 1)
 	{
-		bool ready = turn_until([&] {
+		bool ready = run_loop_until([&] {
 			return direct_ready(entry) &&
 			       direct_config_version(entry) >= version;
 		});
-		int64_t polls = *calls();
+		int64_t polls = *range_calls();
 
 		EXPECT_TRUE(ready);
-		turn_until([&] { return *calls() >= polls + 2; }, 3000);
+		run_loop_until([&] { return *range_calls() >= polls + 2; },
+			       3000);
 	}
-	int64_t *calls()
+	int64_t *range_calls()
 	{
 		return lp_counter(counters, "linepier_kv_calls_total",
 				  "purpose=\"range\"");
 	}
 };
 
-inline const char whole_stream[] =
+inline const char complete_stream[] =
 	"id: 1\ndata: token 1\n\nid: 2\ndata: token 2\n\n"
 	"id: 3\ndata: token 3\n\nid: 4\ndata: token 4\n\n"
 	"id: 5\ndata: token 5\n\nid: 6\ndata: token 6\n\n";
 
 /* A request with stages, of this id: its answer. */
-inline std::string ask_staged(const Rig &rig, const std::string &id)
+inline std::string request_staged(const Rig &rig, const std::string &id)
 {
-	return Ask(rig.address, id.c_str(), "/staged/x",
-		   Fields{ { "X-Pieces", "3,2" }, { "X-Piece-Key", "k" + id } })
+	return CallerRequest(rig.address, id.c_str(), "/staged/x",
+			     Fields{ { "X-Pieces", "3,2" },
+				     { "X-Piece-Key", "k" + id } })
 		.wait()
 		.body;
 }
--- a/tests/direct_test.cc
+++ b/tests/direct_test.cc
@@ -22,28 +22,28 @@
 	rig.add(PE_STAGE, "first");
 	rig.add(PE_STAGE, "second");
 	rig.settle();
-	Ask look(rig.address, "a1", "/look/x");
-	Ask order(rig.address, "a2", "/order/x", {}, "one box");
-	Ask once(rig.address, "a3", "/once/x");
-	Ask staged(rig.address, "a4", "/staged/x",
-		   { { "X-Pieces", "2,3" }, { "X-Piece-Key", "k" } });
+	CallerRequest look(rig.address, "a1", "/look/x");
+	CallerRequest order(rig.address, "a2", "/order/x", {}, "one box");
+	CallerRequest once(rig.address, "a3", "/once/x");
+	CallerRequest staged(rig.address, "a4", "/staged/x",
+			     { { "X-Pieces", "2,3" }, { "X-Piece-Key", "k" } });
 
 	EXPECT_EQ(look.wait().body, "whole");
 	EXPECT_EQ(look.seal, "mark");
 	EXPECT_EQ(order.wait().body, "whole");
-	EXPECT_EQ(once.wait().body, whole_stream);
-	EXPECT_EQ(staged.wait().body, whole_stream);
+	EXPECT_EQ(once.wait().body, complete_stream);
+	EXPECT_EQ(staged.wait().body, complete_stream);
 	EXPECT_EQ(staged.error, LP_OK);
 	EXPECT_EQ(pe_pieces_made(rig.platform), 5u);
 	EXPECT_EQ(pe_runs(rig.platform, "a2"), 1u);
-	EXPECT_TRUE(
-		turn_until([&] { return pe_pieces_kept(rig.platform) == 0; }));
+	EXPECT_TRUE(run_loop_until(
+		[&] { return pe_pieces_kept(rig.platform) == 0; }));
 }
 
 TEST(Direct, RefusesTruthfullyUntilItIsConfigured)
 {
 	Rig rig(false);
-	Ask early(rig.address, "a1", "/order/x");
+	CallerRequest early(rig.address, "a1", "/order/x");
 
 	EXPECT_EQ(early.wait().status, 503u);
 	EXPECT_NE(early.retry_after, "");
@@ -56,11 +56,13 @@
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
-	Ask unknown(rig.address, "a1", "/nowhere/x");
-	Ask stranger(rig.address, "a2", "/look/x",
-		     { { "Authorization", "Bearer no" } });
-	Ask nameless(rig.address, "a3", "/look/x", { { "X-Attempt-Id", "" } });
-	Ask forged(rig.address, "a4", "/look/x", { { "X-Tenant", "evil" } });
+	CallerRequest unknown(rig.address, "a1", "/nowhere/x");
+	CallerRequest stranger(rig.address, "a2", "/look/x",
+			       { { "Authorization", "Bearer no" } });
+	CallerRequest nameless(rig.address, "a3", "/look/x",
+			       { { "X-Attempt-Id", "" } });
+	CallerRequest forged(rig.address, "a4", "/look/x",
+			     { { "X-Tenant", "evil" } });
 
 	EXPECT_EQ(unknown.wait().status, 404u);
 	EXPECT_EQ(stranger.wait().status, 401u);
@@ -83,7 +85,8 @@
 		pe_fault(first, fault);
 		pe_fault(second, fault);
 		rig.settle();
-		Ask order(rig.address, "a1", "/order/x", {}, "one box");
+		CallerRequest order(rig.address, "a1", "/order/x", {},
+				    "one box");
 
 		EXPECT_EQ(order.wait().status, 502u) << fault;
 		EXPECT_EQ(order.seal, "") << fault;
@@ -103,7 +106,7 @@
 	rig.settle();
 	for (int i = 0; i < 6; i++) {
 		std::string id = "a" + std::to_string(i);
-		Ask order(rig.address, id.c_str(), "/order/x");
+		CallerRequest order(rig.address, id.c_str(), "/order/x");
 
 		EXPECT_EQ(order.wait().status, 200u);
 		EXPECT_EQ(pe_runs(rig.platform, id.c_str()), 1u);
@@ -118,7 +121,7 @@
 
 	pe_fault(full, PE_FAULT_FULL);
 	rig.settle();
-	Ask order(rig.address, "a1", "/order/x");
+	CallerRequest order(rig.address, "a1", "/order/x");
 
 	EXPECT_EQ(order.wait().status, 503u);
 	EXPECT_NE(order.retry_after, "");
@@ -133,8 +136,8 @@
 
 	pe_fault(silent, PE_FAULT_SILENT);
 	rig.settle();
-	Ask order(rig.address, "a1", "/order/x",
-		  { { "X-Deadline-Ms", "300" } });
+	CallerRequest order(rig.address, "a1", "/order/x",
+			    { { "X-Deadline-Ms", "300" } });
 
 	EXPECT_EQ(order.wait().status, 504u);
 	EXPECT_GE(order.took_us, 250000);
@@ -158,7 +161,7 @@
 		rig.settle();
 		for (int i = 0; i < 4; i++) {
 			std::string id = "a" + std::to_string(i);
-			Ask look(rig.address, id.c_str(), "/look/x");
+			CallerRequest look(rig.address, id.c_str(), "/look/x");
 
 			EXPECT_EQ(look.wait().status, 200u) << fault;
 			EXPECT_EQ(look.body, "whole") << fault;
@@ -178,7 +181,8 @@
 		rig.settle();
 		for (int i = 0; i < 3; i++) {
 			std::string id = "a" + std::to_string(i);
-			Ask order(rig.address, id.c_str(), "/order/x");
+			CallerRequest order(rig.address, id.c_str(),
+					    "/order/x");
 
 			EXPECT_EQ(order.wait().body, "whole");
 			EXPECT_EQ(pe_runs(rig.platform, id.c_str()), 1u);
@@ -193,7 +197,7 @@
 
 	pe_fault(bad, PE_FAULT_ERROR);
 	rig.settle();
-	Ask order(rig.address, "a1", "/order/x");
+	CallerRequest order(rig.address, "a1", "/order/x");
 
 	EXPECT_EQ(order.wait().status, 500u);
 	EXPECT_EQ(order.body, "failed");
@@ -212,9 +216,9 @@
 	rig.settle();
 	for (int i = 0; i < 4; i++) {
 		std::string id = "a" + std::to_string(i);
-		Ask again(rig.address, id.c_str(), "/again/x");
+		CallerRequest again(rig.address, id.c_str(), "/again/x");
 
-		EXPECT_EQ(again.wait().body, whole_stream);
+		EXPECT_EQ(again.wait().body, complete_stream);
 		EXPECT_EQ(again.error, LP_OK);
 	}
 }
@@ -226,7 +230,7 @@
 
 	pe_fault(bad, PE_FAULT_CUT);
 	rig.settle();
-	Ask once(rig.address, "a1", "/once/x");
+	CallerRequest once(rig.address, "a1", "/once/x");
 
 	once.wait();
 	EXPECT_EQ(once.status, 200u);
@@ -243,12 +247,13 @@
 
 	pe_set_work_ms(slow, 5000);
 	rig.settle();
-	Ask order(rig.address, "a1", "/order/x");
+	CallerRequest order(rig.address, "a1", "/order/x");
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_runs(rig.platform, "a1") == 1; }));
-	order.leave();
-	EXPECT_TRUE(turn_until([&] { return pe_connections(slow) == 0; }, 500));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_runs(rig.platform, "a1") == 1; }));
+	order.cancel();
+	EXPECT_TRUE(
+		run_loop_until([&] { return pe_connections(slow) == 0; }, 500));
 	EXPECT_EQ(direct_open_requests(rig.entry), 0u);
 }
 
@@ -263,13 +268,13 @@
 	rig.add(PE_ENGINE, "engine");
 	pe_fault(forgets, PE_FAULT_FORGET);
 	rig.settle();
-	Ask staged(rig.address, "a1", "/staged/x",
-		   { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest staged(rig.address, "a1", "/staged/x",
+			     { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_pieces_made(rig.platform) >= 2; }));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_pieces_made(rig.platform) >= 2; }));
 	pe_fault(forgets, PE_FAULT_NONE);
-	EXPECT_EQ(staged.wait().body, whole_stream);
+	EXPECT_EQ(staged.wait().body, complete_stream);
 }
 
 /* Found on days of bursts: results were kept for a resume until the stream's
@@ -282,15 +287,15 @@
 	rig.add(PE_STAGE, "second");
 	rig.add(PE_ENGINE, "engine");
 	rig.settle();
-	Ask staged(rig.address, "a1", "/restaged/x",
-		   { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest staged(rig.address, "a1", "/restaged/x",
+			     { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	ASSERT_TRUE(turn_until([&] { return !staged.body.empty(); }));
-	EXPECT_TRUE(turn_until([&] {
+	ASSERT_TRUE(run_loop_until([&] { return !staged.body.empty(); }));
+	EXPECT_TRUE(run_loop_until([&] {
 		return pe_pieces_kept(rig.platform) == 0 || staged.done;
 	}));
 	EXPECT_FALSE(staged.done);
-	EXPECT_EQ(staged.wait().body, whole_stream);
+	EXPECT_EQ(staged.wait().body, complete_stream);
 }
 
 /* ... so a stream that resumes has them made again. */
@@ -304,19 +309,19 @@
 	rig.add(PE_STAGE, "second");
 	pe_fault(bad, PE_FAULT_CUT);
 	rig.settle();
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> asks;
 
 	/* Several at once go to both engines. */
 	for (int i = 0; i < 4; i++) {
 		std::string id = "a" + std::to_string(i);
 
-		asks.push_back(std::make_unique<Ask>(
+		asks.push_back(std::make_unique<CallerRequest>(
 			rig.address, id.c_str(), "/restaged/x",
 			Fields{ { "X-Pieces", "1,1" },
 				{ "X-Piece-Key", "k" } }));
 	}
 	for (auto &ask : asks) {
-		EXPECT_EQ(ask->wait().body, whole_stream);
+		EXPECT_EQ(ask->wait().body, complete_stream);
 		EXPECT_EQ(ask->error, LP_OK);
 	}
 	EXPECT_GT(pe_pieces_made(rig.platform), 8u);
@@ -333,13 +338,14 @@
 	rig.add(PE_ENGINE, "engine");
 	pe_fault(forgets, PE_FAULT_FORGET);
 	rig.settle();
-	Ask staged(rig.address, "a1", "/staged/x",
-		   { { "X-Pieces", "1,20" }, { "X-Piece-Key", "k" } });
+	CallerRequest staged(
+		rig.address, "a1", "/staged/x",
+		{ { "X-Pieces", "1,20" }, { "X-Piece-Key", "k" } });
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_pieces_made(rig.platform) >= 2; }));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_pieces_made(rig.platform) >= 2; }));
 	pe_fault(forgets, PE_FAULT_NONE);
-	EXPECT_EQ(staged.wait().body, whole_stream);
+	EXPECT_EQ(staged.wait().body, complete_stream);
 }
 
 TEST(Direct, PiecesOutliveAStageServerThatResets)
@@ -354,10 +360,11 @@
 	rig.settle();
 	for (int i = 0; i < 4; i++) {
 		std::string id = "a" + std::to_string(i);
-		Ask staged(rig.address, id.c_str(), "/staged/x",
-			   { { "X-Pieces", "2,1" }, { "X-Piece-Key", "k" } });
+		CallerRequest staged(
+			rig.address, id.c_str(), "/staged/x",
+			{ { "X-Pieces", "2,1" }, { "X-Piece-Key", "k" } });
 
-		EXPECT_EQ(staged.wait().body, whole_stream);
+		EXPECT_EQ(staged.wait().body, complete_stream);
 	}
 }
 
@@ -373,16 +380,16 @@
 	rig.add(PE_ENGINE, "engine");
 	pe_set_work_ms(slow, 900);
 	rig.settle();
-	Ask one(rig.address, "a1", "/staged/x",
-		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest one(rig.address, "a1", "/staged/x",
+			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	ASSERT_TRUE(turn_until([&] { return pe_arrivals(slow) == 1; }));
-	Ask two(rig.address, "a2", "/staged/x",
-		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(slow) == 1; }));
+	CallerRequest two(rig.address, "a2", "/staged/x",
+			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_pieces_made(rig.platform) >= 2; }));
-	turn_until([] { return false; }, 50);
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_pieces_made(rig.platform) >= 2; }));
+	run_loop_until([] { return false; }, 50);
 	pe_remove(maker);
 	one.wait();
 	two.wait();
@@ -393,7 +400,7 @@
 TEST(Direct, ManyRequestsShareCallsAndKeepTheirPiecesApart)
 {
 	Rig rig;
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> asks;
 
 	for (int i = 0; i < 3; i++) {
 		rig.add(PE_STAGE, "first");
@@ -404,16 +411,16 @@
 	for (int i = 0; i < 30; i++) {
 		std::string id = "m" + std::to_string(i);
 
-		asks.push_back(std::make_unique<Ask>(
+		asks.push_back(std::make_unique<CallerRequest>(
 			rig.address, id.c_str(), "/staged/x",
 			Fields{ { "X-Pieces", "3,2" },
 				{ "X-Piece-Key", "k" + id } }));
 	}
 	for (auto &ask : asks)
-		EXPECT_EQ(ask->wait().body, whole_stream);
+		EXPECT_EQ(ask->wait().body, complete_stream);
 	EXPECT_EQ(pe_pieces_made(rig.platform), 150u);
-	EXPECT_TRUE(
-		turn_until([&] { return pe_pieces_kept(rig.platform) == 0; }));
+	EXPECT_TRUE(run_loop_until(
+		[&] { return pe_pieces_kept(rig.platform) == 0; }));
 }
 
 /* Found by a hunted day: requests of the least urgent kind waited for a short
@@ -430,10 +437,10 @@
 	rig.settle();
 	pe_fault(stage, PE_FAULT_SILENT);
 	pe_set_work_ms(plain, 200);
-	Ask waits(rig.address, "w", "/staged/x",
-		  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
-	Ask sent(rig.address, "s", "/order/x");
-	ASSERT_TRUE(turn_until(
+	CallerRequest waits(rig.address, "w", "/staged/x",
+			    { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest sent(rig.address, "s", "/order/x");
+	ASSERT_TRUE(run_loop_until(
 		[&] { return pe_calls(stage) && pe_arrivals(plain); }));
 	direct_drain(rig.entry);
 	direct_refuse_unsent(rig.entry);
@@ -456,7 +463,10 @@
 	rig.settle();
 	before = pe_arrivals(leaving);
 	for (int i = 0; i < 8; i++)
-		EXPECT_EQ(Ask(rig.address, "a", "/look/x").wait().status, 200u);
+		EXPECT_EQ(CallerRequest(rig.address, "a", "/look/x")
+				  .wait()
+				  .status,
+			  200u);
 	EXPECT_EQ(pe_arrivals(leaving), before);
 }
 
@@ -467,10 +477,13 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_SILENT);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
-	EXPECT_EQ(Ask(rig.address, "a1", "/look/x").wait().status, 200u);
+	ASSERT_TRUE(
+		run_loop_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	EXPECT_EQ(CallerRequest(rig.address, "a1", "/look/x").wait().status,
+		  200u);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	EXPECT_TRUE(turn_until([&] { return plf_feed_in_touch(rig.feed); }));
+	EXPECT_TRUE(
+		run_loop_until([&] { return plf_feed_in_touch(rig.feed); }));
 }
 
 /* Refused calls are paid for, and keep a service down that is short. */
@@ -482,19 +495,20 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(
+		run_loop_until([&] { return !plf_feed_in_touch(rig.feed); }));
 	before = *lp_counter(rig.counters, "linepier_kv_failures_total",
 			     nullptr);
-	turn_until([] { return false; }, 4000);
+	run_loop_until([] { return false; }, 4000);
 	EXPECT_LE(*lp_counter(rig.counters, "linepier_kv_failures_total",
 			      nullptr) -
 			  before,
 		  5);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
 	rig.set_config(2);
-	EXPECT_TRUE(
-		turn_until([&] { return plf_feed_in_touch(rig.feed); }, 2000));
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until([&] { return plf_feed_in_touch(rig.feed); },
+				   2000));
+	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(rig.entry) == 2; }, 500));
 }
 
@@ -506,12 +520,14 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
-	turn_until([] { return false; }, 3500); /* its wait is 1.2 s or more */
+	ASSERT_TRUE(
+		run_loop_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	run_loop_until([] { return false; },
+		       3500); /* its wait is 1.2 s or more */
 	pe_store_fault(rig.platform, PE_STORE_FINE);
 	EXPECT_FALSE(plf_feed_hear_list(rig.feed, 7, 0));
-	EXPECT_TRUE(
-		turn_until([&] { return plf_feed_in_touch(rig.feed); }, 300));
+	EXPECT_TRUE(run_loop_until([&] { return plf_feed_in_touch(rig.feed); },
+				   300));
 }
 
 /* ---- the configuration ---- */
@@ -523,18 +539,18 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	rig.set_config(5);
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(rig.entry) == 5; }, 1000));
-	Ask revoked(rig.address, "a1", "/look/x",
-		    { { "Authorization", "Bearer key-1" } });
-	Ask added(rig.address, "a2", "/look/x",
-		  { { "Authorization", "Bearer key-5" } });
+	CallerRequest revoked(rig.address, "a1", "/look/x",
+			      { { "Authorization", "Bearer key-1" } });
+	CallerRequest added(rig.address, "a2", "/look/x",
+			    { { "Authorization", "Bearer key-5" } });
 
 	EXPECT_EQ(revoked.wait().status, 401u);
 	EXPECT_EQ(added.wait().status, 200u);
 	rig.set_config(3);
 	rig.set_config(6);
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(rig.entry) == 6; }, 1000));
 }
 
@@ -549,9 +565,9 @@
 	pe_store_fault(rig.platform, PE_STORE_DEAF_WATCHES);
 	rig.set_config(7);
 	rig.add(PE_PLAIN, "plain"); /* the revision goes on */
-	turn_until([] { return false; }, 800);
+	run_loop_until([] { return false; }, 800);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(rig.entry) == 7; }, 2500));
 }
 
@@ -572,7 +588,7 @@
 	refused.settle();
 	pe_store_fault(refused.platform, PE_STORE_BUSY);
 	served.set_config(4);
-	ASSERT_TRUE(turn_until([&] {
+	ASSERT_TRUE(run_loop_until([&] {
 		return direct_config_version(served.entry) == 4 &&
 		       !plf_feed_in_touch(refused.feed);
 	}));
@@ -589,12 +605,13 @@
 	ASSERT_TRUE(one && two);
 	plf_share_heard_version(two, "127.0.0.1", 4);
 	plf_share_heard_version(two, "127.0.0.9", 1);
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(refused.entry) == 4; },
 		1500));
-	EXPECT_TRUE(turn_until([&] {
-		return Ask(refused.address, "a1", "/look/x").wait().status ==
-		       200;
+	EXPECT_TRUE(run_loop_until([&] {
+		return CallerRequest(refused.address, "a1", "/look/x")
+			       .wait()
+			       .status == 200;
 	}));
 	plf_share_destroy(one);
 	plf_share_destroy(two);
@@ -617,7 +634,7 @@
 	served.add(PE_PLAIN, "plain");
 	pe_store_fault(refused.platform, PE_STORE_BUSY);
 	pe_store_fault(also_refused.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] {
+	ASSERT_TRUE(run_loop_until([&] {
 		return !plf_feed_in_touch(refused.feed) &&
 		       !plf_feed_in_touch(also_refused.feed);
 	}));
@@ -634,7 +651,7 @@
 		shares[i] = plf_share_create(&options);
 		ASSERT_NE(shares[i], nullptr);
 	}
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] {
 			g_autofree char *list =
 				plf_feed_list_text(refused.feed);
@@ -663,15 +680,17 @@
 	};
 
 	rig.add(PE_PLAIN, "plain");
-	ASSERT_TRUE(turn_until(is_kept));
+	ASSERT_TRUE(run_loop_until(is_kept));
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(
+		run_loop_until([&] { return !plf_feed_in_touch(rig.feed); }));
 	pe_remove(leaving);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	ASSERT_TRUE(turn_until([&] { return plf_feed_in_touch(rig.feed); }));
-	turn_until([] { return false; }, 2000);
+	ASSERT_TRUE(
+		run_loop_until([&] { return plf_feed_in_touch(rig.feed); }));
+	run_loop_until([] { return false; }, 2000);
 	EXPECT_TRUE(is_kept());
-	EXPECT_TRUE(turn_until([&] { return !is_kept(); }, 300));
+	EXPECT_TRUE(run_loop_until([&] { return !is_kept(); }, 300));
 }
 
 /* ---- the end ---- */
@@ -685,14 +704,14 @@
 
 	pe_set_work_ms(slow, 200);
 	rig.settle();
-	Ask before(rig.address, "a1", "/order/x");
+	CallerRequest before(rig.address, "a1", "/order/x");
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_runs(rig.platform, "a1") == 1; }));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_runs(rig.platform, "a1") == 1; }));
 	direct_drain(rig.entry);
 	direct_set_shutdown_time(rig.entry, lp_now_us(lp_clock_boot()) +
 						    1500 * LP_US_PER_MS);
-	Ask after(rig.address, "a2", "/order/x");
+	CallerRequest after(rig.address, "a2", "/order/x");
 
 	EXPECT_EQ(after.wait().status, 503u);
 	/* Another entry can take it at once. */
@@ -713,7 +732,8 @@
 	direct_drain(rig.entry);
 	direct_set_shutdown_time(rig.entry, lp_now_us(lp_clock_boot()) +
 						    1500 * LP_US_PER_MS);
-	Ask ask(rig.address, "a1", "/order/x", { { "X-Deadline-Ms", "600" } });
+	CallerRequest ask(rig.address, "a1", "/order/x",
+			  { { "X-Deadline-Ms", "600" } });
 
 	EXPECT_EQ(ask.wait().status, 200u);
 	EXPECT_EQ(pe_runs(rig.platform, "a1"), 1u);
--- a/tests/feed_test.cc
+++ b/tests/feed_test.cc
@@ -120,7 +120,7 @@
 	}
 	void look_fails()
 	{
-		ASSERT_TRUE(turn_until([this] { return store.looking(); }));
+		ASSERT_TRUE(run_loop_until([this] { return store.looking(); }));
 		store.look_ends(LP_ERROR_PLATFORM_DOWN);
 	}
 };
@@ -132,13 +132,14 @@
 	int watches;
 
 	scripted.look_fails();
-	ASSERT_TRUE(turn_until([&] { return store.looking(); }));
+	ASSERT_TRUE(run_loop_until([&] { return store.looking(); }));
 	store.first_byte();
 	store.watch_ends();
 	EXPECT_EQ(*scripted.running(), 0);
 	store.look_ends(LP_OK);
 	watches = store.watches;
-	EXPECT_TRUE(turn_until([&] { return store.watches > watches; }, 5000));
+	EXPECT_TRUE(
+		run_loop_until([&] { return store.watches > watches; }, 5000));
 	EXPECT_EQ(*scripted.running(), 1);
 }
 
@@ -152,7 +153,7 @@
 	scripted.look_fails();
 	store.watch_ends();
 	watches = store.watches;
-	ASSERT_TRUE(turn_until([&] { return store.looking(); }));
+	ASSERT_TRUE(run_loop_until([&] { return store.looking(); }));
 	EXPECT_EQ(store.watches, watches);
 	store.first_byte();
 	EXPECT_EQ(store.watches, watches + 1);
--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -15,7 +15,7 @@
 	Rig first;
 	std::vector<std::unique_ptr<Rig>> others;
 	std::map<std::string, std::vector<pe_upstream *>> upstreams;
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> asks;
 	int number = 0;
 
 	explicit Fleet(int size = 3)
@@ -34,7 +34,7 @@
 			entry(i).join(ips[i].c_str(), 500, ips);
 		for (int i = 0; i < size; i++)
 			entry(i).settle();
-		EXPECT_TRUE(turn_until([&] { return has_met(size); }));
+		EXPECT_TRUE(run_loop_until([&] { return has_met(size); }));
 	}
 	void add(pe_kind kind, const char *service)
 	{
@@ -63,14 +63,14 @@
 
 		late->join("127.0.0.9", 500, { "127.0.0.1", "127.0.0.2" });
 		late->settle();
-		EXPECT_TRUE(turn_until([&] {
+		EXPECT_TRUE(run_loop_until([&] {
 			return (int)direct_peers_count(late->peers) ==
 			       size() + 1;
 		}));
 		return late;
 	}
 	/* Of the next entry in turn. */
-	Ask &ask(const char *target)
+	CallerRequest &ask(const char *target)
 	{
 		std::string id = std::to_string(++number);
 		Fields fields = { { "X-Token-Counts", "10,6" },
@@ -80,9 +80,9 @@
 			fields["X-Pieces"] = "1,1";
 			fields["X-Piece-Key"] = "k" + id;
 		}
-		asks.push_back(
-			std::make_unique<Ask>(entry(number % size()).address,
-					      id.c_str(), target, fields));
+		asks.push_back(std::make_unique<CallerRequest>(
+			entry(number % size()).address, id.c_str(), target,
+			fields));
 		return *asks.back();
 	}
 	void ask_for(const char *target, int64_t ms)
@@ -91,7 +91,7 @@
 
 		while (g_get_monotonic_time() < end_us) {
 			ask(target);
-			turn_until([] { return false; }, ask_every_ms);
+			run_loop_until([] { return false; }, ask_every_ms);
 		}
 	}
 	int count(uint32_t status)
--- a/tests/homes_test.cc
+++ b/tests/homes_test.cc
@@ -79,10 +79,11 @@
 	pe_set_config(rig.platform, json.c_str());
 	rig.settle(2);
 	for (int i = 0; i < 4; i++)
-		EXPECT_EQ(ask_staged(rig, "s" + std::to_string(i)),
-			  whole_stream);
+		EXPECT_EQ(request_staged(rig, "s" + std::to_string(i)),
+			  complete_stream);
 	/* Its only upstream is abroad: refused at once. */
-	EXPECT_EQ(Ask(rig.address, "p", "/order/x").wait().status, 503u);
+	EXPECT_EQ(CallerRequest(rig.address, "p", "/order/x").wait().status,
+		  503u);
 	for (pe_upstream *upstream : stages_abroad)
 		EXPECT_EQ(pe_calls(upstream), 0u) << pe_name(upstream);
 	for (pe_upstream *upstream : abroad)
--- a/tests/notices_test.cc
+++ b/tests/notices_test.cc
@@ -66,8 +66,9 @@
 	std::unique_ptr<Rig> late = fleet.start_another();
 	before = pe_arrivals(leaving);
 	for (int i = 0; i < 10; i++)
-		EXPECT_EQ(Ask(late->address, ("l" + std::to_string(i)).c_str(),
-			      "/look/x")
+		EXPECT_EQ(CallerRequest(late->address,
+					("l" + std::to_string(i)).c_str(),
+					"/look/x")
 				  .wait()
 				  .status,
 			  200u);
@@ -82,9 +83,9 @@
 
 	rig.settle();
 	pe_set_work_ms(only, 300);
-	Ask one(rig.address, "1", "/order/x");
-	Ask two(rig.address, "2", "/order/x");
-	ASSERT_TRUE(turn_until([&] { return pe_arrivals(only) == 2; }));
+	CallerRequest one(rig.address, "1", "/order/x");
+	CallerRequest two(rig.address, "2", "/order/x");
+	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(only) == 2; }));
 	pe_say_leaving(only);
 	EXPECT_EQ(one.wait().status, 200u);
 	EXPECT_EQ(two.wait().status, 200u);
@@ -98,8 +99,9 @@
 
 	rig.settle();
 	pe_say_leaving(only);
-	EXPECT_EQ(Ask(rig.address, "1", "/order/x").wait().status, 200u);
-	Ask refused(rig.address, "2", "/order/x");
+	EXPECT_EQ(CallerRequest(rig.address, "1", "/order/x").wait().status,
+		  200u);
+	CallerRequest refused(rig.address, "2", "/order/x");
 	EXPECT_EQ(refused.wait().status, 503u);
 	EXPECT_NE(refused.retry_after, "");
 	EXPECT_LT(refused.took_us, 200 * LP_US_PER_MS);
@@ -114,12 +116,16 @@
 
 	rig.settle();
 	pe_say_leaving(only);
-	EXPECT_EQ(Ask(rig.address, "1", "/look/x").wait().status, 200u);
-	EXPECT_EQ(Ask(rig.address, "2", "/look/x").wait().status, 503u);
+	EXPECT_EQ(CallerRequest(rig.address, "1", "/look/x").wait().status,
+		  200u);
+	EXPECT_EQ(CallerRequest(rig.address, "2", "/look/x").wait().status,
+		  503u);
 	pe_restart_options how = {};
 	pe_restart(only, &how);
-	EXPECT_TRUE(turn_until([&] {
-		return Ask(rig.address, "3", "/look/x").wait().status == 200;
+	EXPECT_TRUE(run_loop_until([&] {
+		return CallerRequest(rig.address, "3", "/look/x")
+			       .wait()
+			       .status == 200;
 	}));
 }
 
@@ -214,10 +220,12 @@
 
 	rig.settle();
 	pe_set_rest(only, 1000);
-	EXPECT_EQ(Ask(rig.address, "1", "/look/x").wait().status, 503u);
+	EXPECT_EQ(CallerRequest(rig.address, "1", "/look/x").wait().status,
+		  503u);
 	told_us = g_get_monotonic_time();
 	pe_set_rest(only, 0);
-	while (Ask(rig.address, "2", "/look/x").wait().status != 200 &&
+	while (CallerRequest(rig.address, "2", "/look/x").wait().status !=
+		       200 &&
 	       g_get_monotonic_time() - told_us < 5 * LP_US_PER_S)
 		;
 	EXPECT_EQ(pe_arrivals(only), 2u);
@@ -241,13 +249,14 @@
 		pe_set_rest(both[1], 5000);
 		pe_set_rest(both[2], 2000);
 		pe_set_rest(both[3], 5000);
-		Ask(rig.address, "1", target).wait();
-		Ask(rig.address, "2", target).wait();
+		CallerRequest(rig.address, "1", target).wait();
+		CallerRequest(rig.address, "2", target).wait();
 		for (pe_upstream *upstream : both)
 			before += pe_arrivals(upstream);
 		for (int i = 0; i < 5; i++) {
-			Ask ask(rig.address, ("r" + std::to_string(i)).c_str(),
-				target);
+			CallerRequest ask(rig.address,
+					  ("r" + std::to_string(i)).c_str(),
+					  target);
 
 			EXPECT_EQ(ask.wait().status, 503u) << target;
 			EXPECT_LT(ask.took_us, 200 * LP_US_PER_MS) << target;
--- a/tests/poison_test.cc
+++ b/tests/poison_test.cc
@@ -52,7 +52,7 @@
 		two.join("127.0.0.2", 500, { "127.0.0.1" }, 1);
 		one.settle();
 		two.settle();
-		ASSERT_TRUE(turn_until([&] {
+		ASSERT_TRUE(run_loop_until([&] {
 			return direct_peers_count(one.peers) == 2 &&
 			       direct_peers_count(two.peers) == 2;
 		}));
@@ -102,22 +102,22 @@
 	void bring(int times, int at_once = 1)
 	{
 		for (int i = 0; i < times; i++) {
-			std::vector<std::unique_ptr<Ask>> asks;
+			std::vector<std::unique_ptr<CallerRequest>> asks;
 
 			for (int j = 0; j < at_once; j++)
 				asks.push_back(ask());
 			for (auto &one : asks)
 				refused += one->wait().status == 503;
-			turn_until([] { return false; }, 50);
+			run_loop_until([] { return false; }, 50);
 		}
 	}
-	std::unique_ptr<Ask> ask()
+	std::unique_ptr<CallerRequest> ask()
 	{
 		std::string id = body + std::to_string(++tries);
 
-		return std::make_unique<Ask>(fleet.at(tries).address,
-					     id.c_str(), target.c_str(), fields,
-					     body.c_str());
+		return std::make_unique<CallerRequest>(
+			fleet.at(tries).address, id.c_str(), target.c_str(),
+			fields, body.c_str());
 	}
 };
 
@@ -148,8 +148,8 @@
 	end_us = g_get_monotonic_time() + 6 * LP_US_PER_S;
 	while (g_get_monotonic_time() < end_us) {
 		std::string id = "p" + std::to_string(tries);
-		Ask ask(fleet.at(tries).address, id.c_str(), "/once/x", {},
-			poison);
+		CallerRequest ask(fleet.at(tries).address, id.c_str(),
+				  "/once/x", {}, poison);
 
 		if (ask.wait().status == 503) {
 			/* It has not run. */
@@ -157,7 +157,7 @@
 			refused++;
 		}
 		tries++;
-		turn_until([] { return false; }, 50);
+		run_loop_until([] { return false; }, 50);
 	}
 	EXPECT_LE(fleet.book().arrivals_late, 3u);
 	EXPECT_LE(fleet.book().ends, 4u);
@@ -200,12 +200,12 @@
 
 	pe_set_work_ms(plain, 3000);
 	fleet.settle();
-	Ask ask(fleet.one.address, "a", "/order/x");
+	CallerRequest ask(fleet.one.address, "a", "/order/x");
 
-	ASSERT_TRUE(turn_until([&] { return pe_arrivals(plain) == 1; }));
+	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(plain) == 1; }));
 	pe_restart(plain, &at_once);
 	EXPECT_EQ(ask.wait().status, 502u);
-	EXPECT_TRUE(turn_until([&] { return fleet.known() != ""; }, 4000));
+	EXPECT_TRUE(run_loop_until([&] { return fleet.known() != ""; }, 4000));
 }
 
 /* Those that are under way at the first ends are not known yet. */
@@ -250,7 +250,7 @@
 		     "/staged/x",
 		     "",
 		     { { "X-Pieces", "2,2" }, { "X-Piece-Key", "sound" } } };
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> asks;
 
 	fleet.add_upstreams(8);
 	fleet.settle();
@@ -258,12 +258,12 @@
 		asks.push_back(bad.ask());
 		good.body = "g" + std::to_string(i) + "-";
 		asks.push_back(good.ask());
-		turn_until([] { return false; }, 60);
+		run_loop_until([] { return false; }, 60);
 	}
 	for (size_t i = 0; i < asks.size(); i++) {
 		asks[i]->wait();
 		if (i % 2) {
-			EXPECT_EQ(asks[i]->body, whole_stream);
+			EXPECT_EQ(asks[i]->body, complete_stream);
 		}
 	}
 	EXPECT_LE(fleet.book().ends, 6u);
@@ -275,7 +275,7 @@
 {
 	Fleet fleet(strikes(40));
 	Caller bad{ fleet, "/once/x", poison, {} };
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> asks;
 
 	fleet.add_upstreams(4);
 	fleet.settle();
@@ -285,15 +285,15 @@
 		if (i % 6 == 0)
 			asks.push_back(bad.ask());
 		else
-			asks.push_back(std::make_unique<Ask>(
+			asks.push_back(std::make_unique<CallerRequest>(
 				fleet.at(i).address, id.c_str(), "/again/x",
 				Fields{}, id.c_str()));
-		turn_until([] { return false; }, 15);
+		run_loop_until([] { return false; }, 15);
 	}
 	for (size_t i = 0; i < asks.size(); i++) {
 		asks[i]->wait();
 		if (i % 6) {
-			EXPECT_EQ(asks[i]->body, whole_stream) << i;
+			EXPECT_EQ(asks[i]->body, complete_stream) << i;
 		}
 	}
 }
@@ -306,7 +306,7 @@
 	Fleet fleet(none);
 	Caller many{ fleet, "/once/x", "popular", {} };
 	std::vector<pe_upstream *> engines;
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> asks;
 	int served = 0;
 
 	for (int i = 0; i < 4; i++)
@@ -315,18 +315,18 @@
 	for (int round = 0; round < 2; round++) {
 		for (int i = 0; i < 12; i++)
 			asks.push_back(many.ask());
-		turn_until([] { return false; }, 30);
+		run_loop_until([] { return false; }, 30);
 		for (auto *engine : engines)
 			pe_end(engine, &end);
-		turn_until([] { return false; }, 700);
+		run_loop_until([] { return false; }, 700);
 	}
 	for (int i = 0; i < 40; i++) {
 		asks.push_back(many.ask());
-		turn_until([] { return false; }, 10);
+		run_loop_until([] { return false; }, 10);
 	}
 	/* The first of them is tried, the others are refused meanwhile. */
 	for (size_t i = asks.size() - 40; i < asks.size(); i++)
-		served += asks[i]->wait().body == whole_stream;
+		served += asks[i]->wait().body == complete_stream;
 	EXPECT_GE(served, 25);
 	EXPECT_EQ(direct_blocked_count(fleet.one.entry), 0u);
 }
@@ -345,8 +345,9 @@
 		for (auto *upstream : plain)
 			pe_fault(upstream, (enum pe_fault)fault);
 		for (int i = 0; i < 4; i++)
-			Ask(fleet.at(i).address, "a", "/look/x").wait();
-		turn_until([] { return false; }, 250);
+			CallerRequest(fleet.at(i).address, "a", "/look/x")
+				.wait();
+		run_loop_until([] { return false; }, 250);
 	}
 	EXPECT_EQ(fleet.known(), "");
 }
@@ -363,19 +364,19 @@
 
 	fleet.settle();
 	pe_fault(plain, PE_FAULT_RESET);
-	Ask reset(fleet.one.address, "a", "/order/reset");
+	CallerRequest reset(fleet.one.address, "a", "/order/reset");
 
 	EXPECT_EQ(reset.wait().status, 502u);
-	turn_until([] { return false; }, 800);
+	run_loop_until([] { return false; }, 800);
 	EXPECT_EQ(fleet.known(), "");
 	pe_fault(plain, PE_FAULT_NONE);
 	pe_set_work_ms(plain, 3000);
-	Ask lost(fleet.one.address, "b", "/order/lost");
+	CallerRequest lost(fleet.one.address, "b", "/order/lost");
 
-	ASSERT_TRUE(turn_until([&] { return pe_arrivals(plain) == 2; }));
+	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(plain) == 2; }));
 	pe_end(plain, &end);
 	EXPECT_EQ(lost.wait().status, 502u);
-	EXPECT_TRUE(turn_until([&] { return fleet.known() != ""; }, 2000));
+	EXPECT_TRUE(run_loop_until([&] { return fleet.known() != ""; }, 2000));
 	known = fleet.known();
 	EXPECT_EQ(std::count(known.begin(), known.end(), '\n'), 1);
 }
@@ -390,14 +391,14 @@
 
 	pe_set_work_ms(leaving, 4000);
 	fleet.settle();
-	Ask ask(fleet.one.address, "a", "/order/x");
+	CallerRequest ask(fleet.one.address, "a", "/order/x");
 
-	ASSERT_TRUE(turn_until([&] { return pe_arrivals(leaving) == 1; }));
+	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(leaving) == 1; }));
 	pe_drain(leaving);
-	turn_until([] { return false; }, 1000);
+	run_loop_until([] { return false; }, 1000);
 	pe_end(leaving, &end);
 	EXPECT_EQ(ask.wait().status, 502u);
-	turn_until([] { return false; }, 300);
+	run_loop_until([] { return false; }, 300);
 	EXPECT_EQ(fleet.known(), "");
 }
 
@@ -416,9 +417,9 @@
 
 	third.join("127.0.0.3", 500, { "127.0.0.1" }, 1);
 	third.settle();
-	ASSERT_TRUE(
-		turn_until([&] { return direct_blocked_count(third.entry); }));
-	Ask ask(third.address, "t", "/once/x", {}, poison);
+	ASSERT_TRUE(run_loop_until(
+		[&] { return direct_blocked_count(third.entry); }));
+	CallerRequest ask(third.address, "t", "/once/x", {}, poison);
 
 	EXPECT_EQ(ask.wait().status, 503u);
 	EXPECT_LT(ask.took_us, 200000);
@@ -439,16 +440,16 @@
 	caller.bring(6);
 	arrivals = fleet.book().arrivals;
 	/* It is written within some round trips. */
-	turn_until([] { return false; }, 200);
+	run_loop_until([] { return false; }, 200);
 	fleet.two.end();
 	fleet.one.end();
 	Rig after(&fleet.one);
 
 	after.settle();
-	ASSERT_TRUE(
-		turn_until([&] { return direct_blocked_count(after.entry); }));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return direct_blocked_count(after.entry); }));
 	for (int i = 0; i < 5; i++) {
-		Ask ask(after.address, "t", "/once/x", {}, poison);
+		CallerRequest ask(after.address, "t", "/once/x", {}, poison);
 
 		EXPECT_EQ(ask.wait().status, 503u);
 	}
@@ -491,7 +492,10 @@
 
 		rig.settle();
 		EXPECT_EQ(direct_blocked_count(rig.entry), 0u);
-		EXPECT_EQ(Ask(rig.address, "a", "/look/x").wait().status, 503u);
+		EXPECT_EQ(CallerRequest(rig.address, "a", "/look/x")
+				  .wait()
+				  .status,
+			  503u);
 	}
 	pe_destroy(platform);
 }
@@ -564,7 +568,7 @@
 			rigs.push_back(std::make_unique<Rig>(platform));
 			rigs[i]->join(ips[i].c_str(), 500, { ips[0] }, 1);
 		}
-		ASSERT_TRUE(turn_until([&] {
+		ASSERT_TRUE(run_loop_until([&] {
 			for (auto &rig : rigs)
 				if (!direct_ready(rig->entry) ||
 				    (int)direct_peers_count(rig->peers) < size)
@@ -574,7 +578,7 @@
 		    << " entries\n"
 		    << unmet(rigs);
 		for (int i = 0; i < 30; i++) {
-			std::vector<std::unique_ptr<Ask>> asks;
+			std::vector<std::unique_ptr<CallerRequest>> asks;
 
 			if (i % 10 == 5) {
 				int at = i % size;
@@ -585,13 +589,13 @@
 					       { ips[(at + 1) % size] }, 1);
 			}
 			for (int j = 0; j < 3; j++, tries++)
-				asks.push_back(std::make_unique<Ask>(
+				asks.push_back(std::make_unique<CallerRequest>(
 					rigs[tries % size]->address,
 					std::to_string(tries).c_str(),
 					"/once/x", Fields{}, poison));
 			for (auto &ask : asks)
 				refused += ask->wait().status == 503;
-			turn_until([] { return false; }, 30);
+			run_loop_until([] { return false; }, 30);
 		}
 		pe_poison_seen(platform, &book);
 		EXPECT_LE(book.arrivals, 3u * QUARANTINE_ROUNDS) << size;
@@ -617,7 +621,7 @@
 	EXPECT_EQ(known.find(poison), std::string::npos);
 	content = g_ascii_strtoull(known.substr(12, 16).c_str(), nullptr, 16);
 	direct_unblock_request(fleet.one.entry, content);
-	ASSERT_TRUE(turn_until(
+	ASSERT_TRUE(run_loop_until(
 		[&] { return !direct_blocked_count(fleet.two.entry); }));
 	EXPECT_EQ(caller.ask()->wait().status, 502u);
 	caller.bring(6);
--- a/tests/prefix_cache_test.cc
+++ b/tests/prefix_cache_test.cc
@@ -197,19 +197,22 @@
 	for (int i = 0; i < 4; i++)
 		before.add(PE_ENGINE, "engine");
 	before.settle();
-	EXPECT_EQ(Ask(before.address, "m1", "/once/x", fields).wait().status,
+	EXPECT_EQ(CallerRequest(before.address, "m1", "/once/x", fields)
+			  .wait()
+			  .status,
 		  200u);
 	Rig after(&before);
 
 	before.end();
 	after.settle();
-	turn_until([] { return false; }, 500);
-	EXPECT_EQ(Ask(after.address, "m2", "/once/x",
-		      Fields{ { "X-Token-Counts", "9400,6" },
-			      { "X-Prompt-Prefix", "aa:9000,b2:400" } })
-			  .wait()
-			  .status,
-		  200u);
+	run_loop_until([] { return false; }, 500);
+	EXPECT_EQ(
+		CallerRequest(after.address, "m2", "/once/x",
+			      Fields{ { "X-Token-Counts", "9400,6" },
+				      { "X-Prompt-Prefix", "aa:9000,b2:400" } })
+			.wait()
+			.status,
+		200u);
 	EXPECT_EQ(*lp_counter(after.counters, "linepier_prompt_tokens_total",
 			      "cached=\"no\""),
 		  400);
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -120,8 +120,9 @@
 	std::unique_ptr<Rig> late = fleet.start_another();
 	before = pe_arrivals(limited);
 	for (int i = 0; i < 40; i++)
-		EXPECT_EQ(Ask(late->address, ("l" + std::to_string(i)).c_str(),
-			      "/look/x")
+		EXPECT_EQ(CallerRequest(late->address,
+					("l" + std::to_string(i)).c_str(),
+					"/look/x")
 				  .wait()
 				  .status,
 			  200u);
--- a/tests/relay_test.cc
+++ b/tests/relay_test.cc
@@ -141,7 +141,7 @@
 	}
 	void hear_for(int64_t ms)
 	{
-		turn_until(
+		run_loop_until(
 			[this] {
 				hear();
 				return false;
@@ -156,7 +156,7 @@
 	Rig first;
 	std::unique_ptr<Rig> second = std::make_unique<Rig>(&first);
 	pe_upstream *stage = first.add(PE_STAGE, "first");
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> asks;
 
 	Two()
 	{
@@ -166,15 +166,15 @@
 		second->join(second_ip, 100, { first_ip });
 		first.settle();
 		second->settle();
-		EXPECT_TRUE(turn_until([&] {
+		EXPECT_TRUE(run_loop_until([&] {
 			return direct_peers_count(first.peers) == 2 &&
 			       direct_peers_count(second->peers) == 2;
 		}));
-		turn_until([] { return false; }, 300);
+		run_loop_until([] { return false; }, 300);
 	}
-	Ask &ask(Rig &entry, const std::string &id)
+	CallerRequest &ask(Rig &entry, const std::string &id)
 	{
-		asks.push_back(std::make_unique<Ask>(
+		asks.push_back(std::make_unique<CallerRequest>(
 			entry.address, id.c_str(), "/staged/x",
 			Fields{ { "X-Pieces", "1,1" },
 				{ "X-Piece-Key", "k" + id } }));
@@ -190,16 +190,16 @@
 
 	pe_set_work_ms(two.stage, 300);
 	two.ask(two.first, "a0");
-	ASSERT_TRUE(turn_until([&] { return pe_calls(two.stage) == 1; }));
+	ASSERT_TRUE(run_loop_until([&] { return pe_calls(two.stage) == 1; }));
 	for (int i = 1; i < 4; i++) {
 		two.ask(two.first, "a" + std::to_string(i));
 		two.ask(*two.second, "b" + std::to_string(i));
 	}
 	for (auto &ask : two.asks)
-		EXPECT_EQ(ask->wait().body, whole_stream);
+		EXPECT_EQ(ask->wait().body, complete_stream);
 	EXPECT_EQ(pe_calls(two.stage), 2u);
 	EXPECT_EQ(pe_pieces_made(two.first.platform), 14u);
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] { return pe_pieces_kept(two.first.platform) == 0; }));
 }
 
@@ -209,10 +209,10 @@
 	Two two;
 
 	pe_set_work_ms(two.stage, 400);
-	Ask &ask = two.ask(*two.second, "b1");
-	ASSERT_TRUE(turn_until([&] { return pe_calls(two.stage) == 1; }));
+	CallerRequest &ask = two.ask(*two.second, "b1");
+	ASSERT_TRUE(run_loop_until([&] { return pe_calls(two.stage) == 1; }));
 	two.first.end();
-	EXPECT_EQ(ask.wait().body, whole_stream);
+	EXPECT_EQ(ask.wait().body, complete_stream);
 	EXPECT_LT(ask.took_us, 3 * LP_US_PER_S);
 }
 
@@ -222,15 +222,15 @@
 	Two two;
 
 	pe_set_work_ms(two.stage, 1500);
-	Ask &ask = two.ask(*two.second, "b1");
-	ASSERT_TRUE(turn_until([&] { return pe_calls(two.stage) == 1; }));
+	CallerRequest &ask = two.ask(*two.second, "b1");
+	ASSERT_TRUE(run_loop_until([&] { return pe_calls(two.stage) == 1; }));
 	two.first.end();
 	pe_set_work_ms(two.stage, 20);
 	Rig again(two.second.get());
 
 	again.join(first_ip, 4000, { second_ip });
 	again.settle();
-	EXPECT_EQ(ask.wait().body, whole_stream);
+	EXPECT_EQ(ask.wait().body, complete_stream);
 	again.end();
 }
 
@@ -239,16 +239,16 @@
 	Two two;
 
 	pe_set_work_ms(two.stage, 400);
-	Ask &before = two.ask(*two.second, "b1");
-	ASSERT_TRUE(turn_until([&] { return pe_calls(two.stage) == 1; }));
+	CallerRequest &before = two.ask(*two.second, "b1");
+	ASSERT_TRUE(run_loop_until([&] { return pe_calls(two.stage) == 1; }));
 	direct_drain(two.first.entry);
-	turn_until([] { return false; }, 250);
+	run_loop_until([] { return false; }, 250);
 	pe_set_work_ms(two.stage, 20);
-	Ask &after = two.ask(*two.second, "b2");
+	CallerRequest &after = two.ask(*two.second, "b2");
 	/* What it has taken it ends. */
-	EXPECT_EQ(before.wait().body, whole_stream);
+	EXPECT_EQ(before.wait().body, complete_stream);
 	two.first.end();
-	EXPECT_EQ(after.wait().body, whole_stream);
+	EXPECT_EQ(after.wait().body, complete_stream);
 	EXPECT_LT(after.took_us, 450000);
 }
 
@@ -258,14 +258,14 @@
 
 	pe_set_work_ms(two.stage, 300);
 	two.ask(two.first, "a0");
-	ASSERT_TRUE(turn_until([&] { return pe_calls(two.stage) == 1; }));
-	Ask &leaving = two.ask(*two.second, "b1");
-	turn_until([] { return false; }, 100);
-	leaving.leave();
-	EXPECT_EQ(two.asks[0]->wait().body, whole_stream);
-	turn_until([] { return false; }, 400);
+	ASSERT_TRUE(run_loop_until([&] { return pe_calls(two.stage) == 1; }));
+	CallerRequest &leaving = two.ask(*two.second, "b1");
+	run_loop_until([] { return false; }, 100);
+	leaving.cancel();
+	EXPECT_EQ(two.asks[0]->wait().body, complete_stream);
+	run_loop_until([] { return false; }, 400);
 	EXPECT_EQ(pe_calls(two.stage), 1u);
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] { return pe_pieces_kept(two.first.platform) == 0; }));
 }
 
@@ -275,13 +275,16 @@
 TEST(Relay, OneEntryReadsAListThatDoesNotChangeForAll)
 {
 	Two two;
-	int64_t before = *two.first.calls() + *two.second->calls();
+	int64_t before = *two.first.range_calls() + *two.second->range_calls();
 	int64_t alone = 2000 / 360; /* looks in two seconds */
 
-	turn_until([] { return false; }, 2000);
-	EXPECT_LE(*two.first.calls() + *two.second->calls() - before,
+	run_loop_until([] { return false; }, 2000);
+	EXPECT_LE(*two.first.range_calls() + *two.second->range_calls() -
+			  before,
 		  alone + 2);
-	EXPECT_GE(*two.first.calls() + *two.second->calls() - before, 3);
+	EXPECT_GE(*two.first.range_calls() + *two.second->range_calls() -
+			  before,
+		  3);
 }
 
 /* ... and one that has changed is handed on in time. */
@@ -293,18 +296,22 @@
 	uint32_t before;
 
 	two.first.add(PE_PLAIN, "plain");
-	turn_until([] { return false; }, 700);
-	reads = *two.first.calls() + *two.second->calls();
+	run_loop_until([] { return false; }, 700);
+	reads = *two.first.range_calls() + *two.second->range_calls();
 	pe_drain(leaving);
-	turn_until([] { return false; }, 700); /* of 800 that it may take */
-	EXPECT_LE(*two.first.calls() + *two.second->calls() - reads, 4);
+	run_loop_until([] { return false; }, 700); /* of 800 that it may take */
+	EXPECT_LE(*two.first.range_calls() + *two.second->range_calls() - reads,
+		  4);
 	before = pe_arrivals(leaving);
 	for (int i = 0; i < 4; i++) {
-		EXPECT_EQ(Ask(two.first.address, "a", "/look/x").wait().status,
+		EXPECT_EQ(CallerRequest(two.first.address, "a", "/look/x")
+				  .wait()
+				  .status,
+			  200u);
+		EXPECT_EQ(CallerRequest(two.second->address, "b", "/look/x")
+				  .wait()
+				  .status,
 			  200u);
-		EXPECT_EQ(
-			Ask(two.second->address, "b", "/look/x").wait().status,
-			200u);
 	}
 	EXPECT_EQ(pe_arrivals(leaving), before);
 }
@@ -324,11 +331,14 @@
 	for (int i = 0; i < 3; i++) {
 		fake.send('L',
 			  g_variant_new("(tx)", (guint64)(99 + i), (gint64)0));
-		turn_until([] { return false; }, 250);
+		run_loop_until([] { return false; }, 250);
 	}
 	before = pe_arrivals(leaving);
 	for (int i = 0; i < 4; i++)
-		EXPECT_EQ(Ask(rig.address, "a", "/look/x").wait().status, 200u);
+		EXPECT_EQ(CallerRequest(rig.address, "a", "/look/x")
+				  .wait()
+				  .status,
+			  200u);
 	EXPECT_EQ(pe_arrivals(leaving), before);
 }
 
@@ -355,12 +365,12 @@
 				  { "X-Prompt-Prefix",
 				    i ? "cc:9000" : "dd:9000" } };
 
-		two.asks.push_back(std::make_unique<Ask>(
+		two.asks.push_back(std::make_unique<CallerRequest>(
 			entry.address, i ? "b1" : "a1", "/again/x", fields));
-		turn_until([] { return false; }, 5);
+		run_loop_until([] { return false; }, 5);
 	}
 	for (auto &ask : two.asks)
-		EXPECT_EQ(ask->wait().body, whole_stream);
+		EXPECT_EQ(ask->wait().body, complete_stream);
 	EXPECT_EQ(pe_arrivals(other) - before, 1u);
 }
 
@@ -374,15 +384,17 @@
 		two.first.add(PE_ENGINE, "engine");
 	two.first.settle();
 	two.second->settle();
-	EXPECT_EQ(Ask(two.first.address, "a1", "/again/x", prompt).wait().body,
-		  whole_stream);
+	EXPECT_EQ(CallerRequest(two.first.address, "a1", "/again/x", prompt)
+			  .wait()
+			  .body,
+		  complete_stream);
 	Fields likewise = prompt;
 
 	likewise["X-Prompt-Prefix"] = "aa:2000,cc:1000";
-	EXPECT_EQ(Ask(two.second->address, "b1", "/again/x", likewise)
+	EXPECT_EQ(CallerRequest(two.second->address, "b1", "/again/x", likewise)
 			  .wait()
 			  .body,
-		  whole_stream);
+		  complete_stream);
 	sent = *lp_counter(two.second->counters, "linepier_prompt_tokens_total",
 			   "cached=\"no\"");
 	EXPECT_EQ(sent, 1000); /* its own part */
@@ -411,13 +423,13 @@
 	One one;
 
 	one.fake.hello(9000);
-	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/staged/x",
-		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	run_loop_until([] { return false; }, 300);
+	CallerRequest ask(one.rig.address, "a1", "/staged/x",
+			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	one.fake.hear_for(400);
 	EXPECT_GE(one.fake.seen['A'], 2);
-	EXPECT_EQ(ask.wait().body, whole_stream);
+	EXPECT_EQ(ask.wait().body, complete_stream);
 	EXPECT_LT(ask.took_us, 2 * LP_US_PER_S);
 }
 
@@ -428,11 +440,11 @@
 	const gint64 waits[4] = {};
 
 	one.fake.hello(9000);
-	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/staged/x",
-		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	run_loop_until([] { return false; }, 300);
+	CallerRequest ask(one.rig.address, "a1", "/staged/x",
+			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	ASSERT_TRUE(turn_until([&] {
+	ASSERT_TRUE(run_loop_until([&] {
 		one.fake.hear();
 		return one.fake.seen['A'] > 0;
 	}));
@@ -442,7 +454,7 @@
 					 g_variant_new_fixed_array(
 						 G_VARIANT_TYPE_INT64, waits, 4,
 						 sizeof(gint64))));
-	EXPECT_EQ(ask.wait().body, whole_stream);
+	EXPECT_EQ(ask.wait().body, complete_stream);
 	EXPECT_LT(ask.took_us, 2 * LP_US_PER_S);
 }
 
@@ -455,7 +467,7 @@
 	int before;
 
 	one.fake.hello(50);
-	turn_until([] { return false; }, 300);
+	run_loop_until([] { return false; }, 300);
 	pe_set_work_ms(one.stage, 100);
 	one.fake.ask(5, "f1");
 	one.fake.ask(5, "f1");
@@ -466,7 +478,7 @@
 	ASSERT_NE(one.fake.last, nullptr);
 	g_variant_get_child(one.fake.last, 1, "t", &serial);
 	one.fake.send('C', g_variant_new("(t)", serial));
-	turn_until([] { return false; }, 100);
+	run_loop_until([] { return false; }, 100);
 	one.fake.hear();
 	before = one.fake.seen['R'];
 	one.fake.hear_for(300);
@@ -480,7 +492,7 @@
 	int before;
 
 	one.fake.hello(50);
-	turn_until([] { return false; }, 300);
+	run_loop_until([] { return false; }, 300);
 	one.fake.ask(5, "f1");
 	one.fake.hear_for(900);
 	before = one.fake.seen['R'];
@@ -517,7 +529,8 @@
 	GVariantBuilder results;
 
 	rig.join(first_ip, 4000, { fake_ip });
-	ASSERT_TRUE(turn_until([&] { return plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(
+		run_loop_until([&] { return plf_feed_in_touch(rig.feed); }));
 	fake.hello(50);
 	g_variant_builder_init(&results, G_VARIANT_TYPE("a(uuts)"));
 	g_variant_builder_add(&results, "(uuts)", 0u, 0u,
@@ -546,7 +559,7 @@
 	rig.join(first_ip, 100, { fake_ip });
 	/* The first hellos are over then, and the next round is some 0.9 s
 	 * away. */
-	turn_until([] { return false; }, 1100);
+	run_loop_until([] { return false; }, 1100);
 	fake.hear();
 	fake.seen.clear();
 	fake.hello(50, "127.0.0.8");
@@ -568,7 +581,7 @@
 	Rig rig;
 
 	rig.join(first_ip, 100, { fake_ip });
-	turn_until([] { return false; }, 250);
+	run_loop_until([] { return false; }, 250);
 	Fake fake;
 
 	fake.hear_for(250);
@@ -593,17 +606,17 @@
 	rig.add(PE_ENGINE, "engine");
 	rig.settle();
 	rig.join(first_ip, 100, { fake_ip });
-	Ask ask(rig.address, "a1", "/staged/x",
-		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest ask(rig.address, "a1", "/staged/x",
+			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	turn_until([] { return false; }, 300);
+	run_loop_until([] { return false; }, 300);
 	fake.hello(9000);
-	ASSERT_TRUE(turn_until([&] {
+	ASSERT_TRUE(run_loop_until([&] {
 		fake.hear();
 		return fake.seen['A'] > 0 || pe_pieces_made(rig.platform) > 0;
 	}));
 	EXPECT_EQ(pe_pieces_made(rig.platform), 0u);
-	EXPECT_EQ(ask.wait().body, whole_stream);
+	EXPECT_EQ(ask.wait().body, complete_stream);
 }
 
 /* It hears and answers, but takes no work. */
@@ -612,17 +625,17 @@
 	One one;
 
 	one.fake.hello(9000);
-	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/staged/x",
-		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	run_loop_until([] { return false; }, 300);
+	CallerRequest ask(one.rig.address, "a1", "/staged/x",
+			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] {
 			one.fake.hello(9000);
 			return ask.done;
 		},
 		2500));
-	EXPECT_EQ(ask.body, whole_stream);
+	EXPECT_EQ(ask.body, complete_stream);
 }
 
 /* Found on a day of entries killed in turn: each took its work back as soon as
@@ -637,7 +650,7 @@
 	fake.hello(50);
 	fake.hear_for(100);
 	EXPECT_EQ(fake.capacity, 1000u);
-	ASSERT_TRUE(turn_until([&] {
+	ASSERT_TRUE(run_loop_until([&] {
 		fake.hear();
 		return fake.capacity == 4000;
 	}));
@@ -649,10 +662,10 @@
 	One one;
 
 	one.fake.hello(9000);
-	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/again/x", prompt);
+	run_loop_until([] { return false; }, 300);
+	CallerRequest ask(one.rig.address, "a1", "/again/x", prompt);
 
-	EXPECT_EQ(ask.wait().body, whole_stream);
+	EXPECT_EQ(ask.wait().body, complete_stream);
 	EXPECT_LT(ask.took_us, 400000);
 	one.fake.hear();
 	EXPECT_EQ(one.fake.seen['P'], 1);
@@ -664,10 +677,10 @@
 	One one;
 
 	one.fake.hello(9000);
-	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/again/x", prompt);
+	run_loop_until([] { return false; }, 300);
+	CallerRequest ask(one.rig.address, "a1", "/again/x", prompt);
 
-	EXPECT_EQ(ask.wait().body, whole_stream);
+	EXPECT_EQ(ask.wait().body, complete_stream);
 	one.fake.send('Q', g_variant_new("(tttxxxx)", (guint64)1, (guint64)2,
 					 (guint64)0, (gint64)0, (gint64)0,
 					 (gint64)0, (gint64)0));
@@ -682,10 +695,10 @@
 	guint64 number = 0;
 
 	one.fake.hello(9000);
-	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/again/x", prompt);
+	run_loop_until([] { return false; }, 300);
+	CallerRequest ask(one.rig.address, "a1", "/again/x", prompt);
 
-	ASSERT_TRUE(turn_until([&] {
+	ASSERT_TRUE(run_loop_until([&] {
 		one.fake.hear();
 		return one.fake.seen['P'] > 0;
 	}));
@@ -693,7 +706,7 @@
 	one.fake.send('Q', g_variant_new("(tttxxxx)", number, (guint64)2,
 					 (guint64)0, (gint64)0, (gint64)0,
 					 (gint64)0, (gint64)0));
-	EXPECT_EQ(ask.wait().body, whole_stream);
+	EXPECT_EQ(ask.wait().body, complete_stream);
 	one.fake.hear();
 	EXPECT_EQ(one.fake.seen['E'], 1);
 }
@@ -719,7 +732,7 @@
 	for (int second = 0; second < 5; second++) {
 		for (auto &member : members)
 			member->hello(100);
-		turn_until([] { return false; }, 1000);
+		run_loop_until([] { return false; }, 1000);
 		members[0]->hear();
 		/* Those that came while it was not heard are not counted. */
 		if (second == 0)
@@ -740,12 +753,13 @@
 	one.fake.send('G',
 		      g_variant_new("(txas)", (guint64)3, (gint64)-5, nullptr));
 	one.fake.send('D', g_variant_new("(t)", (guint64)9));
-	turn_until([] { return false; }, 200);
-	EXPECT_EQ(Ask(one.rig.address, "a1", "/staged/x",
-		      { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } })
-			  .wait()
-			  .body,
-		  whole_stream);
+	run_loop_until([] { return false; }, 200);
+	EXPECT_EQ(
+		CallerRequest(one.rig.address, "a1", "/staged/x",
+			      { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } })
+			.wait()
+			.body,
+		complete_stream);
 	EXPECT_EQ(pe_pieces_made(one.rig.platform), 2u);
 }
 
--- a/tests/slow_link_test.cc
+++ b/tests/slow_link_test.cc
@@ -32,7 +32,7 @@
 
 bool comes_into_force(Rig &rig, int64_t version, int64_t limit_ms)
 {
-	return turn_until(
+	return run_loop_until(
 		[&] { return direct_config_version(rig.entry) == version; },
 		limit_ms);
 }
@@ -56,7 +56,8 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(
+		run_loop_until([&] { return !plf_feed_in_touch(rig.feed); }));
 	pe_store_set_rate(rig.platform, slow_bytes_per_s);
 	pe_set_config(rig.platform, grown_config(2).c_str());
 	pe_store_fault(rig.platform, PE_STORE_FINE);
@@ -87,8 +88,10 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
-	turn_until([] { return false; }, 1500); /* the watch has ended, too */
+	ASSERT_TRUE(
+		run_loop_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	run_loop_until([] { return false; },
+		       1500); /* the watch has ended, too */
 	write_large_entry(rig);
 	pe_store_set_rate(rig.platform, 20000);
 	rig.set_config(2);
@@ -105,7 +108,7 @@
 	rig.settle();
 	pe_store_set_rate(rig.platform, slow_bytes_per_s);
 	pe_set_config(rig.platform, grown_config(2).c_str());
-	turn_until([] { return false; }, 500);
+	run_loop_until([] { return false; }, 500);
 	pe_store_silence(rig.platform);
 	pe_store_set_rate(rig.platform, 0);
 	EXPECT_TRUE(comes_into_force(rig, 2, 1500));
@@ -126,11 +129,13 @@
 	rig.set_config(2);
 	pe_drain(leaving);
 	EXPECT_TRUE(comes_into_force(rig, 2, 1500));
-	turn_until([] { return false; }, 300);
+	run_loop_until([] { return false; }, 300);
 	for (int i = 0; i < 8; i++) {
 		const std::string id = "a" + std::to_string(i);
 
-		EXPECT_EQ(Ask(rig.address, id.c_str(), "/look/x").wait().status,
+		EXPECT_EQ(CallerRequest(rig.address, id.c_str(), "/look/x")
+				  .wait()
+				  .status,
 			  200u);
 	}
 	EXPECT_EQ(pe_arrivals(leaving), 0u);
@@ -234,7 +239,7 @@
 	Fetch fetch(pe_store_address(platform),
 		    "/linepier/kv-key?key=op/config");
 
-	ASSERT_TRUE(turn_until([&] { return fetch.done; }, 5000));
+	ASSERT_TRUE(run_loop_until([&] { return fetch.done; }, 5000));
 	EXPECT_EQ(fetch.error, LP_OK);
 	EXPECT_GT(fetch.size, grown_config(2).size());
 	pe_destroy(platform);
@@ -249,10 +254,10 @@
 	Fetch fetch(pe_store_address(platform),
 		    "/linepier/kv-key?key=op/config");
 
-	turn_until([] { return false; }, 500);
+	run_loop_until([] { return false; }, 500);
 	EXPECT_FALSE(fetch.done);
 	pe_store_silence(platform);
-	ASSERT_TRUE(turn_until([&] { return fetch.done; }, 1000));
+	ASSERT_TRUE(run_loop_until([&] { return fetch.done; }, 1000));
 	EXPECT_NE(fetch.error, LP_OK);
 	pe_destroy(platform);
 }
@@ -271,7 +276,7 @@
 	rig.share_with("127.0.0.1");
 	Fetch fetch(peer.c_str(), "/config");
 
-	ASSERT_TRUE(turn_until([&] { return fetch.done; }, 5000));
+	ASSERT_TRUE(run_loop_until([&] { return fetch.done; }, 5000));
 	EXPECT_EQ(fetch.error, LP_OK);
 	EXPECT_LT(fetch.size, grown_config(2).size() / 10);
 }
--- a/tests/suspend_test.cc
+++ b/tests/suspend_test.cc
@@ -44,7 +44,7 @@
 {
 	gint64 begun_us = g_get_monotonic_time();
 
-	turn_until(done, limit_ms);
+	run_loop_until(done, limit_ms);
 	return (g_get_monotonic_time() - begun_us) / LP_US_PER_MS;
 }
 
@@ -82,9 +82,9 @@
 			},
 			&done);
 
-		turn_until([] { return false; }, 20);
+		run_loop_until([] { return false; }, 20);
 		boot.suspend(row.suspended_ms);
-		turn_until([&] { return done; }, 100);
+		run_loop_until([&] { return done; }, 100);
 		EXPECT_EQ(done, row.due)
 			<< row.suspended_ms << " " << row.wait_ms;
 		g_source_remove(id);
@@ -103,7 +103,7 @@
 		&times);
 
 	boot.suspend(30000);
-	turn_until([] { return false; }, 180);
+	run_loop_until([] { return false; }, 180);
 	EXPECT_GE(times, 3);
 	EXPECT_LE(times, 5);
 	g_source_remove(id);
@@ -117,10 +117,10 @@
 
 	pe_set_work_ms(slow, 8000);
 	rig.settle();
-	Ask order(rig.address, "a1", "/order/x");
+	CallerRequest order(rig.address, "a1", "/order/x");
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_runs(rig.platform, "a1") == 1; }));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_runs(rig.platform, "a1") == 1; }));
 	boot.suspend(5000);
 	EXPECT_LT(took_ms([&] { return order.done; }, 3000), 400);
 	EXPECT_EQ(order.status, 504u);
@@ -134,10 +134,10 @@
 
 	pe_set_work_ms(slow, 600);
 	rig.settle();
-	Ask order(rig.address, "a1", "/order/x");
+	CallerRequest order(rig.address, "a1", "/order/x");
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_runs(rig.platform, "a1") == 1; }));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_runs(rig.platform, "a1") == 1; }));
 	boot.suspend(500);
 	EXPECT_EQ(order.wait().status, 200u);
 }
@@ -152,12 +152,13 @@
 
 		pe_set_work_ms(slow, 300);
 		rig.settle();
-		Ask order(rig.address, "a1", "/order/x");
+		CallerRequest order(rig.address, "a1", "/order/x");
 
-		ASSERT_TRUE(turn_until(
+		ASSERT_TRUE(run_loop_until(
 			[&] { return pe_runs(rig.platform, "a1") == 1; }));
 		/* The upstream has written it; the entry is yet to read. */
-		ASSERT_TRUE(turn_until([&] { return !pe_connections(slow); }));
+		ASSERT_TRUE(
+			run_loop_until([&] { return !pe_connections(slow); }));
 		boot.suspend(5000);
 		EXPECT_EQ(order.wait().status, 200u);
 	}
@@ -173,9 +174,10 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_drain(leaving);
-	polls = *rig.calls();
+	polls = *rig.range_calls();
 	boot.suspend(5000);
-	EXPECT_LT(took_ms([&] { return *rig.calls() > polls; }, 2000), 300);
+	EXPECT_LT(took_ms([&] { return *rig.range_calls() > polls; }, 2000),
+		  300);
 }
 
 } // namespace
--- a/tests/upstream_restart_test.cc
+++ b/tests/upstream_restart_test.cc
@@ -43,12 +43,13 @@
 		Staged rig;
 
 		pe_set_work_ms(rig.second, 300);
-		Ask ask(rig.address, "a1", "/staged/x", pieces_of_each);
+		CallerRequest ask(rig.address, "a1", "/staged/x",
+				  pieces_of_each);
 
-		ASSERT_TRUE(
-			turn_until([&] { return pe_calls(rig.second) == 1; }));
+		ASSERT_TRUE(run_loop_until(
+			[&] { return pe_calls(rig.second) == 1; }));
 		pe_restart(rig.first, &way);
-		EXPECT_EQ(ask.wait().body, whole_stream);
+		EXPECT_EQ(ask.wait().body, complete_stream);
 		EXPECT_GE(rig.made(), 3u);
 		rig.settle();
 		EXPECT_GE(*lp_counter(rig.counters,
@@ -65,12 +66,13 @@
 		Staged rig;
 
 		pe_set_work_ms(rig.first, 150);
-		Ask ask(rig.address, "a1", "/staged/x", pieces_of_each);
+		CallerRequest ask(rig.address, "a1", "/staged/x",
+				  pieces_of_each);
 
-		ASSERT_TRUE(
-			turn_until([&] { return pe_calls(rig.first) == 1; }));
+		ASSERT_TRUE(run_loop_until(
+			[&] { return pe_calls(rig.first) == 1; }));
 		pe_restart(rig.first, &way);
-		EXPECT_EQ(ask.wait().body, whole_stream);
+		EXPECT_EQ(ask.wait().body, complete_stream);
 	}
 }
 
@@ -81,14 +83,14 @@
 	Staged rig;
 
 	pe_set_work_ms(rig.first, 150);
-	Ask ask(rig.address, "a1", "/staged/x", pieces_of_each);
+	CallerRequest ask(rig.address, "a1", "/staged/x", pieces_of_each);
 
 	for (uint32_t i = 1; i <= 2; i++) {
-		ASSERT_TRUE(
-			turn_until([&] { return pe_calls(rig.first) == i; }));
+		ASSERT_TRUE(run_loop_until(
+			[&] { return pe_calls(rig.first) == i; }));
 		pe_restart(rig.first, &way);
 	}
-	EXPECT_EQ(ask.wait().body, whole_stream);
+	EXPECT_EQ(ask.wait().body, complete_stream);
 }
 
 /* It may have run, and nobody says that it has not. */
@@ -101,9 +103,9 @@
 
 		pe_set_work_ms(plain, 200);
 		rig.settle();
-		Ask order(rig.address, "a1", "/order/x");
+		CallerRequest order(rig.address, "a1", "/order/x");
 
-		ASSERT_TRUE(turn_until(
+		ASSERT_TRUE(run_loop_until(
 			[&] { return pe_runs(rig.platform, "a1") == 1; }));
 		pe_restart(plain, &way);
 		order.wait();
@@ -123,13 +125,13 @@
 		for (int i = 0; i < 2; i++)
 			engines.push_back(rig.add(PE_ENGINE, "engine"));
 		rig.settle();
-		Ask ask(rig.address, "a1", "/again/x");
+		CallerRequest ask(rig.address, "a1", "/again/x");
 
-		ASSERT_TRUE(turn_until([&] { return !ask.body.empty(); }));
+		ASSERT_TRUE(run_loop_until([&] { return !ask.body.empty(); }));
 		for (pe_upstream *engine : engines)
 			if (pe_connections(engine))
 				pe_restart(engine, &way);
-		EXPECT_EQ(ask.wait().body, whole_stream);
+		EXPECT_EQ(ask.wait().body, complete_stream);
 		EXPECT_EQ(ask.error, LP_OK);
 	}
 }
@@ -144,10 +146,12 @@
 	rig.settle();
 	pe_drain(plain);
 	rig.settle();
-	EXPECT_EQ(Ask(rig.address, "a1", "/look/x").wait().status, 503u);
+	EXPECT_EQ(CallerRequest(rig.address, "a1", "/look/x").wait().status,
+		  503u);
 	pe_restart(plain, &way);
 	rig.settle();
-	EXPECT_EQ(Ask(rig.address, "a2", "/look/x").wait().status, 200u);
+	EXPECT_EQ(CallerRequest(rig.address, "a2", "/look/x").wait().status,
+		  200u);
 }
 
 /* Its clock is wrong, and so it stays the older one for a while. */
@@ -160,13 +164,16 @@
 	rig.settle();
 	pe_restart(plain, &way);
 	rig.settle();
-	EXPECT_EQ(Ask(rig.address, "a1", "/look/x").wait().status, 200u);
-	turn_until([] { return false; }, LIVES_SET_BACK_US / 1000);
+	EXPECT_EQ(CallerRequest(rig.address, "a1", "/look/x").wait().status,
+		  200u);
+	run_loop_until([] { return false; }, LIVES_SET_BACK_US / 1000);
 	rig.settle();
-	EXPECT_EQ(Ask(rig.address, "a2", "/look/x").wait().status, 200u);
+	EXPECT_EQ(CallerRequest(rig.address, "a2", "/look/x").wait().status,
+		  200u);
 	pe_drain(plain);
 	rig.settle();
-	EXPECT_EQ(Ask(rig.address, "a3", "/look/x").wait().status, 503u);
+	EXPECT_EQ(CallerRequest(rig.address, "a3", "/look/x").wait().status,
+		  503u);
 }
 
 /* As before starts were said: no life is told from another. */
@@ -182,11 +189,11 @@
 	rig.add(PE_ENGINE, "engine");
 	rig.settle();
 	pe_set_work_ms(second, 300);
-	Ask ask(rig.address, "a1", "/staged/x", pieces_of_each);
+	CallerRequest ask(rig.address, "a1", "/staged/x", pieces_of_each);
 
-	ASSERT_TRUE(turn_until([&] { return pe_calls(second) == 1; }));
+	ASSERT_TRUE(run_loop_until([&] { return pe_calls(second) == 1; }));
 	pe_restart(first, &way);
-	EXPECT_EQ(ask.wait().body, whole_stream);
+	EXPECT_EQ(ask.wait().body, complete_stream);
 }
 
 /* ---- another writer ---- */
@@ -230,9 +237,10 @@
 		rig.settle();
 		before = pe_arrivals(overwritten);
 		for (int i = 0; i < 4; i++)
-			EXPECT_EQ(
-				Ask(rig.address, "a", "/look/x").wait().status,
-				200u);
+			EXPECT_EQ(CallerRequest(rig.address, "a", "/look/x")
+					  .wait()
+					  .status,
+				  200u);
 		EXPECT_EQ(pe_arrivals(overwritten), before)
 			<< value.substr(0, 80);
 	}
@@ -251,10 +259,12 @@
 	rig.settle();
 	pe_erase(rig.platform, pe_name(plain));
 	rig.settle();
-	EXPECT_EQ(Ask(rig.address, "a1", "/look/x").wait().status, 503u);
+	EXPECT_EQ(CallerRequest(rig.address, "a1", "/look/x").wait().status,
+		  503u);
 	pe_tell(plain);
 	rig.settle();
-	EXPECT_EQ(Ask(rig.address, "a2", "/look/x").wait().status, 200u);
+	EXPECT_EQ(CallerRequest(rig.address, "a2", "/look/x").wait().status,
+		  200u);
 }
 
 /* Two entries share their reads; entries with any bytes in them do not end
@@ -276,21 +286,24 @@
 	write(first, "x-5", "\x80");
 	first.settle();
 	second->settle();
-	EXPECT_TRUE(turn_until([&] {
+	EXPECT_TRUE(run_loop_until([&] {
 		return direct_peers_count(first.peers) == 2 &&
 		       direct_peers_count(second->peers) == 2;
 	}));
-	turn_until([] { return false; }, 700);
-	before = *first.calls() + *second->calls();
+	run_loop_until([] { return false; }, 700);
+	before = *first.range_calls() + *second->range_calls();
 	/* As Relay.OneEntryReadsAListThatDoesNotChangeForAll, also while the
 	 * list changes: one reads it, the other has it from there. */
 	for (int change = 0; change < 6; change++) {
 		first.add(PE_PLAIN, "plain");
-		turn_until([] { return false; }, 600);
+		run_loop_until([] { return false; }, 600);
 	}
-	EXPECT_LE(*first.calls() + *second->calls() - before, 3600 / 360 + 2);
+	EXPECT_LE(*first.range_calls() + *second->range_calls() - before,
+		  3600 / 360 + 2);
 	for (Rig *rig : { &first, second.get() })
-		EXPECT_EQ(Ask(rig->address, "a", "/look/x").wait().status,
+		EXPECT_EQ(CallerRequest(rig->address, "a", "/look/x")
+				  .wait()
+				  .status,
 			  200u);
 }
 
