--- a/tests/closed_domains_test.cc
+++ b/tests/closed_domains_test.cc
@@ -1,14 +1,15 @@
 /*
- * Failure domains that operators close to new work, on the whole path.
+ * End-to-end tests of failure domains that operators close to new work, and of
+ * cold upstreams.
  */
 #include "direct_rig.h"
 
 namespace
 {
 
-const char whole[] = "200";
+const char ok_status[] = "200";
 
-std::string ask(Rig &rig, const char *target = "/look/x")
+std::string request_status(Rig &rig, const char *target = "/look/x")
 {
 	static int number = 0;
 
@@ -28,7 +29,7 @@
 	return sum;
 }
 
-/* Two domains with upstreams of each kind; "a" is the entries' own. */
+/* Two domains with upstreams of each kind; the entries are in "a". */
 struct Domains {
 	Rig rig;
 	std::vector<pe_upstream *> a;
@@ -58,86 +59,87 @@
 }
 
 /* One request of each kind: a call, a stream, a stream with stages. */
-void ask_each(Rig &rig, int count)
+void request_each_kind(Rig &rig, int count)
 {
 	for (int i = 0; i < count; i++) {
-		EXPECT_EQ(ask(rig), whole);
-		EXPECT_EQ(ask(rig, "/once/x"), whole);
+		EXPECT_EQ(request_status(rig), ok_status);
+		EXPECT_EQ(request_status(rig, "/once/x"), ok_status);
 		EXPECT_EQ(request_staged(rig, "s" + std::to_string(i)),
 			  complete_stream);
 	}
 }
 
-TEST(Evacuation, AClosedDomainGetsNothingNewUntilItIsTakenBack)
+TEST(ClosedDomains, GetNoNewRequestsUntilReopened)
 {
-	Domains two;
+	Domains domains;
 	uint32_t before;
 
-	ask_each(two.rig, 2);
-	pe_evacuate(two.rig.platform, "a");
+	request_each_kind(domains.rig, 2);
+	pe_evacuate(domains.rig.platform, "a");
 	wait_ms(300);
-	before = arrivals(two.a);
-	ask_each(two.rig, 5);
-	EXPECT_EQ(arrivals(two.a), before);
-	pe_take_back(two.rig.platform, "a");
+	before = arrivals(domains.a);
+	request_each_kind(domains.rig, 5);
+	EXPECT_EQ(arrivals(domains.a), before);
+	pe_take_back(domains.rig.platform, "a");
 	wait_ms(300);
-	ask_each(two.rig, 5);
-	EXPECT_GT(arrivals(two.a), before);
+	request_each_kind(domains.rig, 5);
+	EXPECT_GT(arrivals(domains.a), before);
 }
 
-/* Two in a row: the one that is closed now, not the one before. */
-TEST(Evacuation, TheNextOneTakesItsPlace)
+/* Two domains closed one after the other: only the current one is avoided. */
+TEST(ClosedDomains, OnlyTheCurrentlyClosedDomainIsAvoided)
 {
-	Domains two;
+	Domains domains;
 	uint32_t before;
 
-	pe_evacuate(two.rig.platform, "a");
+	pe_evacuate(domains.rig.platform, "a");
 	wait_ms(300);
-	pe_take_back(two.rig.platform, "a");
-	pe_evacuate(two.rig.platform, "b");
+	pe_take_back(domains.rig.platform, "a");
+	pe_evacuate(domains.rig.platform, "b");
 	wait_ms(300);
-	before = arrivals(two.b);
-	ask_each(two.rig, 3);
-	EXPECT_EQ(arrivals(two.b), before);
+	before = arrivals(domains.b);
+	request_each_kind(domains.rig, 3);
+	EXPECT_EQ(arrivals(domains.b), before);
 }
 
-/* An answer of the service may bring changes in any order. A domain that was
- * opened when another one was closed stayed closed for good where the answer
- * had the closing first, and all requests were refused. */
-TEST(Evacuation, TheOrderOfChangesInAnAnswerDoesNotMatter)
+/* Guards against a domain that stays closed for good: an answer of the service
+ * may list changes in any order, and where the closing of one domain came
+ * before the reopening of another, the latter was ignored and all requests were
+ * refused. */
+TEST(ClosedDomains, ChangesOfAnAnswerApplyInAnyOrder)
 {
-	Domains two;
+	Domains domains;
 	uint32_t before;
 
-	pe_evacuate(two.rig.platform, "b");
+	pe_evacuate(domains.rig.platform, "b");
 	wait_ms(300);
-	pe_store_fault(two.rig.platform, PE_STORE_DEAF_WATCHES);
-	pe_take_back(two.rig.platform, "b");
-	pe_evacuate(two.rig.platform, "a");
-	pe_store_fault(two.rig.platform, PE_STORE_FINE);
+	pe_store_fault(domains.rig.platform, PE_STORE_DEAF_WATCHES);
+	pe_take_back(domains.rig.platform, "b");
+	pe_evacuate(domains.rig.platform, "a");
+	pe_store_fault(domains.rig.platform, PE_STORE_FINE);
 	wait_ms(1500);
-	before = arrivals(two.a);
-	ask_each(two.rig, 2);
-	EXPECT_EQ(arrivals(two.a), before);
-	EXPECT_GT(arrivals(two.b), 0u);
+	before = arrivals(domains.a);
+	request_each_kind(domains.rig, 2);
+	EXPECT_EQ(arrivals(domains.a), before);
+	EXPECT_GT(arrivals(domains.b), 0u);
 }
 
-/* What runs there when it is ordered goes on. */
-TEST(Evacuation, WhatRunsThereIsAnswered)
+/* Requests that run in a domain when it is closed are completed. */
+TEST(ClosedDomains, RunningRequestsAreAnswered)
 {
 	Rig rig;
 	pe_upstream *only = rig.add(PE_PLAIN, "plain");
 
 	pe_set_work_ms(only, 200);
 	rig.settle();
-	CallerRequest under_way(rig.address, "u", "/look/x");
+	CallerRequest running(rig.address, "u", "/look/x");
 	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(only) == 1; }));
 	pe_evacuate(rig.platform, "a");
-	EXPECT_EQ(under_way.wait().status, 200u);
+	EXPECT_EQ(running.wait().status, 200u);
 }
 
-/* Nothing is left: refused at once, and truthfully. */
-TEST(Evacuation, WithoutAnOpenDomainItIsRefusedAtOnce)
+/* Without an open domain a request is refused at once, as not run. */
+TEST(ClosedDomains, RequestsAreRefusedWithoutAnOpenDomain)
 {
 	Rig rig;
 	pe_upstream *only = rig.add(PE_PLAIN, "plain");
@@ -161,72 +163,75 @@
 	EXPECT_EQ(pe_arrivals(only), 0u);
 }
 
-/* An entry that the service does not serve hears of it from another one. */
-TEST(Evacuation, AnEntryCutFromTheServiceHearsOfItFromAPeer)
+/* An entry that the service refuses learns of the closing from a peer. */
+TEST(ClosedDomains, AreLearntFromAPeerDuringAStoreOutage)
 {
-	Domains two;
+	Domains domains;
 	Rig cut;
 	uint32_t before;
-	pe_upstream *there = pe_add(cut.platform, PE_PLAIN, "plain", "a");
+	pe_upstream *in_closed_domain =
+		pe_add(cut.platform, PE_PLAIN, "plain", "a");
 
 	pe_add(cut.platform, PE_PLAIN, "plain", "b");
 	cut.settle();
-	two.rig.join("127.0.0.1", 500, { "127.0.0.2" });
+	domains.rig.join("127.0.0.1", 500, { "127.0.0.2" });
 	cut.join("127.0.0.2", 500, { "127.0.0.1" });
 	pe_store_fault(cut.platform, PE_STORE_BUSY);
 	ASSERT_TRUE(run_loop_until([&] {
 		return !plf_feed_in_touch(cut.feed) &&
 		       direct_peers_count(cut.peers) == 2;
 	}));
-	pe_evacuate(two.rig.platform, "a");
+	pe_evacuate(domains.rig.platform, "a");
 	wait_ms(300);
-	before = pe_arrivals(there);
+	before = pe_arrivals(in_closed_domain);
 	for (int i = 0; i < 10; i++)
-		EXPECT_EQ(ask(cut), whole);
-	EXPECT_EQ(pe_arrivals(there), before);
+		EXPECT_EQ(request_status(cut), ok_status);
+	EXPECT_EQ(pe_arrivals(in_closed_domain), before);
 }
 
-/* Ordered before it started. */
-TEST(Evacuation, AnEntryThatStartsKnowsItBeforeItSendsAnything)
+/* The domain was closed before the entry started. */
+TEST(ClosedDomains, AreKnownToAnEntryThatStarts)
 {
-	Domains two;
-	uint32_t before = arrivals(two.a);
+	Domains domains;
+	uint32_t before = arrivals(domains.a);
 
-	pe_evacuate(two.rig.platform, "a");
-	Rig late(&two.rig);
+	pe_evacuate(domains.rig.platform, "a");
+	Rig started_later(&domains.rig);
 
-	late.settle();
-	ask_each(late, 5);
-	EXPECT_EQ(arrivals(two.a), before);
+	started_later.settle();
+	request_each_kind(started_later, 5);
+	EXPECT_EQ(arrivals(domains.a), before);
 }
 
-/* Ordered while the watch hears nothing: known by the read after it. */
-TEST(Evacuation, OneThatIsTakenBackDuringAnOutageIsOver)
+/* A domain is reopened while the service refuses the entry: the next read after
+ * the outage shows it. */
+TEST(ClosedDomains, ReopeningDuringAStoreOutageIsReadAfterIt)
 {
-	Domains two;
+	Domains domains;
 	uint32_t before;
 
-	pe_evacuate(two.rig.platform, "a");
+	pe_evacuate(domains.rig.platform, "a");
 	wait_ms(300);
-	pe_store_fault(two.rig.platform, PE_STORE_BUSY);
+	pe_store_fault(domains.rig.platform, PE_STORE_BUSY);
 	ASSERT_TRUE(run_loop_until(
-		[&] { return !plf_feed_in_touch(two.rig.feed); }));
-	before = arrivals(two.a);
-	ask_each(two.rig, 2);
-	EXPECT_EQ(arrivals(two.a), before);
-	pe_take_back(two.rig.platform, "a");
-	pe_store_fault(two.rig.platform, PE_STORE_FINE);
+		[&] { return !plf_feed_in_touch(domains.rig.feed); }));
+	before = arrivals(domains.a);
+	request_each_kind(domains.rig, 2);
+	EXPECT_EQ(arrivals(domains.a), before);
+	pe_take_back(domains.rig.platform, "a");
+	pe_store_fault(domains.rig.platform, PE_STORE_FINE);
 	ASSERT_TRUE(run_loop_until(
-		[&] { return plf_feed_in_touch(two.rig.feed); }));
+		[&] { return plf_feed_in_touch(domains.rig.feed); }));
 	EXPECT_TRUE(run_loop_until([&] {
-		ask(two.rig);
-		return arrivals(two.a) > before;
+		request_status(domains.rig);
+		return arrivals(domains.a) > before;
 	}));
 }
 
 /* ---- cold upstreams ---- */
 
-/* The sample with a bound for engines that have just started. */
+/* The sample configuration, with a rate limit for engines that have just
+ * started. */
 void set_cold_config(Rig &rig, int64_t version)
 {
 	char *text = pe_sample_config(version);
@@ -239,14 +244,14 @@
 	pe_set_config(rig.platform, json.c_str());
 }
 
-/* All engines are cold at once and get all traffic: no more than their bound
- * goes to each, and what cannot go is refused at once. */
-TEST(ColdUpstreams, GetNoMoreThanTheirBound)
+/* All engines are cold: each gets requests up to the rate limit, and the others
+ * are refused at once. */
+TEST(ColdUpstreams, GetNoMoreThanTheirRateLimit)
 {
 	Rig rig;
 	pe_upstream *cold[] = { rig.add(PE_ENGINE, "engine"),
 				rig.add(PE_ENGINE, "engine") };
-	std::vector<std::unique_ptr<CallerRequest>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> requests;
 	int refused = 0;
 
 	set_cold_config(rig, 2);
@@ -255,14 +260,14 @@
 		pe_set_cold(engine, 5000);
 	wait_ms(600);
 	for (int i = 0; i < 100; i++) {
-		asks.push_back(std::make_unique<CallerRequest>(
+		requests.push_back(std::make_unique<CallerRequest>(
 			rig.address, std::to_string(i).c_str(), "/once/x",
 			Fields{ { "X-Token-Counts", "10,6" },
 				{ "X-Prompt-Prefix", "a:5,b:5" } }));
 		wait_ms(10);
 	}
-	for (auto &ask : asks)
-		refused += ask->wait().status == 503;
+	for (auto &request : requests)
+		refused += request->wait().status == 503;
 	for (pe_upstream *engine : cold) {
 		EXPECT_LE(pe_arrivals(engine), 5u);
 		EXPECT_GE(pe_arrivals(engine), 2u);
@@ -270,8 +275,8 @@
 	EXPECT_GT(refused, 80);
 }
 
-/* ... and the open and warm ones get the rest. */
-TEST(ColdUpstreams, LeaveTheRestToThoseThatAreWarm)
+/* Requests above the rate limit of cold engines go to warm ones. */
+TEST(ColdUpstreams, ExcessRequestsGoToWarmUpstreams)
 {
 	Rig rig;
 	pe_upstream *cold = rig.add(PE_ENGINE, "engine");
@@ -282,7 +287,7 @@
 	pe_set_cold(cold, 5000);
 	wait_ms(600);
 	for (int i = 0; i < 40; i++)
-		EXPECT_EQ(ask(rig, "/once/x"), whole);
+		EXPECT_EQ(request_status(rig, "/once/x"), ok_status);
 }
 
 } // namespace
--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -1,7 +1,8 @@
 /**
- * The whole path in one process, over loopback: the emulated platform, an
- * entry that calls upstreams directly, callers. The emulator writes down what
- * should never have reached it; a rig fails its test by it.
+ * End-to-end rig in one process, over loopback: the emulated platform, an entry
+ * that calls upstreams directly, and callers. The emulator records breaches of
+ * its rules, such as a request that must not run twice; a Rig that owns its
+ * platform reports each breach as a failure of the test.
  */
 #ifndef DIRECT_RIG_H
 #define DIRECT_RIG_H
@@ -15,6 +16,8 @@
 #include <string>
 #include <vector>
 
+/* Runs the event loop until a condition holds or `limit_ms` have passed;
+ * returns the condition. */
 inline bool run_loop_until(const std::function<bool()> &done,
 			   int64_t limit_ms = 10000)
 {
@@ -31,7 +34,7 @@
 
 using Fields = std::map<std::string, std::string>;
 
-/* One request of a caller. */
+/* One request of a caller, sent by the constructor. */
 struct CallerRequest {
 	http_exchange *exchange;
 	uint32_t status = 0;
@@ -83,13 +86,13 @@
 	static void on_head(void *self, uint32_t status,
 			    const http_fields *fields)
 	{
-		auto *ask = static_cast<CallerRequest *>(self);
+		auto *request = static_cast<CallerRequest *>(self);
 		const char *after = http_fields_get(fields, "Retry-After");
 		const char *seal = http_fields_get(fields, "X-Server-Seal");
 
-		ask->status = status;
-		ask->retry_after = after ? after : "";
-		ask->seal = seal ? seal : "";
+		request->status = status;
+		request->retry_after = after ? after : "";
+		request->seal = seal ? seal : "";
 	}
 	static void on_body(void *self, const char *bytes, size_t size)
 	{
@@ -97,11 +100,11 @@
 	}
 	static void on_done(void *self, int error, bool)
 	{
-		auto *ask = static_cast<CallerRequest *>(self);
+		auto *request = static_cast<CallerRequest *>(self);
 
-		ask->done = true;
-		ask->error = error;
-		ask->took_us = g_get_monotonic_time() - ask->begun_us;
+		request->done = true;
+		request->error = error;
+		request->took_us = g_get_monotonic_time() - request->begun_us;
 	}
 	CallerRequest &wait()
 	{
@@ -115,9 +118,9 @@
 	}
 };
 
-/* The platform, and one entry on it. */
-/* Where entries of a test hear each other. Tests run side by side: each holds
- * the TCP port of this number for as long as it runs. */
+/* The UDP port on which the entries of a test reach each other. Tests run in
+ * parallel: each reserves the number by listening on the same TCP port until it
+ * exits. */
 inline uint16_t peers_port()
 {
 	static uint16_t port = 0;
@@ -139,6 +142,7 @@
 	return port;
 }
 
+/* The emulated platform, and one entry on it. */
 struct Rig {
 	pe *platform;
 	bool owns_platform;
@@ -154,12 +158,12 @@
 	std::string address;
 	int64_t drain_us = 800000;
 
-	/* On a platform that outlives it. */
+	/* On a platform that is owned by the caller. */
 	explicit Rig(pe *platform) : platform(platform), owns_platform(false)
 	{
 		start(true);
 	}
-	/* On this clock. */
+	/* With this clock for the entry. */
 	explicit Rig(const lp_clock *clock, int64_t drain_us = 800000)
 	    : platform(pe_create()), owns_platform(true), clock(clock),
 	      drain_us(drain_us)
@@ -171,13 +175,13 @@
 	{
 		start(with_config);
 	}
-	/* Upstreams that leave may stay unknown for so long. */
+	/* A draining upstream may stay unknown to the entry for this time. */
 	explicit Rig(int64_t drain_us)
 	    : platform(pe_create()), owns_platform(true), drain_us(drain_us)
 	{
 		start(true);
 	}
-	/* One more entry on the platform of another one. */
+	/* A further entry on the platform of another rig. */
 	explicit Rig(Rig *other)
 	    : platform(other->platform), owns_platform(false)
 	{
@@ -203,7 +207,7 @@
 		if (owns_platform)
 			check_platform();
 	}
-	/* Its process ends at once, without a word to anyone. */
+	/* Terminates the entry abruptly, without notice to its peers. */
 	void end()
 	{
 		kv->ops->destroy(kv);
@@ -288,7 +292,8 @@
 		options.direct = entry;
 		kept = plf_kept_create(&options);
 	}
-	/* Serve lists and configurations to peers and fetch theirs. */
+	/* Exchanges upstream lists and configurations with peers, at this IP.
+	 */
 	void share_with(const char *ip)
 	{
 		plf_share_options options = {};
@@ -303,7 +308,7 @@
 		share = plf_share_create(&options);
 		ASSERT_NE(share, nullptr);
 	}
-	/* Share stages with the entries of these IPs. */
+	/* Makes the entry a peer of the entries at these IPs. */
 	void join(const char *ip, uint32_t capacity,
 		  std::vector<std::string> others, int64_t settle_us = 0)
 	{
@@ -344,7 +349,8 @@
 	{
 		return pe_add(platform, kind, service, "a");
 	}
-	/* The entry knows the configuration and all upstreams. */
+	/* Waits until the entry has the configuration and has read the list of
+	 * upstreams twice more. */
 	void settle(int64_t version = 1)
 	{
 		bool ready = run_loop_until([&] {
@@ -357,6 +363,7 @@
 		run_loop_until([&] { return *range_calls() >= polls + 2; },
 			       3000);
 	}
+	/* Counter of the entry's reads of the key-value service. */
 	int64_t *range_calls()
 	{
 		return lp_counter(counters, "linepier_kv_calls_total",
@@ -369,7 +376,8 @@
 	"id: 3\ndata: token 3\n\nid: 4\ndata: token 4\n\n"
 	"id: 5\ndata: token 5\n\nid: 6\ndata: token 6\n\n";
 
-/* A request with stages, of this id: its answer. */
+/* Sends a request with stages under this id and returns the body of its answer.
+ */
 inline std::string request_staged(const Rig &rig, const std::string &id)
 {
 	return CallerRequest(rig.address, id.c_str(), "/staged/x",
--- a/tests/direct_test.cc
+++ b/tests/direct_test.cc
@@ -1,7 +1,7 @@
 /*
- * An entry that calls upstreams directly, against the emulated platform: the
- * whole path in one process, over loopback. Each test is a fault and the
- * promise that must outlive it.
+ * End-to-end tests of an entry that calls upstreams directly, against the
+ * emulated platform, in one process over loopback. Each test injects a fault
+ * and checks a guarantee that must hold in spite of it.
  */
 #include "direct_rig.h"
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-/* ---- a calm day ---- */
+/* ---- without faults ---- */
 
 TEST(Direct, ServesEachKindOfRequest)
 {
@@ -40,7 +40,7 @@
 		[&] { return pe_pieces_kept(rig.platform) == 0; }));
 }
 
-TEST(Direct, RefusesTruthfullyUntilItIsConfigured)
+TEST(Direct, RequestsAreRefusedBeforeTheFirstConfiguration)
 {
 	Rig rig(false);
 	CallerRequest early(rig.address, "a1", "/order/x");
@@ -50,7 +50,7 @@
 	EXPECT_FALSE(direct_ready(rig.entry));
 }
 
-TEST(Direct, KnowsRoutesAndKeys)
+TEST(Direct, UnknownRoutesAndKeysAreRefused)
 {
 	Rig rig;
 
@@ -70,9 +70,9 @@
 	nameless.wait();
 }
 
-/* ---- at most once, and truthful refusals ---- */
+/* ---- at most once, and refusals as "not run" ---- */
 
-TEST(Direct, WhatMayRunOnceIsNotSentAgain)
+TEST(Direct, NonIdempotentRequestsAreNotRetriedAfterFailures)
 {
 	const enum pe_fault faults[] = { PE_FAULT_RESET, PE_FAULT_GARBLED,
 					 PE_FAULT_FOREIGN, PE_FAULT_TRUNCATED };
@@ -94,7 +94,7 @@
 	}
 }
 
-TEST(Direct, WhatWasNotRunGoesToAnother)
+TEST(Direct, RequestsThatDidNotRunAreRetried)
 {
 	Rig rig;
 	pe_upstream *full = rig.add(PE_PLAIN, "plain");
@@ -114,7 +114,7 @@
 	EXPECT_GE(pe_arrivals(other), 6u);
 }
 
-TEST(Direct, RefusesAtOnceWithWhenToComeBackIfNobodyRanIt)
+TEST(Direct, RefusalsThatDidNotRunHaveRetryAfter)
 {
 	Rig rig;
 	pe_upstream *full = rig.add(PE_PLAIN, "plain");
@@ -129,7 +129,7 @@
 	EXPECT_EQ(pe_runs(rig.platform, "a1"), 0u);
 }
 
-TEST(Direct, AnswersAtTheDeadlineAndNoLater)
+TEST(Direct, SilentUpstreamsAreAnsweredAtTheDeadline)
 {
 	Rig rig;
 	pe_upstream *silent = rig.add(PE_PLAIN, "plain");
@@ -144,9 +144,9 @@
 	EXPECT_LT(order.took_us, 600000);
 }
 
-/* ---- what may be repeated ---- */
+/* ---- repeatable requests ---- */
 
-TEST(Direct, IdempotentRequestsOutliveABadUpstream)
+TEST(Direct, IdempotentRequestsAreRetriedAfterFailures)
 {
 	const enum pe_fault faults[] = { PE_FAULT_RESET,     PE_FAULT_GARBLED,
 					 PE_FAULT_FOREIGN,   PE_FAULT_ERROR,
@@ -169,7 +169,7 @@
 	}
 }
 
-TEST(Direct, AnswersWithoutALengthAndExtraOnesAreTakenApart)
+TEST(Direct, AnswersWithoutLengthAndSurplusAnswersAreDelimited)
 {
 	const enum pe_fault faults[] = { PE_FAULT_UNFRAMED, PE_FAULT_EXTRA };
 
@@ -190,7 +190,7 @@
 	}
 }
 
-TEST(Direct, ErrorsOfAnUpstreamArePassedOn)
+TEST(Direct, UpstreamErrorsAreForwarded)
 {
 	Rig rig;
 	pe_upstream *bad = rig.add(PE_PLAIN, "plain");
@@ -206,7 +206,7 @@
 
 /* ---- streams ---- */
 
-TEST(Direct, AStreamThatMayResumeGoesOnAtAnother)
+TEST(Direct, ResumableStreamsContinueAtAnotherUpstream)
 {
 	Rig rig;
 	pe_upstream *bad = rig.add(PE_ENGINE, "engine");
@@ -223,7 +223,7 @@
 	}
 }
 
-TEST(Direct, AStreamThatMayNotResumeIsSeenToBeCut)
+TEST(Direct, BrokenStreamsThatCannotResumeAreAborted)
 {
 	Rig rig;
 	pe_upstream *bad = rig.add(PE_ENGINE, "engine");
@@ -240,7 +240,7 @@
 	EXPECT_EQ(pe_runs(rig.platform, "a1"), 1u);
 }
 
-TEST(Direct, ACallerThatLeavesTakesItsRequestAlong)
+TEST(Direct, RequestsOfDisconnectedCallersAreCancelled)
 {
 	Rig rig;
 	pe_upstream *slow = rig.add(PE_PLAIN, "plain");
@@ -259,7 +259,7 @@
 
 /* ---- stages ---- */
 
-TEST(Direct, LostResultsAreMadeAgain)
+TEST(Direct, LostResultsAreRecomputed)
 {
 	Rig rig;
 	pe_upstream *forgets = rig.add(PE_STAGE, "first");
@@ -277,9 +277,9 @@
 	EXPECT_EQ(staged.wait().body, complete_stream);
 }
 
-/* Found on days of bursts: results were kept for a resume until the stream's
- * end, and their makers had no room. */
-TEST(Direct, ResultsAreGivenUpWhenTheEngineHasThem)
+/* Guards against results being kept until the end of a stream, for a possible
+ * resume: under bursts their producers ran out of result memory. */
+TEST(Direct, ResultsAreFreedAtTheFirstEvent)
 {
 	Rig rig;
 
@@ -298,8 +298,8 @@
 	EXPECT_EQ(staged.wait().body, complete_stream);
 }
 
-/* ... so a stream that resumes has them made again. */
-TEST(Direct, AStreamThatResumesHasItsResultsMadeAgain)
+/* Results are freed at the first event, so a resumed stream needs new ones. */
+TEST(Direct, ResumedStreamsRecomputeFreedResults)
 {
 	Rig rig;
 	pe_upstream *bad = rig.add(PE_ENGINE, "engine");
@@ -309,27 +309,27 @@
 	rig.add(PE_STAGE, "second");
 	pe_fault(bad, PE_FAULT_CUT);
 	rig.settle();
-	std::vector<std::unique_ptr<CallerRequest>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> requests;
 
-	/* Several at once go to both engines. */
+	/* Several concurrent requests reach both engines. */
 	for (int i = 0; i < 4; i++) {
 		std::string id = "a" + std::to_string(i);
 
-		asks.push_back(std::make_unique<CallerRequest>(
+		requests.push_back(std::make_unique<CallerRequest>(
 			rig.address, id.c_str(), "/restaged/x",
 			Fields{ { "X-Pieces", "1,1" },
 				{ "X-Piece-Key", "k" } }));
 	}
-	for (auto &ask : asks) {
-		EXPECT_EQ(ask->wait().body, complete_stream);
-		EXPECT_EQ(ask->error, LP_OK);
+	for (auto &request : requests) {
+		EXPECT_EQ(request->wait().body, complete_stream);
+		EXPECT_EQ(request->error, LP_OK);
 	}
 	EXPECT_GT(pe_pieces_made(rig.platform), 8u);
 }
 
-/* Found on a day at Kwaebibirem: inputs were lost with the first call of a
- * stage while its other pieces waited; those went off without inputs. */
-TEST(Direct, PiecesDoNotGoWithoutInputsThatWereLost)
+/* Guards against pieces that are sent without inputs: inputs were reported lost
+ * by the first call of a stage while its other pieces still waited. */
+TEST(Direct, PiecesAreNotSentWithoutLostInputs)
 {
 	Rig rig;
 	pe_upstream *forgets = rig.add(PE_STAGE, "first");
@@ -348,7 +348,7 @@
 	EXPECT_EQ(staged.wait().body, complete_stream);
 }
 
-TEST(Direct, PiecesOutliveAStageServerThatResets)
+TEST(Direct, PiecesAreRetriedAfterConnectionResets)
 {
 	Rig rig;
 	pe_upstream *bad = rig.add(PE_STAGE, "first");
@@ -368,13 +368,13 @@
 	}
 }
 
-/* Found by reading: a waiting piece kept the domain's name of an upstream that
- * had left the list and was freed (the sanitized build stops here without the
- * mend). */
-TEST(Direct, AnUpstreamMayLeaveWhilePiecesWaitNearIt)
+/* Guards against a use after free: a waiting piece kept a pointer to the domain
+ * name of an upstream that was freed when it was removed from the list. The
+ * sanitized build fails here without the fix. */
+TEST(Direct, UpstreamsCanBeRemovedWhilePiecesWaitInTheirDomain)
 {
 	Rig rig;
-	pe_upstream *maker = rig.add(PE_STAGE, "first");
+	pe_upstream *producer = rig.add(PE_STAGE, "first");
 	pe_upstream *slow = rig.add(PE_STAGE, "second");
 
 	rig.add(PE_ENGINE, "engine");
@@ -390,17 +390,17 @@
 	ASSERT_TRUE(run_loop_until(
 		[&] { return pe_pieces_made(rig.platform) >= 2; }));
 	run_loop_until([] { return false; }, 50);
-	pe_remove(maker);
+	pe_remove(producer);
 	one.wait();
 	two.wait();
 }
 
-/* No piece is made without its inputs, and none with another's: the emulator
- * writes down each breach, and Rig fails the test. */
-TEST(Direct, ManyRequestsShareCallsAndKeepTheirPiecesApart)
+/* No piece may be computed without its inputs, or with those of another
+ * request: the emulator records each breach, and Rig fails the test. */
+TEST(Direct, BatchedPiecesAreNotMixedUp)
 {
 	Rig rig;
-	std::vector<std::unique_ptr<CallerRequest>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> requests;
 
 	for (int i = 0; i < 3; i++) {
 		rig.add(PE_STAGE, "first");
@@ -411,22 +411,22 @@
 	for (int i = 0; i < 30; i++) {
 		std::string id = "m" + std::to_string(i);
 
-		asks.push_back(std::make_unique<CallerRequest>(
+		requests.push_back(std::make_unique<CallerRequest>(
 			rig.address, id.c_str(), "/staged/x",
 			Fields{ { "X-Pieces", "3,2" },
 				{ "X-Piece-Key", "k" + id } }));
 	}
-	for (auto &ask : asks)
-		EXPECT_EQ(ask->wait().body, complete_stream);
+	for (auto &request : requests)
+		EXPECT_EQ(request->wait().body, complete_stream);
 	EXPECT_EQ(pe_pieces_made(rig.platform), 150u);
 	EXPECT_TRUE(run_loop_until(
 		[&] { return pe_pieces_kept(rig.platform) == 0; }));
 }
 
-/* Found by a hunted day: requests of the least urgent kind waited for a short
- * stage until their entry, which had been told to stop, was gone; their
- * connections were reset without an answer. */
-TEST(Direct, AnEntryThatEndsRefusesWhatNoUpstreamHas)
+/* Guards against connections that are reset without an answer: requests of the
+ * lowest priority waited for a stage short of capacity until their entry, which
+ * was shutting down, had terminated. */
+TEST(Direct, UnsentRequestsAreRefusedAtShutdown)
 {
 	Rig rig;
 	pe_upstream *stage = rig.add(PE_STAGE, "first");
@@ -451,26 +451,26 @@
 
 /* ---- the list of upstreams ---- */
 
-TEST(Direct, ALeavingUpstreamGetsNothingNew)
+TEST(Direct, DrainingUpstreamsGetNoNewRequests)
 {
 	Rig rig;
-	pe_upstream *leaving = rig.add(PE_PLAIN, "plain");
+	pe_upstream *draining = rig.add(PE_PLAIN, "plain");
 	uint32_t before;
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
-	pe_drain(leaving);
+	pe_drain(draining);
 	rig.settle();
-	before = pe_arrivals(leaving);
+	before = pe_arrivals(draining);
 	for (int i = 0; i < 8; i++)
 		EXPECT_EQ(CallerRequest(rig.address, "a", "/look/x")
 				  .wait()
 				  .status,
 			  200u);
-	EXPECT_EQ(pe_arrivals(leaving), before);
+	EXPECT_EQ(pe_arrivals(draining), before);
 }
 
-TEST(Direct, TheLastKnownListServesWhileTheStoreIsAway)
+TEST(Direct, LastUpstreamListIsUsedDuringStoreOutage)
 {
 	Rig rig;
 
@@ -486,8 +486,9 @@
 		run_loop_until([&] { return plf_feed_in_touch(rig.feed); }));
 }
 
-/* Refused calls are paid for, and keep a service down that is short. */
-TEST(Direct, AServiceThatRefusesIsAskedLessAndLess)
+/* Refused calls count against the quota and keep an overloaded service down, so
+ * the entry has to back off. */
+TEST(Direct, RefusedStoreCallsAreRetriedWithBackoff)
 {
 	Rig rig((int64_t)4000000);
 	int64_t before;
@@ -512,8 +513,9 @@
 		[&] { return direct_config_version(rig.entry) == 2; }, 500));
 }
 
-/* ... and the first that it serves again tells the others. */
-TEST(Direct, APeerThatIsServedAgainIsFollowedAtOnce)
+/* A peer that the service serves again reports it, which ends the backoff of
+ * the others. */
+TEST(Direct, StoreRecoverySeenByAPeerEndsTheBackoff)
 {
 	Rig rig((int64_t)4000000);
 
@@ -523,7 +525,7 @@
 	ASSERT_TRUE(
 		run_loop_until([&] { return !plf_feed_in_touch(rig.feed); }));
 	run_loop_until([] { return false; },
-		       3500); /* its wait is 1.2 s or more */
+		       3500); /* the backoff is 1.2 s or more by now */
 	pe_store_fault(rig.platform, PE_STORE_FINE);
 	EXPECT_FALSE(plf_feed_hear_list(rig.feed, 7, 0));
 	EXPECT_TRUE(run_loop_until([&] { return plf_feed_in_touch(rig.feed); },
@@ -532,7 +534,7 @@
 
 /* ---- the configuration ---- */
 
-TEST(Direct, AConfigurationIsInForceAtOnceAndNeverReverts)
+TEST(Direct, ConfigurationsApplyAtOnceAndNeverRevert)
 {
 	Rig rig;
 
@@ -554,9 +556,9 @@
 		[&] { return direct_config_version(rig.entry) == 6; }, 1000));
 }
 
-/* Found on a day on which the store's watches heard nothing while changes were
- * made: a watch that had been forgotten went on for ten seconds. */
-TEST(Direct, AWatchThatHearsNothingDoesNotHideAChange)
+/* Guards against a change that is missed for ten seconds: the store had dropped
+ * a watch without closing its connection. */
+TEST(Direct, ChangesMissedByASilentWatchAreRead)
 {
 	Rig rig;
 
@@ -564,18 +566,18 @@
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_DEAF_WATCHES);
 	rig.set_config(7);
-	rig.add(PE_PLAIN, "plain"); /* the revision goes on */
+	rig.add(PE_PLAIN, "plain"); /* advances the revision */
 	run_loop_until([] { return false; }, 800);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
 	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(rig.entry) == 7; }, 2500));
 }
 
-/* ---- entries among themselves ---- */
+/* ---- exchange between entries ---- */
 
-/* A store may serve some machines and refuse others, for longer than a
- * configuration may take: those ask the others. */
-TEST(Direct, AnEntryThatTheStoreRefusesAsksAPeer)
+/* The store may serve some hosts and refuse others, for longer than a
+ * configuration may take to be applied: refused entries read it from peers. */
+TEST(Direct, RefusedEntriesReadTheConfigurationFromAPeer)
 {
 	Rig served;
 	Rig refused;
@@ -617,10 +619,10 @@
 	plf_share_destroy(two);
 }
 
-/* Found on a day of cuts: of two entries that the store refuses, one heard the
- * other last before each question for the list, and got none for ten seconds
- * though three others had it. */
-TEST(Direct, AnEntryThatTheStoreRefusesFindsAPeerWithAList)
+/* Guards against an entry without a list for ten seconds although three peers
+ * had it: of two entries that the store refused, one always queried the peer
+ * that it had received from last, which was the other one. */
+TEST(Direct, RefusedEntriesReadTheListFromAPeerThatHasIt)
 {
 	const std::string port = std::to_string(peers_port() + 60);
 	Rig served;
@@ -665,14 +667,15 @@
 		plf_share_destroy(share);
 }
 
-/* Found on a day of cuts: an upstream that left while the service was away was
- * kept until the next look at the list, up to a second longer than it may still
- * come back, and got a request 2.6 s after it had said that it leaves. */
-TEST(Direct, WhatDoesNotComeBackAfterAnOutageIsGoneInTime)
+/* Guards against requests to an upstream that was removed during an outage of
+ * the service: it was kept until the next poll of the list, up to a second
+ * longer than the drain period, and got a request 2.6 s after its drain notice.
+ */
+TEST(Direct, UpstreamsMissingAfterAnOutageAreRemovedOnTime)
 {
 	Rig rig(int64_t{ 2200000 });
-	pe_upstream *leaving = rig.add(PE_PLAIN, "plain");
-	const std::string id = pe_name(leaving);
+	pe_upstream *draining = rig.add(PE_PLAIN, "plain");
+	const std::string id = pe_name(draining);
 	const auto is_kept = [&] {
 		g_autofree char *list = plf_feed_list_text(rig.feed);
 
@@ -684,7 +687,7 @@
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
 	ASSERT_TRUE(
 		run_loop_until([&] { return !plf_feed_in_touch(rig.feed); }));
-	pe_remove(leaving);
+	pe_remove(draining);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
 	ASSERT_TRUE(
 		run_loop_until([&] { return plf_feed_in_touch(rig.feed); }));
@@ -693,11 +696,11 @@
 	EXPECT_TRUE(run_loop_until([&] { return !is_kept(); }, 300));
 }
 
-/* ---- the end ---- */
+/* ---- shutdown ---- */
 
-/* Found on a day of restarts: a request taken seconds after SIGTERM was cut
- * when the grace time ended. */
-TEST(Direct, RefusesWhatCouldNotEndBeforeTheProcess)
+/* Guards against requests that are admitted seconds after SIGTERM and cut off
+ * when the grace time ends. */
+TEST(Direct, RequestsThatOutlastTheShutdownAreRefused)
 {
 	Rig rig;
 	pe_upstream *slow = rig.add(PE_PLAIN, "plain");
@@ -714,16 +717,16 @@
 	CallerRequest after(rig.address, "a2", "/order/x");
 
 	EXPECT_EQ(after.wait().status, 503u);
-	/* Another entry can take it at once. */
+	/* Another entry can admit it at once. */
 	ASSERT_NE(after.retry_after, "");
 	EXPECT_LT(std::stod(after.retry_after), 0.1);
 	EXPECT_EQ(before.wait().status, 200u);
 	EXPECT_EQ(pe_runs(rig.platform, "a2"), 0u);
 }
 
-/* A domain with one entry: its callers come while it ends, and some requests
- * take no longer than it is still there. */
-TEST(Direct, TakesWhatEndsBeforeTheProcess)
+/* In a domain with a single entry, callers keep sending requests during its
+ * shutdown, and some of them end before the process does. */
+TEST(Direct, ShortRequestsAreAdmittedDuringShutdown)
 {
 	Rig rig;
 
@@ -732,10 +735,10 @@
 	direct_drain(rig.entry);
 	direct_set_shutdown_time(rig.entry, lp_now_us(lp_clock_boot()) +
 						    1500 * LP_US_PER_MS);
-	CallerRequest ask(rig.address, "a1", "/order/x",
-			  { { "X-Deadline-Ms", "600" } });
+	CallerRequest request(rig.address, "a1", "/order/x",
+			      { { "X-Deadline-Ms", "600" } });
 
-	EXPECT_EQ(ask.wait().status, 200u);
+	EXPECT_EQ(request.wait().status, 200u);
 	EXPECT_EQ(pe_runs(rig.platform, "a1"), 1u);
 }
 
--- a/tests/notices_test.cc
+++ b/tests/notices_test.cc
@@ -1,6 +1,5 @@
 /*
- * Upstreams that say of themselves in their answers that they leave, or that
- * they want nothing of an entry for a while.
+ * Drain notices and pushback (Retry-After) in the answers of upstreams.
  */
 #include "fleet_rig.h"
 
@@ -8,75 +7,78 @@
 {
 
 const int64_t drain_ms = 2000;
-const int64_t judged_ms = 1500;
+const int64_t observed_ms = 1500;
 
-struct Kind {
+struct RequestKind {
 	const char *service;
 	const char *target;
 };
 
-const Kind kinds[] = { { "plain", "/look/x" },
-		       { "engine", "/once/x" },
-		       { "engine", "/again/x" },
-		       { "first", "/staged/x" } };
+const RequestKind kinds[] = { { "plain", "/look/x" },
+			      { "engine", "/once/x" },
+			      { "engine", "/again/x" },
+			      { "first", "/staged/x" } };
 
-/* The reported day: an answer had told an entry that its engine leaves, and it
- * sent it more for ten seconds, until the list said so, too. */
-TEST(SaidLeaving, GetsNothingNewThoughTheListNamesItReady)
+/* Guards against requests to an engine after its drain notice: an entry kept
+ * sending them for ten seconds, until the list of upstreams had it as draining.
+ */
+TEST(DrainNotice, StopsNewRequestsBeforeTheListIsUpdated)
 {
-	for (const Kind &kind : kinds) {
+	for (const RequestKind &kind : kinds) {
 		Fleet fleet;
-		pe_upstream *leaving = fleet.upstreams[kind.service][0];
+		pe_upstream *draining = fleet.upstreams[kind.service][0];
 
 		for (pe_upstream *upstream : fleet.upstreams[kind.service])
 			pe_set_work_ms(upstream, 60);
 		fleet.ask_for(kind.target, 300);
-		pe_say_leaving(leaving);
-		fleet.ask_for(kind.target, drain_ms + judged_ms);
-		EXPECT_EQ(pe_late_arrivals(leaving), 0u) << kind.target;
+		pe_say_leaving(draining);
+		fleet.ask_for(kind.target, drain_ms + observed_ms);
+		EXPECT_EQ(pe_late_arrivals(draining), 0u) << kind.target;
 		EXPECT_EQ(fleet.count(200), (int)fleet.asks.size())
 			<< kind.target;
 	}
 }
 
-/* A peer that places for others has had no such answer itself. */
-TEST(SaidLeaving, IsKnownToAllEntriesAtOnce)
+/* A peer that places prompts for others may have received no such answer
+ * itself. */
+TEST(DrainNotice, ReachesAllEntriesAtOnce)
 {
 	Fleet fleet;
-	pe_upstream *leaving = fleet.upstreams["engine"][0];
+	pe_upstream *draining = fleet.upstreams["engine"][0];
 	uint32_t before;
 
-	pe_say_leaving(leaving);
+	pe_say_leaving(draining);
 	fleet.ask_for("/once/x", 300);
-	before = pe_arrivals(leaving);
+	before = pe_arrivals(draining);
 	EXPECT_GT(before, 0u);
 	fleet.ask_for("/once/x", 1000);
-	EXPECT_EQ(pe_arrivals(leaving), before);
+	EXPECT_EQ(pe_arrivals(draining), before);
 }
 
-/* The list names it ready all the time, for as long as the service is away. */
-TEST(SaidLeaving, IsKnownToAnEntryThatStarts)
+/* The list still has the upstream as ready, as during an outage of the service.
+ */
+TEST(DrainNotice, ReachesEntriesThatStartLater)
 {
 	Fleet fleet;
-	pe_upstream *leaving = fleet.upstreams["plain"][0];
+	pe_upstream *draining = fleet.upstreams["plain"][0];
 	uint32_t before;
 
-	pe_say_leaving(leaving);
+	pe_say_leaving(draining);
 	fleet.ask_for("/look/x", 300);
-	std::unique_ptr<Rig> late = fleet.start_another();
-	before = pe_arrivals(leaving);
+	std::unique_ptr<Rig> started_later = fleet.start_another();
+	before = pe_arrivals(draining);
 	for (int i = 0; i < 10; i++)
-		EXPECT_EQ(CallerRequest(late->address,
+		EXPECT_EQ(CallerRequest(started_later->address,
 					("l" + std::to_string(i)).c_str(),
 					"/look/x")
 				  .wait()
 				  .status,
 			  200u);
-	EXPECT_EQ(pe_arrivals(leaving), before);
+	EXPECT_EQ(pe_arrivals(draining), before);
 }
 
-/* What runs there goes on, and is answered. */
-TEST(SaidLeaving, WhatRunsThereIsAnswered)
+/* Requests that run at a draining upstream are completed. */
+TEST(DrainNotice, RunningRequestsAreAnswered)
 {
 	Rig rig;
 	pe_upstream *only = rig.add(PE_PLAIN, "plain");
@@ -91,8 +93,8 @@
 	EXPECT_EQ(two.wait().status, 200u);
 }
 
-/* Nobody is left: refused at once, and truthfully. */
-TEST(SaidLeaving, WithoutAnotherItIsRefusedAtOnce)
+/* Without another upstream a request is refused at once, as not run. */
+TEST(DrainNotice, RequestsAreRefusedWithoutAnotherUpstream)
 {
 	Rig rig;
 	pe_upstream *only = rig.add(PE_PLAIN, "plain");
@@ -108,8 +110,9 @@
 	EXPECT_EQ(pe_runs(rig.platform, "2"), 0u);
 }
 
-/* It starts again under its id: what its life before said is over. */
-TEST(SaidLeaving, EndsWithItsLife)
+/* The upstream restarts under its id: a notice of the incarnation before no
+ * longer applies. */
+TEST(DrainNotice, EndsWithTheIncarnation)
 {
 	Rig rig;
 	pe_upstream *only = rig.add(PE_PLAIN, "plain");
@@ -129,30 +132,31 @@
 	}));
 }
 
-/* Its entry lapses while the service is away and comes back as ready. */
-TEST(SaidLeaving, OutlivesTheEntryInTheList)
+/* The upstream's entry in the list expires during an outage of the service and
+ * returns as ready. */
+TEST(DrainNotice, OutlastsRemovalFromTheList)
 {
 	TestClock clock;
-	pool *it = pool_create(&clock.clock, "a");
+	pool *upstreams = pool_create(&clock.clock, "a");
 	char id[] = "1", service[] = "s", address[] = "1:1", domain[] = "a";
 	pool_entry entry = { id, service, address, domain, 4, false, 7, 0 };
 
-	pool_update(it, &entry, 1);
-	EXPECT_TRUE(pool_heard_leaving(it, pool_find(it, "1")));
-	EXPECT_FALSE(pool_heard_leaving(it, pool_find(it, "1")));
-	pool_update(it, nullptr, 0);
+	pool_update(upstreams, &entry, 1);
+	EXPECT_TRUE(pool_heard_leaving(upstreams, pool_find(upstreams, "1")));
+	EXPECT_FALSE(pool_heard_leaving(upstreams, pool_find(upstreams, "1")));
+	pool_update(upstreams, nullptr, 0);
 	clock.now_us += 60 * LP_US_PER_S;
-	pool_update(it, &entry, 1);
-	EXPECT_FALSE(pool_is_open(pool_find(it, "1")));
+	pool_update(upstreams, &entry, 1);
+	EXPECT_FALSE(pool_is_open(pool_find(upstreams, "1")));
 	entry.born_ms = 8;
-	pool_update(it, &entry, 1);
-	EXPECT_TRUE(pool_is_open(pool_find(it, "1")));
-	pool_destroy(it);
+	pool_update(upstreams, &entry, 1);
+	EXPECT_TRUE(pool_is_open(pool_find(upstreams, "1")));
+	pool_destroy(upstreams);
 }
 
-/* Another process has the address and says that it leaves: that is not about
- * the one that was asked. */
-TEST(SaidLeaving, IsOnlyBelievedOfWhoSaysIt)
+/* A drain notice of another process at the same address, or in an answer to
+ * another request, does not concern the upstream that was called. */
+TEST(DrainNotice, OfAnotherProcessIsIgnored)
 {
 	Rig rig;
 	direct_reply reply = {};
@@ -181,60 +185,65 @@
 	pool_destroy(options.pool);
 }
 
-/* ---- rest ---- */
+/* ---- pushback ---- */
 
-const uint32_t rest_ms = 3000;
+const uint32_t pushback_ms = 3000;
 
-/* What has come meanwhile is under way, and not told yet. */
-const int64_t told_ms = 500;
+/* Requests of this first period may be on their way when the first pushback
+ * arrives, so they are not counted. */
+const int64_t learning_ms = 500;
 
-/* The reported day: engines that turned an entry away and asked it for three
- * seconds of rest got three to five more from it in that time; two may come. */
-TEST(Rest, AnUpstreamThatAsksForItIsLeftAlone)
+/* Guards against requests during pushback: engines that asked an entry for a
+ * pause of three seconds got three to five more requests from it in that time;
+ * at most two are allowed. */
+TEST(Pushback, StopsRequestsForItsPeriod)
 {
-	for (const Kind &kind : kinds) {
+	for (const RequestKind &kind : kinds) {
 		Fleet fleet;
-		pe_upstream *resting = fleet.upstreams[kind.service][0];
+		pe_upstream *pushing_back = fleet.upstreams[kind.service][0];
 		uint32_t before;
 
 		for (pe_upstream *upstream : fleet.upstreams[kind.service])
 			pe_set_work_ms(upstream, 60);
-		pe_set_rest(resting, rest_ms);
-		/* Each entry is told. */
-		fleet.ask_for(kind.target, told_ms);
-		before = pe_arrivals(resting);
+		pe_set_rest(pushing_back, pushback_ms);
+		/* Each entry receives a pushback. */
+		fleet.ask_for(kind.target, learning_ms);
+		before = pe_arrivals(pushing_back);
 		EXPECT_GT(before, 0u) << kind.target;
-		fleet.ask_for(kind.target, rest_ms - told_ms - 200);
-		EXPECT_LE(pe_arrivals(resting) - before, 2u) << kind.target;
+		fleet.ask_for(kind.target, pushback_ms - learning_ms - 200);
+		EXPECT_LE(pe_arrivals(pushing_back) - before, 2u)
+			<< kind.target;
 		EXPECT_EQ(fleet.count(200), (int)fleet.asks.size())
 			<< kind.target;
 	}
 }
 
-/* It serves again, and gets work once its rest is over. */
-TEST(Rest, IsOver)
+/* The upstream accepts requests again and gets them once its pushback is over.
+ */
+TEST(Pushback, EndsAfterItsPeriod)
 {
 	Rig rig;
 	pe_upstream *only = rig.add(PE_PLAIN, "plain");
-	gint64 told_us;
+	gint64 refused_us;
 
 	rig.settle();
 	pe_set_rest(only, 1000);
 	EXPECT_EQ(CallerRequest(rig.address, "1", "/look/x").wait().status,
 		  503u);
-	told_us = g_get_monotonic_time();
+	refused_us = g_get_monotonic_time();
 	pe_set_rest(only, 0);
 	while (CallerRequest(rig.address, "2", "/look/x").wait().status !=
 		       200 &&
-	       g_get_monotonic_time() - told_us < 5 * LP_US_PER_S)
+	       g_get_monotonic_time() - refused_us < 5 * LP_US_PER_S)
 		;
 	EXPECT_EQ(pe_arrivals(only), 2u);
-	EXPECT_GE(g_get_monotonic_time() - told_us, 900 * LP_US_PER_MS);
-	EXPECT_LE(g_get_monotonic_time() - told_us, 1500 * LP_US_PER_MS);
+	EXPECT_GE(g_get_monotonic_time() - refused_us, 900 * LP_US_PER_MS);
+	EXPECT_LE(g_get_monotonic_time() - refused_us, 1500 * LP_US_PER_MS);
 }
 
-/* All rest: refused at once, and back when the first of them is asked again. */
-TEST(Rest, WhatNobodyMayTakeIsRefusedAtOnce)
+/* All upstreams push back: requests are refused at once, with a Retry-After
+ * until the first of them may be used again. */
+TEST(Pushback, OfAllUpstreamsRefusesWithRetryAfter)
 {
 	for (const char *target : { "/order/x", "/once/x" }) {
 		Rig rig;
@@ -254,14 +263,17 @@
 		for (pe_upstream *upstream : both)
 			before += pe_arrivals(upstream);
 		for (int i = 0; i < 5; i++) {
-			CallerRequest ask(rig.address,
-					  ("r" + std::to_string(i)).c_str(),
-					  target);
-
-			EXPECT_EQ(ask.wait().status, 503u) << target;
-			EXPECT_LT(ask.took_us, 200 * LP_US_PER_MS) << target;
-			EXPECT_GT(atof(ask.retry_after.c_str()), 1.0) << target;
-			EXPECT_LE(atof(ask.retry_after.c_str()), 2.0) << target;
+			CallerRequest request(rig.address,
+					      ("r" + std::to_string(i)).c_str(),
+					      target);
+
+			EXPECT_EQ(request.wait().status, 503u) << target;
+			EXPECT_LT(request.took_us, 200 * LP_US_PER_MS)
+				<< target;
+			EXPECT_GT(atof(request.retry_after.c_str()), 1.0)
+				<< target;
+			EXPECT_LE(atof(request.retry_after.c_str()), 2.0)
+				<< target;
 		}
 		for (pe_upstream *upstream : both)
 			before -= pe_arrivals(upstream);
@@ -269,24 +281,25 @@
 	}
 }
 
-/* The longer of two counts, and its entry in the list may lapse meanwhile. */
-TEST(Rest, OutlivesTheEntryInTheList)
+/* The longer of two pushbacks holds, and it outlasts the expiry of the
+ * upstream's entry in the list. */
+TEST(Pushback, OutlastsRemovalFromTheList)
 {
 	TestClock clock;
-	pool *it = pool_create(&clock.clock, "a");
+	pool *upstreams = pool_create(&clock.clock, "a");
 	char id[] = "1", service[] = "s", address[] = "1:1", domain[] = "a";
 	pool_entry entry = { id, service, address, domain, 4, false, 7, 0 };
 
-	pool_update(it, &entry, 1);
-	pool_heard_rest(it, pool_find(it, "1"), 3 * LP_US_PER_S);
-	pool_heard_rest(it, pool_find(it, "1"), 1 * LP_US_PER_S);
-	pool_update(it, nullptr, 0);
+	pool_update(upstreams, &entry, 1);
+	pool_heard_rest(upstreams, pool_find(upstreams, "1"), 3 * LP_US_PER_S);
+	pool_heard_rest(upstreams, pool_find(upstreams, "1"), 1 * LP_US_PER_S);
+	pool_update(upstreams, nullptr, 0);
 	clock.now_us += 2 * LP_US_PER_S;
-	pool_update(it, &entry, 1);
-	EXPECT_FALSE(pool_usable(it, pool_find(it, "1")));
+	pool_update(upstreams, &entry, 1);
+	EXPECT_FALSE(pool_usable(upstreams, pool_find(upstreams, "1")));
 	clock.now_us += 1 * LP_US_PER_S;
-	EXPECT_TRUE(pool_usable(it, pool_find(it, "1")));
-	pool_destroy(it);
+	EXPECT_TRUE(pool_usable(upstreams, pool_find(upstreams, "1")));
+	pool_destroy(upstreams);
 }
 
 } // namespace
--- a/tests/planned_shutdown_test.cc
+++ b/tests/planned_shutdown_test.cc
@@ -1,6 +1,6 @@
 /*
- * linepier-platformd as a process that is told to end: callers whose balancer
- * has not read that it leaves still find it.
+ * Graceful shutdown of the process linepier-platformd: it keeps answering until
+ * its load balancer has seen that it is not ready.
  */
 #include "cwrap.h"
 
@@ -15,14 +15,14 @@
 namespace
 {
 
-/* Tests run side by side, each in a process of its own. */
+/* Tests run in parallel, each in a process of its own with its own ports. */
 constexpr int first_port = 26100;
 constexpr int ports_each = 3;
 constexpr int processes_max = 260;
 constexpr int64_t start_limit_us = 10 * LP_US_PER_S;
 
-/* One request on a connection of its own; the status, 0: no answer. */
-int ask(int port, const char *target)
+/* Sends one request on a new connection; returns the status, 0: no answer. */
+int request_status(int port, const char *target)
 {
 	GSocketAddress *address =
 		g_inet_socket_address_new_from_string("127.0.0.1", (guint)port);
@@ -47,7 +47,8 @@
 	return status;
 }
 
-/* Its key-value service is away, so it refuses every request. */
+/* An entry process. Its key-value service is unreachable, so it answers every
+ * request and probe with 503. */
 struct Entry {
 	int port = first_port + getpid() % processes_max * ports_each;
 	std::string settings;
@@ -100,34 +101,34 @@
 	}
 	int probe() const
 	{
-		return ask(port + 1, "/linepier/readiness");
+		return request_status(port + 1, "/linepier/readiness");
 	}
 	int call() const
 	{
-		return ask(port, "/");
+		return request_status(port, "/");
 	}
-	bool ended()
+	bool has_exited()
 	{
 		if (pid && waitpid(pid, nullptr, WNOHANG) == pid)
 			pid = 0;
 		return !pid;
 	}
-	bool ends_within(int64_t ms)
+	bool exits_within(int64_t ms)
 	{
 		int64_t until_us = g_get_monotonic_time() + ms * LP_US_PER_MS;
 
-		while (!ended() && g_get_monotonic_time() < until_us)
+		while (!has_exited() && g_get_monotonic_time() < until_us)
 			g_usleep(10000);
-		return ended();
+		return has_exited();
 	}
 };
 
 } // namespace
 
-/* An entry ended 2.8 s after SIGTERM when it was quiet, also if its balancer
- * had stood still since: connections were refused until the balancer's next two
- * probes. */
-TEST(PlannedEnd, AnEntryStaysUntilItsBalancerHasProbedTwice)
+/* Guards against refused connections: an idle entry terminated 2.8 s after
+ * SIGTERM although its balancer had stalled since, so that the balancer kept
+ * sending callers to it until its next two probes. */
+TEST(PlannedShutdown, WaitsForTwoProbesOfTheBalancer)
 {
 	Entry entry(8);
 
@@ -139,12 +140,13 @@
 	g_usleep(G_USEC_PER_SEC);
 	EXPECT_EQ(entry.call(), 503);
 	EXPECT_EQ(entry.probe(), 503);
-	EXPECT_TRUE(entry.ends_within(2000));
+	EXPECT_TRUE(entry.exits_within(2000));
 }
 
-/* Found by the soak: the balancer had stood still already when the entry was
- * told to end, and after 3 s without a probe it was taken to have gone. */
-TEST(PlannedEnd, ABalancerThatStoodStillBeforeIsWaitedFor)
+/* Guards against an entry that terminates too early: its balancer had stalled
+ * before SIGTERM already, and after 3 s without a probe it was considered gone.
+ */
+TEST(PlannedShutdown, WaitsForABalancerThatStalledBefore)
 {
 	Entry entry(8);
 
@@ -155,18 +157,19 @@
 	EXPECT_EQ(entry.call(), 503);
 }
 
-/* A balancer that never probes again does not hold it past its grace time. */
-TEST(PlannedEnd, AnEntryThatNobodyProbesEndsWithinItsGraceTime)
+/* A balancer that never probes again does not delay termination past the grace
+ * time. */
+TEST(PlannedShutdown, EndsWithinTheGraceTimeWithoutProbes)
 {
 	Entry entry(5);
 
 	ASSERT_EQ(entry.probe(), 503);
 	kill(entry.pid, SIGTERM);
-	EXPECT_TRUE(entry.ends_within(5000));
+	EXPECT_TRUE(entry.exits_within(5000));
 }
 
-/* Operators and service managers tell it more than once. */
-TEST(PlannedEnd, ASecondSignalChangesNothing)
+/* Operators and service managers may send the signal more than once. */
+TEST(PlannedShutdown, IgnoresFurtherSignals)
 {
 	Entry entry(8);
 
@@ -174,6 +177,6 @@
 	g_usleep(G_USEC_PER_SEC);
 	kill(entry.pid, SIGTERM);
 	kill(entry.pid, SIGINT);
-	EXPECT_FALSE(entry.ends_within(500));
+	EXPECT_FALSE(entry.exits_within(500));
 	EXPECT_EQ(entry.call(), 503);
 }
--- a/tests/prefix_cache_test.cc
+++ b/tests/prefix_cache_test.cc
@@ -1,6 +1,6 @@
 /*
- * Long shared prompts, of which another engine than the one that gets a
- * request has the start in memory: it is copied, not read again.
+ * Long prompts with a shared prefix: if another engine than the selected one
+ * has the prefix in its cache, the cache is copied instead of read again.
  */
 #include "direct_rig.h"
 #include "pool_rig.h"
@@ -13,7 +13,7 @@
 const std::vector<pool_part> prompt = { { 7, 13000 }, { 8, 1000 } };
 const std::vector<pool_part> next = { { 7, 13000 }, { 9, 1000 } };
 
-/* 160 KB a token, at 137 GB/s: 16 ms for what takes 220 to read. */
+/* 160 KB per token, at 137 GB/s: 16 ms to copy what takes 220 ms to read. */
 struct CopyingPool : Pool {
 	pool_upstream *home;
 
@@ -51,7 +51,7 @@
 	}
 };
 
-TEST(Copy, IsTakenFromTheEngineThatHasReadIt)
+TEST(PrefixCopy, ComesFromTheEngineThatCachedIt)
 {
 	CopyingPool pool;
 
@@ -60,7 +60,7 @@
 	EXPECT_EQ(pool.copy().tokens, 13000);
 }
 
-TEST(Copy, IsNotThereBeforeItHasBeenRead)
+TEST(PrefixCopy, IsUnavailableBeforeTheSourceHasReadIt)
 {
 	CopyingPool pool;
 
@@ -69,7 +69,7 @@
 	EXPECT_EQ(pool.copy().from, nullptr);
 }
 
-TEST(Copy, IsNotTakenByWhoHasItOrFromWhoFails)
+TEST(PrefixCopy, IsNotUsedIfCachedOrIfTheSourceFails)
 {
 	CopyingPool pool;
 
@@ -79,8 +79,8 @@
 	EXPECT_EQ(pool.copy().from, nullptr);
 }
 
-/* Links over which it would take longer than reading. */
-TEST(Copy, IsNotTakenWhereReadingIsFaster)
+/* Over slow links a copy would take longer than reading. */
+TEST(PrefixCopy, IsNotUsedWhereReadingIsFaster)
 {
 	CopyingPool slow(5000);
 
@@ -89,7 +89,7 @@
 	EXPECT_GT(pool_copy_us(slow.it, "s", 13000), 13000 * 16);
 }
 
-TEST(Copy, IsNotMadeWhereEnginesDoNotCopy)
+TEST(PrefixCopy, IsNotUsedWhereEnginesDoNotCopy)
 {
 	CopyingPool pool;
 
@@ -99,8 +99,8 @@
 	EXPECT_EQ(pool_copy_us(pool.it, "s", 13000), 0);
 }
 
-/* A home that is behind is left sooner, since nothing is read again. */
-TEST(Copy, LetsABusyHomeBeLeft)
+/* A busy home engine is left sooner, since nothing has to be read again. */
+TEST(PrefixCopy, AllowsLeavingABusyHomeEngine)
 {
 	CopyingPool pool;
 
@@ -111,8 +111,9 @@
 	EXPECT_EQ(pool.pick(next), pool.home);
 }
 
-/* The domain of a home is closed: whoever gets the prompt has it from there. */
-TEST(Copy, IsTakenOutOfAClosedDomain)
+/* The domain of the home engine is closed: the engine that gets the prompt
+ * copies the prefix from there. */
+TEST(PrefixCopy, ComesFromAClosedDomain)
 {
 	CopyingPool pool;
 	closures *closed = closures_create();
@@ -127,9 +128,9 @@
 	closures_destroy(closed);
 }
 
-/* ---- what engines say they have ---- */
+/* ---- cache contents reported by engines ---- */
 
-TEST(EngineMemory, TakesThePlaceOfWhatWasBelieved)
+TEST(EnginePrefixCache, ReportReplacesAssumedContents)
 {
 	CopyingPool pool;
 	const pool_part told[] = { { 9, 700 } };
@@ -140,8 +141,9 @@
 	EXPECT_EQ(pool_cold_tokens(pool.home, &told[0], 1), 0);
 }
 
-/* An answer that was on its way may not know of a prompt sent meanwhile. */
-TEST(EngineMemory, LeavesWhatIsBeingRead)
+/* A report that was on its way may lack a prompt that was sent in the meantime.
+ */
+TEST(EnginePrefixCache, ReportKeepsPromptsBeingRead)
 {
 	CopyingPool pool;
 
@@ -149,7 +151,7 @@
 	EXPECT_EQ(pool_cold_tokens(pool.home, prompt.data(), 2), 0);
 }
 
-TEST(EngineMemory, IsReadWholeOrNotAtAll)
+TEST(EnginePrefixCache, MalformedReportsAreRejected)
 {
 	const struct {
 		const char *body;
@@ -186,9 +188,9 @@
 	}
 }
 
-/* All entries lose power: who places prompts then learns from the engines what
- * they hold, and expects nothing of it to be read again. */
-TEST(EngineMemory, IsAskedByAnEntryThatStarts)
+/* After a power loss of all entries the new placer learns from the engines what
+ * they have cached, and does not count it as tokens to be read. */
+TEST(EnginePrefixCache, IsQueriedByAnEntryThatStarts)
 {
 	Rig before;
 	const Fields fields = { { "X-Token-Counts", "9400,6" },
--- a/tests/upstream_restart_test.cc
+++ b/tests/upstream_restart_test.cc
@@ -1,7 +1,7 @@
 /*
- * Upstreams that start again under their id, and another writer in the
- * key-value service, against the emulated platform: what callers are owed
- * outlives both.
+ * Upstreams that restart under their id, and foreign writers of the key-value
+ * service, against the emulated platform: the guarantees to callers hold in
+ * spite of both.
  */
 #include "direct_rig.h"
 
@@ -12,92 +12,93 @@
 
 const Fields pieces_of_each = { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } };
 
-/* All ways in which an upstream starts again. */
-const pe_restart_options ways[] = {
+/* All variants of a restart that the emulator has. */
+const pe_restart_options restart_variants[] = {
 	{ false, false, 0 }, { false, true, 0 },      { true, false, 0 },
 	{ true, true, 0 },   { false, false, 60000 },
 };
 
-struct Staged : Rig {
+struct StagedRig : Rig {
 	pe_upstream *first = add(PE_STAGE, "first");
 	pe_upstream *second = add(PE_STAGE, "second");
 	pe_upstream *engine = add(PE_ENGINE, "engine");
 
-	Staged()
+	StagedRig()
 	{
 		settle();
 	}
-	uint32_t made()
+	uint32_t completed_pieces()
 	{
 		return pe_pieces_made(platform);
 	}
 };
 
-/* ---- lives ---- */
+/* ---- incarnations ---- */
 
-/* Its results end with it, whoever knows of it and when. */
-TEST(NewLife, ResultsOfALifeThatEndedAreMadeAgain)
+/* The results of an incarnation are lost with it, whenever the restart becomes
+ * known. */
+TEST(UpstreamRestart, LostResultsAreRecomputed)
 {
-	for (const pe_restart_options &way : ways) {
-		SCOPED_TRACE(&way - ways);
-		Staged rig;
+	for (const pe_restart_options &variant : restart_variants) {
+		SCOPED_TRACE(&variant - restart_variants);
+		StagedRig rig;
 
 		pe_set_work_ms(rig.second, 300);
-		CallerRequest ask(rig.address, "a1", "/staged/x",
-				  pieces_of_each);
+		CallerRequest request(rig.address, "a1", "/staged/x",
+				      pieces_of_each);
 
 		ASSERT_TRUE(run_loop_until(
 			[&] { return pe_calls(rig.second) == 1; }));
-		pe_restart(rig.first, &way);
-		EXPECT_EQ(ask.wait().body, complete_stream);
-		EXPECT_GE(rig.made(), 3u);
+		pe_restart(rig.first, &variant);
+		EXPECT_EQ(request.wait().body, complete_stream);
+		EXPECT_GE(rig.completed_pieces(), 3u);
 		rig.settle();
 		EXPECT_GE(*lp_counter(rig.counters,
 				      "linepier_upstream_restarts_total",
 				      nullptr),
-			  way.untold ? 0 : 1);
+			  variant.untold ? 0 : 1);
 	}
 }
 
-TEST(NewLife, PiecesOutliveAnUpstreamThatStartsAgainInACall)
+TEST(UpstreamRestart, PiecesOfAnInterruptedCallAreRetried)
 {
-	for (const pe_restart_options &way : ways) {
-		SCOPED_TRACE(&way - ways);
-		Staged rig;
+	for (const pe_restart_options &variant : restart_variants) {
+		SCOPED_TRACE(&variant - restart_variants);
+		StagedRig rig;
 
 		pe_set_work_ms(rig.first, 150);
-		CallerRequest ask(rig.address, "a1", "/staged/x",
-				  pieces_of_each);
+		CallerRequest request(rig.address, "a1", "/staged/x",
+				      pieces_of_each);
 
 		ASSERT_TRUE(run_loop_until(
 			[&] { return pe_calls(rig.first) == 1; }));
-		pe_restart(rig.first, &way);
-		EXPECT_EQ(ask.wait().body, complete_stream);
+		pe_restart(rig.first, &variant);
+		EXPECT_EQ(request.wait().body, complete_stream);
 	}
 }
 
-/* Twice in a row, in the middle of the second try. */
-TEST(NewLife, PiecesOutliveTwoInARow)
+/* The upstream restarts twice, the second time during the second attempt. */
+TEST(UpstreamRestart, PiecesAreRetriedAfterTwoRestarts)
 {
-	const pe_restart_options way = { false, false, 0 };
-	Staged rig;
+	const pe_restart_options variant = { false, false, 0 };
+	StagedRig rig;
 
 	pe_set_work_ms(rig.first, 150);
-	CallerRequest ask(rig.address, "a1", "/staged/x", pieces_of_each);
+	CallerRequest request(rig.address, "a1", "/staged/x", pieces_of_each);
 
 	for (uint32_t i = 1; i <= 2; i++) {
 		ASSERT_TRUE(run_loop_until(
 			[&] { return pe_calls(rig.first) == i; }));
-		pe_restart(rig.first, &way);
+		pe_restart(rig.first, &variant);
 	}
-	EXPECT_EQ(ask.wait().body, complete_stream);
+	EXPECT_EQ(request.wait().body, complete_stream);
 }
 
-/* It may have run, and nobody says that it has not. */
-TEST(NewLife, WhatMayRunOnceIsNotSentToTheNextLife)
+/* The request may have run, and no answer says that it did not. */
+TEST(UpstreamRestart, NonIdempotentRequestsAreNotRetried)
 {
-	for (const pe_restart_options &way : ways) {
-		SCOPED_TRACE(&way - ways);
+	for (const pe_restart_options &variant : restart_variants) {
+		SCOPED_TRACE(&variant - restart_variants);
 		Rig rig;
 		pe_upstream *plain = rig.add(PE_PLAIN, "plain");
 
@@ -107,7 +108,7 @@
 
 		ASSERT_TRUE(run_loop_until(
 			[&] { return pe_runs(rig.platform, "a1") == 1; }));
-		pe_restart(plain, &way);
+		pe_restart(plain, &variant);
 		order.wait();
 		EXPECT_GE(order.status, 500u);
 		EXPECT_NE(order.status, 503u);
@@ -115,31 +116,33 @@
 	}
 }
 
-TEST(NewLife, AStreamThatMayResumeGoesOn)
+TEST(UpstreamRestart, ResumableStreamsContinue)
 {
-	for (const pe_restart_options &way : ways) {
-		SCOPED_TRACE(&way - ways);
+	for (const pe_restart_options &variant : restart_variants) {
+		SCOPED_TRACE(&variant - restart_variants);
 		Rig rig;
 		std::vector<pe_upstream *> engines;
 
 		for (int i = 0; i < 2; i++)
 			engines.push_back(rig.add(PE_ENGINE, "engine"));
 		rig.settle();
-		CallerRequest ask(rig.address, "a1", "/again/x");
+		CallerRequest request(rig.address, "a1", "/again/x");
 
-		ASSERT_TRUE(run_loop_until([&] { return !ask.body.empty(); }));
+		ASSERT_TRUE(
+			run_loop_until([&] { return !request.body.empty(); }));
 		for (pe_upstream *engine : engines)
 			if (pe_connections(engine))
-				pe_restart(engine, &way);
-		EXPECT_EQ(ask.wait().body, complete_stream);
-		EXPECT_EQ(ask.error, LP_OK);
+				pe_restart(engine, &variant);
+		EXPECT_EQ(request.wait().body, complete_stream);
+		EXPECT_EQ(request.error, LP_OK);
 	}
 }
 
-/* A new life that is ready is not leaving. */
-TEST(NewLife, OneThatWasLeavingServesAgain)
+/* A new incarnation that is ready is not draining, whatever the one before was.
+ */
+TEST(UpstreamRestart, DrainingUpstreamServesAgain)
 {
-	const pe_restart_options way = { false, false, 0 };
+	const pe_restart_options variant = { false, false, 0 };
 	Rig rig;
 	pe_upstream *plain = rig.add(PE_PLAIN, "plain");
 
@@ -148,21 +151,22 @@
 	rig.settle();
 	EXPECT_EQ(CallerRequest(rig.address, "a1", "/look/x").wait().status,
 		  503u);
-	pe_restart(plain, &way);
+	pe_restart(plain, &variant);
 	rig.settle();
 	EXPECT_EQ(CallerRequest(rig.address, "a2", "/look/x").wait().status,
 		  200u);
 }
 
-/* Its clock is wrong, and so it stays the older one for a while. */
-TEST(NewLife, OneWhoseClockWasSetBackServesAgain)
+/* The clock of the upstream was set back, so its new incarnation looks older
+ * than the one before for a while. */
+TEST(UpstreamRestart, UpstreamWithItsClockSetBackServesAgain)
 {
-	const pe_restart_options way = { false, false, 60000 };
+	const pe_restart_options variant = { false, false, 60000 };
 	Rig rig;
 	pe_upstream *plain = rig.add(PE_PLAIN, "plain");
 
 	rig.settle();
-	pe_restart(plain, &way);
+	pe_restart(plain, &variant);
 	rig.settle();
 	EXPECT_EQ(CallerRequest(rig.address, "a1", "/look/x").wait().status,
 		  200u);
@@ -176,10 +180,10 @@
 		  503u);
 }
 
-/* As before starts were said: no life is told from another. */
-TEST(NewLife, UpstreamsThatSayNoStartAreServedAsBefore)
+/* Upstreams that report no start time: incarnations are not distinguished. */
+TEST(UpstreamRestart, UpstreamsWithoutStartTimeAreServed)
 {
-	const pe_restart_options way = { false, false, 0 };
+	const pe_restart_options variant = { false, false, 0 };
 	Rig rig;
 
 	pe_say_no_start(rig.platform);
@@ -189,21 +193,21 @@
 	rig.add(PE_ENGINE, "engine");
 	rig.settle();
 	pe_set_work_ms(second, 300);
-	CallerRequest ask(rig.address, "a1", "/staged/x", pieces_of_each);
+	CallerRequest request(rig.address, "a1", "/staged/x", pieces_of_each);
 
 	ASSERT_TRUE(run_loop_until([&] { return pe_calls(second) == 1; }));
-	pe_restart(first, &way);
-	EXPECT_EQ(ask.wait().body, complete_stream);
+	pe_restart(first, &variant);
+	EXPECT_EQ(request.wait().body, complete_stream);
 }
 
-/* ---- another writer ---- */
+/* ---- foreign writers ---- */
 
-void write(Rig &rig, const char *id, const std::string &value)
+void write_entry(Rig &rig, const char *id, const std::string &value)
 {
 	pe_write(rig.platform, id, value.data(), value.size());
 }
 
-std::string entry_of(pe_upstream *upstream)
+std::string entry_text(pe_upstream *upstream)
 {
 	char *text = pe_entry(upstream);
 	std::string copy = text;
@@ -218,8 +222,9 @@
 	return text.replace(text.find(part), part.size(), other);
 }
 
-/* One that was good names nobody while it cannot be read; the others hold. */
-TEST(OtherWriter, WhatItOverwritesIsNotUsedAndTheOthersAre)
+/* An entry that becomes unreadable names no upstream; the other entries stay
+ * valid. */
+TEST(ForeignStoreWriter, OverwrittenUpstreamsAreNotUsed)
 {
 	Rig rig;
 	pe_upstream *overwritten = rig.add(PE_PLAIN, "plain");
@@ -229,11 +234,11 @@
 	rig.settle();
 	for (const std::string &value :
 	     { std::string("rubbish"), std::string("\xff\0\x01", 3),
-	       replace(entry_of(overwritten), "4", "-4"),
-	       replace(entry_of(overwritten), "ready", "resting"),
+	       replace(entry_text(overwritten), "4", "-4"),
+	       replace(entry_text(overwritten), "ready", "resting"),
 	       std::string("{\"a\":") + std::string(200000, '['),
 	       std::string(300000, ' ') }) {
-		write(rig, pe_name(overwritten), value);
+		write_entry(rig, pe_name(overwritten), value);
 		rig.settle();
 		before = pe_arrivals(overwritten);
 		for (int i = 0; i < 4; i++)
@@ -251,7 +256,7 @@
 		  0);
 }
 
-TEST(OtherWriter, WhatItErasesComesBackWithItsOwner)
+TEST(ForeignStoreWriter, ErasedUpstreamsReturnWithTheirNextReport)
 {
 	Rig rig;
 	pe_upstream *plain = rig.add(PE_PLAIN, "plain");
@@ -267,23 +272,23 @@
 		  200u);
 }
 
-/* Two entries share their reads; entries with any bytes in them do not end
- * that. */
-TEST(OtherWriter, ItsEntriesCostNoCalls)
+/* Two entries share their reads of the list; list entries with arbitrary bytes
+ * must not end that. */
+TEST(ForeignStoreWriter, MalformedEntriesCauseNoExtraCalls)
 {
 	Rig first;
 	std::unique_ptr<Rig> second = std::make_unique<Rig>(&first);
 	pe_upstream *plain = first.add(PE_PLAIN, "plain");
-	const std::string entry = entry_of(plain);
+	const std::string entry = entry_text(plain);
 	int64_t before;
 
 	first.join("127.0.0.1", 4000, { "127.0.0.2" });
 	second->join("127.0.0.2", 100, { "127.0.0.1" });
-	write(first, "x-1", replace(entry, "plain", "pl ain 1"));
-	write(first, "x-2", replace(entry, "plain", "p\\nl"));
-	write(first, "x-3", replace(entry, "\"a\"", "\" a \\r\\n\""));
-	write(first, "x-4", replace(entry, "ready", "odd"));
-	write(first, "x-5", "\x80");
+	write_entry(first, "x-1", replace(entry, "plain", "pl ain 1"));
+	write_entry(first, "x-2", replace(entry, "plain", "p\\nl"));
+	write_entry(first, "x-3", replace(entry, "\"a\"", "\" a \\r\\n\""));
+	write_entry(first, "x-4", replace(entry, "ready", "odd"));
+	write_entry(first, "x-5", "\x80");
 	first.settle();
 	second->settle();
 	EXPECT_TRUE(run_loop_until([&] {
@@ -292,8 +297,8 @@
 	}));
 	run_loop_until([] { return false; }, 700);
 	before = *first.range_calls() + *second->range_calls();
-	/* As Relay.OneEntryReadsAListThatDoesNotChangeForAll, also while the
-	 * list changes: one reads it, the other has it from there. */
+	/* Also while the list changes, one entry reads it and the other
+	 * one fetches it from there. */
 	for (int change = 0; change < 6; change++) {
 		first.add(PE_PLAIN, "plain");
 		run_loop_until([] { return false; }, 600);
