--- a/direct/direct_config.c
+++ b/direct/direct_config.c
@@ -62,10 +62,10 @@
 
 /* Key of routes_by_prefix: host and path prefix. Neither contains a line feed,
  * so keys are unique. */
-static char *prefix_key(const char *host, const char *path, size_t size)
+static char *prefix_key(const char *host, const char *path, size_t prefix_size)
 {
 	g_autofree char *lower = g_ascii_strdown(host, -1);
-	g_autofree char *prefix = g_strndup(path, size);
+	g_autofree char *prefix = g_strndup(path, prefix_size);
 
 	return g_strconcat(lower, "\n", prefix, NULL);
 }
@@ -74,10 +74,10 @@
 static void index_route(struct direct_config *config,
 			struct direct_route *route)
 {
-	size_t size = strlen(route->prefix);
-	char *name = prefix_key(route->host, route->prefix, size);
+	size_t prefix_size = strlen(route->prefix);
+	char *name = prefix_key(route->host, route->prefix, prefix_size);
 
-	config->prefix_max = MAX(config->prefix_max, size);
+	config->prefix_max = MAX(config->prefix_max, prefix_size);
 	if (g_hash_table_contains(config->routes_by_prefix, name))
 		g_free(name);
 	else
@@ -98,12 +98,13 @@
 
 static int compare_ranks(gconstpointer left, gconstpointer right)
 {
-	const struct rank *one = left;
-	const struct rank *two = right;
+	const struct rank *left_rank = left;
+	const struct rank *right_rank = right;
 
-	if (one->first != two->first)
-		return one->first < two->first ? -1 : 1;
-	return (one->second > two->second) - (one->second < two->second);
+	if (left_rank->first != right_rank->first)
+		return left_rank->first < right_rank->first ? -1 : 1;
+	return (left_rank->second > right_rank->second) -
+	       (left_rank->second < right_rank->second);
 }
 
 static void add_rank(GArray *ranks, struct rank rank)
@@ -229,11 +230,11 @@
 		    const char *path)
 {
 	/* Prefixes end with a slash; the longest one is tried first. */
-	size_t size = MIN(strlen(path), config->prefix_max);
-	g_autofree char *name = prefix_key(host, path, size);
+	size_t prefix_size = MIN(strlen(path), config->prefix_max);
+	g_autofree char *name = prefix_key(host, path, prefix_size);
 	char *begin = name + strlen(host) + 1;
 
-	for (char *end = begin + size; end > begin; end--) {
+	for (char *end = begin + prefix_size; end > begin; end--) {
 		const struct direct_route *route;
 
 		if (end[-1] != '/')
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -66,10 +66,10 @@
 	return upstream ? upstream->entry.domain : NULL;
 }
 
-static void fill_pool_ask(const struct direct_request *request,
-			  struct pool_ask *ask)
+static void fill_pick_args(const struct direct_request *request,
+			   struct pool_ask *pick_args)
 {
-	*ask = (struct pool_ask){
+	*pick_args = (struct pool_ask){
 		.service = request->service,
 		.homes = request->allowed_regions,
 		.parts = (struct pool_part *)request->info.prefix_blocks->data,
@@ -79,14 +79,14 @@
 		.target_us = request->arrived_us + request->route->target_us -
 			     direct_request_now_us(request),
 	};
-	direct_stages_share(request->direct->stages, ask);
+	direct_stages_share(request->direct->stages, pick_args);
 	if (request->graph)
-		ask->domain = graph_main_domain(request->graph, producer_domain,
-						request->direct->pool,
-						&ask->fetch_bytes);
+		pick_args->domain = graph_main_domain(
+			request->graph, producer_domain, request->direct->pool,
+			&pick_args->fetch_bytes);
 	/* The target time has passed already. */
-	if (ask->target_us < 0)
-		ask->target_us = 0;
+	if (pick_args->target_us < 0)
+		pick_args->target_us = 0;
 }
 
 /* ---- after a sending ---- */
@@ -167,17 +167,17 @@
  * upstream can take it. */
 static void refuse_not_run(struct direct_request *request, const char *why)
 {
-	struct pool_ask ask;
+	struct pool_ask pick_args;
 	int64_t wait_us;
 
-	fill_pool_ask(request, &ask);
-	wait_us = pool_turn_us(request->direct->pool, &ask);
+	fill_pick_args(request, &pick_args);
+	wait_us = pool_turn_us(request->direct->pool, &pick_args);
 	direct_request_refuse(
 		request, wait_us ? wait_us : DIRECT_RETRY_AFTER_FULL_US, why);
 }
 
-/* Decides what follows a sending, and does it. To be called after
- * direct_sending_end(). May free the request. */
+/* Decides and performs the step that follows a sending (policy/verdict.h). To
+ * be called after direct_sending_end(). May free the request. */
 static void handle_sending_end(struct direct_request *request,
 			       enum verdict_event event, const char *why)
 {
@@ -460,7 +460,7 @@
 				 struct http_fields *fields)
 {
 	GPtrArray *inputs = NULL;
-	struct direct_upstream_request offer = {
+	struct direct_upstream_request upstream_request = {
 		.caller_fields = http_call_fields(request->call),
 		.upstream = request->upstream->entry.id,
 		.organisation = request->organisation
@@ -481,9 +481,10 @@
 		inputs = g_ptr_array_new();
 		graph_inputs(request->graph, request->route->stages_count,
 			     inputs);
-		offer.inputs = inputs;
+		upstream_request.inputs = inputs;
 	}
-	request->direct->options.codec->write_request(&offer, fields);
+	request->direct->options.codec->write_request(&upstream_request,
+						      fields);
 	if (inputs)
 		g_ptr_array_unref(inputs);
 }
@@ -494,11 +495,11 @@
 {
 	const struct pool *pool = request->direct->pool;
 	const struct direct_place *placement = &request->placement;
-	struct pool_ask ask;
+	struct pool_ask pick_args;
 
 	if (!placement->peer) {
-		fill_pool_ask(request, &ask);
-		return pool_find_copy(pool, request->upstream, &ask);
+		fill_pick_args(request, &pick_args);
+		return pool_find_copy(pool, request->upstream, &pick_args);
 	}
 	return (struct pool_copy){
 		.from = placement->source
@@ -642,21 +643,22 @@
 
 /* Selects an upstream without a placer. `wait_us`: time after which the placer
  * expects an upstream to be available; 0: no such answer. */
-static void place_locally(struct direct_request *request, struct pool_ask *ask,
-			  int64_t wait_us)
+static void place_locally(struct direct_request *request,
+			  struct pool_ask *pick_args, int64_t wait_us)
 {
 	struct pool *pool = request->direct->pool;
 	struct pool_upstream *upstream;
 
 	request->placement = (struct direct_place){ 0 };
-	upstream = pool_pick(pool, ask);
+	upstream = pool_pick(pool, pick_args);
 	if (!upstream) { /* no usable upstream in the shard */
-		ask->share_count = 0;
-		upstream = pool_pick(pool, ask);
+		pick_args->share_count = 0;
+		upstream = pool_pick(pool, pick_args);
 	}
 	if (!upstream) {
 		refuse_unplaced(request,
-				wait_us ? wait_us : pool_turn_us(pool, ask));
+				wait_us ? wait_us
+					: pool_turn_us(pool, pick_args));
 		return;
 	}
 	pool_sent(pool, upstream);
@@ -667,12 +669,12 @@
 		      const struct direct_place *placement)
 {
 	struct direct_request *request = userdata;
-	struct pool_ask ask;
+	struct pool_ask pick_args;
 
 	request->placement_query = 0;
 	if (!upstream) {
-		fill_pool_ask(request, &ask);
-		place_locally(request, &ask, placement->wait_us);
+		fill_pick_args(request, &pick_args);
+		place_locally(request, &pick_args, placement->wait_us);
 		return;
 	}
 	request->placement = *placement;
@@ -681,18 +683,18 @@
 
 /* Returns whether a peer was asked to place the prompt. */
 static bool query_placer(struct direct_request *request,
-			 const struct pool_ask *ask)
+			 const struct pool_ask *pick_args)
 {
 	struct direct *direct = request->direct;
 	uint64_t placer;
 
 	if (!direct->placement || !request->info.prefix_blocks->len)
 		return false;
-	placer = direct_stages_placer(direct->stages, ask);
+	placer = direct_stages_placer(direct->stages, pick_args);
 	if (!placer)
 		return false;
-	request->placement_query = direct_places_ask(direct->placement, placer,
-						     ask, on_placed, request);
+	request->placement_query = direct_places_ask(
+		direct->placement, placer, pick_args, on_placed, request);
 	if (!request->placement_query)
 		return false;
 	request->state = DIRECT_STATE_PLACING;
@@ -701,7 +703,7 @@
 
 void direct_sending_start(struct direct_request *request)
 {
-	struct pool_ask ask;
+	struct pool_ask pick_args;
 
 	if (!direct_request_check_quarantine(request))
 		return;
@@ -710,7 +712,7 @@
 		recompute_inputs(request);
 		return;
 	}
-	fill_pool_ask(request, &ask);
-	if (!query_placer(request, &ask))
-		place_locally(request, &ask, 0);
+	fill_pick_args(request, &pick_args);
+	if (!query_placer(request, &pick_args))
+		place_locally(request, &pick_args, 0);
 }
--- a/direct/direct_stage_plan.c
+++ b/direct/direct_stage_plan.c
@@ -4,8 +4,8 @@
 /* On average an engine has to read one part in this many of a prompt; the rest
  * is in its prefix cache. */
 #define COLD_PROMPT_DIVISOR 4
-/* Repeated requests for pieces of a stage, over all stages of one request,
- * beyond which the request is refused. */
+/* A request is refused if pieces of its stages have been requested again more
+ * often than this, over all stages. */
 #define RECOMPUTATIONS_MAX 24
 /* Results of a request that fill at least this part (1/50) of an upstream's
  * result memory are not left waiting there. */
@@ -38,13 +38,13 @@
 
 	for (uint32_t i = stage + 1; i < route->stages_count; i++) {
 		for (uint32_t j = 0; j < route->stages[i].after_count; j++) {
-			int64_t us;
+			int64_t estimate_us;
 
 			if (route->stages[i].after[j] != stage)
 				continue;
-			us = stage_time_us(request, i) +
-			     time_after_stage_us(request, i);
-			longest_us = MAX(longest_us, us);
+			estimate_us = stage_time_us(request, i) +
+				      time_after_stage_us(request, i);
+			longest_us = MAX(longest_us, estimate_us);
 		}
 	}
 	return longest_us;
@@ -65,17 +65,18 @@
 	       direct_stage_plan_engine_us(request);
 }
 
-/* The same, corrected by what was learnt of the route. */
+/* The time to allow from the completion of a stage to the first event: the
+ * expected time, corrected by the observations of the route. */
 static int64_t budgeted_remaining_us(struct direct_request *request,
 				     uint32_t stage)
 {
 	const struct direct_route_estimates *estimates =
 		direct_request_estimates(request);
-	int64_t us = expected_remaining_us(request, stage);
+	int64_t estimate_us = expected_remaining_us(request, stage);
 
 	return stage < DIRECT_ESTIMATED_STAGES_MAX
-		       ? remaining_us(&estimates->remaining[stage], us)
-		       : us;
+		       ? remaining_us(&estimates->remaining[stage], estimate_us)
+		       : estimate_us;
 }
 
 static bool completed_last(const struct direct_request *request, uint32_t stage)
@@ -136,15 +137,15 @@
 	return false;
 }
 
-/* Prefers the domain of the piece's inputs, if it has any; else the domain of
- * the engine that will receive its result. */
+/* Prefers the domain of the piece's inputs, if it has any; else, if no stage
+ * follows, the domain of the engine that will receive its result. */
 static void set_preferred_domain(struct direct_request *request, uint32_t stage,
 				 struct piece *piece)
 {
 	const struct direct_stage *stages = request->route->stages;
 	const struct pool *pool = request->direct->pool;
 	const struct pool_upstream *preferred = NULL;
-	struct pool_ask ask = {
+	struct pool_ask pick_args = {
 		.service = request->service,
 		.homes = request->allowed_regions,
 		.parts = (struct pool_part *)request->info.prefix_blocks->data,
@@ -164,8 +165,8 @@
 	}
 	if (!stages[stage].after_count &&
 	    !time_after_stage_us(request, stage)) {
-		direct_stages_share(request->direct->stages, &ask);
-		preferred = pool_home(pool, &ask);
+		direct_stages_share(request->direct->stages, &pick_args);
+		preferred = pool_home(pool, &pick_args);
 		piece->preferred_bytes = stages[stage].bytes;
 	}
 	/* Interned, since the upstream may be freed before the piece. Domains
@@ -233,13 +234,14 @@
 
 static void request_pieces(struct direct_request *request, uint32_t stage)
 {
-	const struct direct_stage *config = &request->route->stages[stage];
+	const struct direct_stage *stage_config =
+		&request->route->stages[stage];
 	const struct direct_service *service =
-		direct_config_service(request->config, config->service);
+		direct_config_service(request->config, stage_config->service);
 	int64_t call_us = service ? service->call_us + service->piece_us : 0;
 	struct direct_work work = {
 		.id = g_strdup(request->id),
-		.service = g_strdup(config->service),
+		.service = g_strdup(stage_config->service),
 		.key = g_strdup(request->info.piece_key),
 		.inputs = copy_inputs(request->graph, stage),
 		.piece = {
@@ -249,9 +251,9 @@
 				  budgeted_remaining_us(request, stage) - call_us,
 			.until_us = request->deadline_us,
 			.priority = request->priority,
-			.bytes = config->bytes,
+			.bytes = stage_config->bytes,
 			.homes = request->allowed_regions,
-			.has_inputs = config->after_count > 0,
+			.has_inputs = stage_config->after_count > 0,
 			.holds_room = occupies_result_memory(request, stage),
 			.alone = request->is_trial,
 			.split = has_started_piece(request->graph, stage),
@@ -267,9 +269,10 @@
 	direct_stages_ask(request->direct->stages, request, &work);
 }
 
-/* Results occupy result memory until the request is sent. A stage that is not
- * on the longest path therefore waits until it runs together with the last
- * stages of that path. */
+/* Results occupy result memory until the request is sent. A stage therefore
+ * waits as long as the remaining path from another stage is longer than its own
+ * by more than its own time, so that it runs together with the last stages of
+ * the longest path. */
 static bool should_wait(struct direct_request *request, uint32_t stage)
 {
 	int64_t own_us = stage_time_us(request, stage) +
