--- a/direct/direct.h
+++ b/direct/direct.h
@@ -1,10 +1,23 @@
 /**
- * An entry that calls upstreams directly: no agents stand beside them.
+ * An entry that calls upstreams directly, without agents next to them.
  *
  * A caller's request arrives over HTTP, is matched to a route, waits for the
  * pieces of the route's stages, is sent to one upstream of the route's service
  * and is answered with the answer of that upstream. All state is kept in the
- * memory of one process: nothing is persisted, and entries share no memory.
+ * memory of one process: nothing is persisted, and entries share no storage.
+ *
+ * Terms:
+ * - entry: a process that admits callers' requests; peer: another entry
+ * - service: a set of interchangeable upstreams
+ * - route: a host and path prefix, with its kind, times, services and stages
+ * - stage: preliminary work for a request, done at a service of its own; piece:
+ *   one unit of it, batched with others in a call
+ * - engine: an upstream that runs a model and caches prefixes of prompts
+ * - dispatcher: the entry that sends an upstream's calls for pieces, for all
+ *   entries
+ * - placer: the entry that selects engines for the prompts of a service, for
+ * all entries
+ * - sending: one attempt to have a request run by an upstream
  *
  * An adapter supplies the configuration and the list of upstreams, and
  * translates the wire format (direct_codec.h). All functions run on the thread
@@ -51,6 +64,7 @@
 bool direct_set_config(struct direct *direct, struct direct_config *config);
 /** Version of the current configuration; negative: none yet. */
 int64_t direct_config_version(const struct direct *direct);
+/** Replace the list of upstreams. */
 void direct_set_upstreams(struct direct *direct,
 			  const struct pool_entry *entries, uint32_t count);
 /** Set the region of a failure domain. To be called before the first list of
@@ -68,6 +82,7 @@
  * when an upstream's clock was set back: the adapter then has to pass the same
  * list again once it has confirmed that the list is unchanged. */
 bool direct_needs_upstream_list(const struct direct *direct);
+/** Change the retry budget, as in struct direct_options. */
 void direct_set_retry_budget(struct direct *direct, double ratio, double slack);
 /** Share the dispatching of stages with these peers; NULL: no peers. To be
  * called once, before any request. `peers` is borrowed and must outlive the
--- a/tests/prefix_cache_test.cc
+++ b/tests/prefix_cache_test.cc
@@ -11,7 +11,7 @@
 {
 
 const std::vector<pool_part> prompt = { { 7, 13000 }, { 8, 1000 } };
-const std::vector<pool_part> next = { { 7, 13000 }, { 9, 1000 } };
+const std::vector<pool_part> next_prompt = { { 7, 13000 }, { 9, 1000 } };
 
 /* 160 KB per token, at 137 GB/s: 16 ms to copy what takes 220 ms to read. */
 struct CopyingPool : Pool {
@@ -34,18 +34,18 @@
 	}
 	pool_copy copy_to(const pool_upstream *engine)
 	{
-		pool_ask ask = {};
+		pool_ask pick_args = {};
 
-		ask.service = "s";
-		ask.parts = next.data();
-		ask.parts_count = next.size();
-		return pool_find_copy(it, engine, &ask);
+		pick_args.service = "s";
+		pick_args.parts = next_prompt.data();
+		pick_args.parts_count = next_prompt.size();
+		return pool_find_copy(it, engine, &pick_args);
 	}
 	pool_copy copy()
 	{
 		return copy_to(other());
 	}
-	void pass_ms(int64_t ms)
+	void advance_ms(int64_t ms)
 	{
 		clock.now_us += ms * LP_US_PER_MS;
 	}
@@ -55,7 +55,7 @@
 {
 	CopyingPool pool;
 
-	pool.pass_ms(1000);
+	pool.advance_ms(1000);
 	EXPECT_EQ(pool.copy().from, pool.home);
 	EXPECT_EQ(pool.copy().tokens, 13000);
 }
@@ -65,7 +65,7 @@
 	CopyingPool pool;
 
 	EXPECT_EQ(pool.copy().from, nullptr);
-	pool.pass_ms(200);
+	pool.advance_ms(200);
 	EXPECT_EQ(pool.copy().from, nullptr);
 }
 
@@ -73,7 +73,7 @@
 {
 	CopyingPool pool;
 
-	pool.pass_ms(1000);
+	pool.advance_ms(1000);
 	EXPECT_EQ(pool.copy_to(pool.home).from, nullptr);
 	pool_learn(pool.it, pool.home, POOL_UNREACHABLE, 0, 0);
 	EXPECT_EQ(pool.copy().from, nullptr);
@@ -84,7 +84,7 @@
 {
 	CopyingPool slow(5000);
 
-	slow.pass_ms(1000);
+	slow.advance_ms(1000);
 	EXPECT_EQ(slow.copy().from, nullptr);
 	EXPECT_GT(pool_copy_us(slow.it, "s", 13000), 13000 * 16);
 }
@@ -94,7 +94,7 @@
 	CopyingPool pool;
 
 	pool_set_copying(pool.it, "s", 163840, 0);
-	pool.pass_ms(1000);
+	pool.advance_ms(1000);
 	EXPECT_EQ(pool.copy().from, nullptr);
 	EXPECT_EQ(pool_copy_us(pool.it, "s", 13000), 0);
 }
@@ -104,11 +104,11 @@
 {
 	CopyingPool pool;
 
-	pool.pass_ms(1000);
+	pool.advance_ms(1000);
 	pool.home->tokens_ahead = 30000; /* 500 ms */
-	EXPECT_NE(pool.pick(next), pool.home);
+	EXPECT_NE(pool.pick(next_prompt), pool.home);
 	pool_set_copying(pool.it, "s", 163840, 0);
-	EXPECT_EQ(pool.pick(next), pool.home);
+	EXPECT_EQ(pool.pick(next_prompt), pool.home);
 }
 
 /* The domain of the home engine is closed: the engine that gets the prompt
@@ -119,10 +119,10 @@
 	closures *closed = closures_create();
 
 	pool.add("there", "b");
-	pool.pass_ms(1000);
+	pool.advance_ms(1000);
 	closures_set(closed, 1, "a", true);
 	pool_close(pool.it, closed);
-	EXPECT_STREQ(pool.pick(next)->entry.id, "there");
+	EXPECT_STREQ(pool.pick(next_prompt)->entry.id, "there");
 	EXPECT_EQ(pool.copy_to(pool_find(pool.it, "there")).from, pool.home);
 	pool_close(pool.it, nullptr);
 	closures_destroy(closed);
@@ -133,12 +133,12 @@
 TEST(EnginePrefixCache, ReportReplacesAssumedContents)
 {
 	CopyingPool pool;
-	const pool_part told[] = { { 9, 700 } };
+	const pool_part reported[] = { { 9, 700 } };
 
-	pool.pass_ms(1000);
-	pool_set_memory(pool.it, pool.home, told, 1);
+	pool.advance_ms(1000);
+	pool_set_memory(pool.it, pool.home, reported, 1);
 	EXPECT_EQ(pool_cold_tokens(pool.home, prompt.data(), 2), 14000);
-	EXPECT_EQ(pool_cold_tokens(pool.home, &told[0], 1), 0);
+	EXPECT_EQ(pool_cold_tokens(pool.home, &reported[0], 1), 0);
 }
 
 /* A report that was on its way may lack a prompt that was sent in the meantime.
@@ -155,9 +155,9 @@
 {
 	const struct {
 		const char *body;
-		bool whole;
+		bool valid;
 		guint parts;
-	} rows[] = {
+	} cases[] = {
 		{ "{\"held\":[[\"\",\"5c1e\",800,\"m\"],"
 		  "[\"\",\"91bd\",410,\"m\"]]}",
 		  true, 2 },
@@ -175,16 +175,18 @@
 		{ "{\"held\":[[\"\",\"5c1e\",800,\"m\"]]", false, 0 },
 	};
 
-	for (const auto &row : rows) {
-		GArray *parts =
+	for (const auto &test_case : cases) {
+		GArray *blocks =
 			g_array_new(FALSE, FALSE, sizeof(struct pool_part));
 
-		EXPECT_EQ(plf_codec()->read_prefix_cache(
-				  row.body, strlen(row.body), parts),
-			  row.whole)
-			<< row.body;
-		EXPECT_TRUE(!row.whole || parts->len == row.parts) << row.body;
-		g_array_unref(parts);
+		EXPECT_EQ(plf_codec()->read_prefix_cache(test_case.body,
+							 strlen(test_case.body),
+							 blocks),
+			  test_case.valid)
+			<< test_case.body;
+		EXPECT_TRUE(!test_case.valid || blocks->len == test_case.parts)
+			<< test_case.body;
+		g_array_unref(blocks);
 	}
 }
 
@@ -192,31 +194,31 @@
  * they have cached, and does not count it as tokens to be read. */
 TEST(EnginePrefixCache, IsQueriedByAnEntryThatStarts)
 {
-	Rig before;
+	Rig old_entry;
 	const Fields fields = { { "X-Token-Counts", "9400,6" },
 				{ "X-Prompt-Prefix", "aa:9000,b1:400" } };
 
 	for (int i = 0; i < 4; i++)
-		before.add(PE_ENGINE, "engine");
-	before.settle();
-	EXPECT_EQ(CallerRequest(before.address, "m1", "/once/x", fields)
+		old_entry.add(PE_ENGINE, "engine");
+	old_entry.settle();
+	EXPECT_EQ(CallerRequest(old_entry.address, "m1", "/once/x", fields)
 			  .wait()
 			  .status,
 		  200u);
-	Rig after(&before);
+	Rig new_entry(&old_entry);
 
-	before.end();
-	after.settle();
+	old_entry.end();
+	new_entry.settle();
 	run_loop_until([] { return false; }, 500);
 	EXPECT_EQ(
-		CallerRequest(after.address, "m2", "/once/x",
+		CallerRequest(new_entry.address, "m2", "/once/x",
 			      Fields{ { "X-Token-Counts", "9400,6" },
 				      { "X-Prompt-Prefix", "aa:9000,b2:400" } })
 			.wait()
 			.status,
 		200u);
-	EXPECT_EQ(*lp_counter(after.counters, "linepier_prompt_tokens_total",
-			      "cached=\"no\""),
+	EXPECT_EQ(*lp_counter(new_entry.counters,
+			      "linepier_prompt_tokens_total", "cached=\"no\""),
 		  400);
 }
 
