--- a/direct/direct.h
+++ b/direct/direct.h
@@ -15,8 +15,8 @@
  * - engine: an upstream that runs a model and caches prefixes of prompts
  * - dispatcher: the entry that sends an upstream's calls for pieces, for all
  *   entries
- * - placer: the entry that selects engines for the prompts of a service, for
- * all entries
+ * - placer: the entry that selects engines for a service's prompts, for all
+ *   entries
  * - sending: one attempt to have a request run by an upstream
  *
  * An adapter supplies the configuration and the list of upstreams, and
