--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -414,7 +414,7 @@
 	item->id = work->id;
 	item->stage = piece->stage;
 	item->piece = piece->index;
-	item->left_us =
+	item->time_left_us =
 		piece->until_us - lp_now_us(calls->direct->options.clock);
 	item->inputs = work->inputs;
 	if (!work->inputs->len)
--- a/direct/direct_codec.h
+++ b/direct/direct_codec.h
@@ -35,7 +35,7 @@
 	const struct http_fields *caller_fields; /**< the caller's fields */
 	const char *upstream; /**< id of the only upstream that may run it */
 	const char *organisation;  /**< or NULL */
-	int64_t left_us;	   /**< until its deadline */
+	int64_t time_left_us;	   /**< until its deadline */
 	int32_t priority;	   /**< 0 is the most urgent */
 	const GPtrArray *inputs;   /**< handles of stage results, or NULL */
 	const char *last_event_id; /**< resume after this event, or NULL */
@@ -61,7 +61,7 @@
 		       */
 	bool other_process; /**< a different process uses the address now */
 	bool input_gone; /**< stage results that it needs are no longer held */
-	bool is_events;	 /**< the body is a stream of events */
+	bool is_event_stream; /**< the body is a stream of events */
 	int32_t running; /**< requests or calls running there; negative: unknown
 			  */
 	int32_t waiting; /**< requests or calls queued there; negative: unknown
@@ -80,7 +80,7 @@
 	const char *id; /**< id of its request */
 	uint32_t stage;
 	uint32_t piece;
-	int64_t left_us; /**< until the result is of no use */
+	int64_t time_left_us; /**< until the result is of no use */
 	const char *key; /**< input of a stage without inputs from other stages,
 			    else NULL */
 	const GPtrArray *inputs; /**< handles of stage results */
--- a/direct/direct_config.c
+++ b/direct/direct_config.c
@@ -20,7 +20,7 @@
 	g_free(route->weighted_services);
 	for (uint32_t i = 0; i < route->stages_count; i++) {
 		g_free(route->stages[i].service);
-		g_free(route->stages[i].after);
+		g_free(route->stages[i].input_stages);
 	}
 	g_free(route->stages);
 	g_free(route);
--- a/direct/direct_config.h
+++ b/direct/direct_config.h
@@ -32,8 +32,9 @@
  * request itself can run. */
 struct direct_stage {
 	char *service;
-	uint32_t *after; /**< indices of the stages whose results it needs */
-	uint32_t after_count;
+	uint32_t *input_stages; /**< indices of the stages whose results it
+				   needs */
+	uint32_t input_stages_count;
 	int64_t bytes; /**< approximate size of one result */
 };
 
@@ -55,7 +56,8 @@
 	const char *allowed_regions; /**< regions allowed to serve its requests:
 					policy/homes.h */
 	bool is_public;		     /**< requests need no key */
-	bool resumes; /**< a broken stream may be resumed at another upstream */
+	bool is_resumable; /**< a broken stream may be resumed at another
+			      upstream */
 };
 
 struct direct_service {
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -235,9 +235,11 @@
 	int64_t longest_us = 0;
 
 	for (uint32_t i = 0; i < route->stages_count; i++) {
-		for (uint32_t j = 0; j < route->stages[i].after_count; j++)
-			done_us[i] = MAX(done_us[i],
-					 done_us[route->stages[i].after[j]]);
+		for (uint32_t j = 0; j < route->stages[i].input_stages_count;
+		     j++)
+			done_us[i] =
+				MAX(done_us[i],
+				    done_us[route->stages[i].input_stages[j]]);
 		if (graph_pieces(request->graph, i))
 			done_us[i] += direct_stages_estimate_us(
 				request->direct->stages,
--- a/direct/direct_request.h
+++ b/direct/direct_request.h
@@ -75,11 +75,11 @@
 	uint32_t status;
 	struct http_fields fields;
 	struct direct_reply reply;
-	bool unframed;
+	bool ends_with_connection;
 	GString *body; /* of an answer; of a stream: an incomplete event */
 	/* totals of all sendings */
 	GPtrArray *tried_upstreams; /* ids of upstreams, owned */
-	uint32_t runs;		    /* sendings that may have run */
+	uint32_t possible_runs;	    /* sendings that may have run */
 	uint32_t sendings;
 	uint32_t lost_sendings; /* sendings lost with their upstream or
 				   connection */
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -182,14 +182,14 @@
 			       enum verdict_event event, const char *why)
 {
 	bool repeatable = (request->route->kind == DIRECT_IDEMPOTENT ||
-			   request->route->resumes) &&
+			   request->route->is_resumable) &&
 			  !is_suspect(request);
 	struct verdict_state state = {
 		.repeatable = repeatable,
-		.resumes = request->route->resumes,
+		.resumes = request->route->is_resumable,
 		.begun = request->answer_begun,
 		.may_have_run = request->may_have_run,
-		.runs = request->runs + 1,
+		.runs = request->possible_runs + 1,
 		.runs_max = MAX(request->route->attempts_max, 1),
 		.moves = request->sendings,
 		.has_time = direct_request_now_us(request) + RETRY_TIME_MIN_US <
@@ -200,7 +200,7 @@
 
 	if (event == VERDICT_BROKEN || event == VERDICT_ERROR) {
 		request->may_have_run = true;
-		request->runs++;
+		request->possible_runs++;
 	}
 	log_sending_end(request, event, step, why);
 	switch (step) {
@@ -260,9 +260,9 @@
 	const struct direct_route *route = request->route;
 
 	direct_clear_timer(&request->stall_timer);
-	if (route->kind != DIRECT_IDEMPOTENT && !route->resumes)
+	if (route->kind != DIRECT_IDEMPOTENT && !route->is_resumable)
 		return;
-	if (request->runs + 1 >= route->attempts_max)
+	if (request->possible_runs + 1 >= route->attempts_max)
 		return;
 	request->stall_timer =
 		lp_timer_add((guint)(stall_timeout_us(request) / LP_US_PER_MS),
@@ -306,8 +306,9 @@
 	struct direct_request *request = userdata;
 
 	request->status = status;
-	request->unframed = !http_fields_get(fields, "Content-Length") &&
-			    !http_fields_get(fields, "Transfer-Encoding");
+	request->ends_with_connection =
+		!http_fields_get(fields, "Content-Length") &&
+		!http_fields_get(fields, "Transfer-Encoding");
 	request->direct->options.codec->read_reply(status, fields, request->id,
 						   &request->reply);
 	direct_notices_receive(request->direct->notices, request->upstream,
@@ -322,7 +323,7 @@
 
 static bool is_event_stream(const struct direct_request *request)
 {
-	return request->status / 100 == 2 && request->reply.is_events &&
+	return request->status / 100 == 2 && request->reply.is_event_stream &&
 	       request->reply.matches_request &&
 	       request->reply.has_upstream_seal;
 }
@@ -370,7 +371,7 @@
 
 static void finish_stream(struct direct_request *request)
 {
-	bool truncated = request->unframed && request->body->len;
+	bool truncated = request->ends_with_connection && request->body->len;
 
 	record_first_response(request);
 	if (truncated)
@@ -466,7 +467,7 @@
 		.organisation = request->organisation
 					? request->organisation->name
 					: NULL,
-		.left_us =
+		.time_left_us =
 			request->deadline_us - direct_request_now_us(request),
 		.priority = request->priority,
 		.last_event_id = request->last_event_id
--- a/direct/direct_stage_plan.c
+++ b/direct/direct_stage_plan.c
@@ -37,10 +37,11 @@
 	int64_t longest_us = 0;
 
 	for (uint32_t i = stage + 1; i < route->stages_count; i++) {
-		for (uint32_t j = 0; j < route->stages[i].after_count; j++) {
+		for (uint32_t j = 0; j < route->stages[i].input_stages_count;
+		     j++) {
 			int64_t estimate_us;
 
-			if (route->stages[i].after[j] != stage)
+			if (route->stages[i].input_stages[j] != stage)
 				continue;
 			estimate_us = stage_time_us(request, i) +
 				      time_after_stage_us(request, i);
@@ -100,8 +101,9 @@
 	if (completed_last(request, stage))
 		return true;
 	for (uint32_t i = stage + 1; i < route->stages_count; i++)
-		for (uint32_t j = 0; j < route->stages[i].after_count; j++)
-			if (route->stages[i].after[j] == stage &&
+		for (uint32_t j = 0; j < route->stages[i].input_stages_count;
+		     j++)
+			if (route->stages[i].input_stages[j] == stage &&
 			    request->requested_us[i] &&
 			    request->requested_us[i] <
 				    request->completed_us[stage] +
@@ -152,8 +154,8 @@
 		.parts_count = request->info.prefix_blocks->len,
 	};
 
-	for (uint32_t i = 0; i < stages[stage].after_count; i++) {
-		uint32_t input_stage = stages[stage].after[i];
+	for (uint32_t i = 0; i < stages[stage].input_stages_count; i++) {
+		uint32_t input_stage = stages[stage].input_stages[i];
 		uint64_t producer = graph_maker(request->graph, input_stage);
 
 		if (!producer)
@@ -163,7 +165,7 @@
 			stages[input_stage].bytes *
 			(int64_t)graph_pieces(request->graph, input_stage);
 	}
-	if (!stages[stage].after_count &&
+	if (!stages[stage].input_stages_count &&
 	    !time_after_stage_us(request, stage)) {
 		direct_stages_share(request->direct->stages, &pick_args);
 		preferred = pool_home(pool, &pick_args);
@@ -182,8 +184,8 @@
 {
 	const struct direct_stage *stages = request->route->stages;
 
-	for (uint32_t i = 0; i < stages[stage].after_count; i++) {
-		uint32_t input_stage = stages[stage].after[i];
+	for (uint32_t i = 0; i < stages[stage].input_stages_count; i++) {
+		uint32_t input_stage = stages[stage].input_stages[i];
 		const struct direct_service *producer = direct_config_service(
 			request->config, stages[input_stage].service);
 		int64_t bytes = stages[input_stage].bytes *
@@ -253,7 +255,7 @@
 			.priority = request->priority,
 			.bytes = stage_config->bytes,
 			.homes = request->allowed_regions,
-			.has_inputs = stage_config->after_count > 0,
+			.has_inputs = stage_config->input_stages_count > 0,
 			.holds_room = occupies_result_memory(request, stage),
 			.alone = request->is_trial,
 			.split = has_started_piece(request->graph, stage),
@@ -364,8 +366,8 @@
 		g_new0(struct graph_stage, route->stages_count);
 
 	for (uint32_t i = 0; i < route->stages_count; i++) {
-		stages[i].after = route->stages[i].after;
-		stages[i].after_count = route->stages[i].after_count;
+		stages[i].after = route->stages[i].input_stages;
+		stages[i].after_count = route->stages[i].input_stages_count;
 		stages[i].pieces = i < request->info.pieces->len
 					   ? g_array_index(request->info.pieces,
 							   uint32_t, i)
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -121,7 +121,7 @@
 	ASSERT_NE(route, nullptr);
 	EXPECT_EQ(route->kind, DIRECT_STREAM);
 	EXPECT_EQ(route->stages_count, 2u);
-	EXPECT_EQ(route->stages[1].after[0], 0u);
+	EXPECT_EQ(route->stages[1].input_stages[0], 0u);
 	EXPECT_EQ(route->timeout_us, 3000000);
 	EXPECT_EQ(direct_config_service(config, "first")->batch_max, 8u);
 	EXPECT_EQ(direct_config_route(config, "b.example", "/look/x"), nullptr);
@@ -287,7 +287,7 @@
 	offer.caller_fields = &from.it;
 	offer.upstream = "i-1";
 	offer.organisation = "acme";
-	offer.left_us = 1234567;
+	offer.time_left_us = 1234567;
 	offer.priority = 1;
 	plf_codec()->write_request(&offer, &out.it);
 	EXPECT_EQ(out.get("X-Tenant"), "acme");
