--- a/direct/direct_request.h
+++ b/direct/direct_request.h
@@ -75,7 +75,8 @@
 	uint32_t status;
 	struct http_fields fields;
 	struct direct_reply reply;
-	bool ends_with_connection;
+	bool ends_with_connection; /* the answer has neither length nor chunks
+				    */
 	GString *body; /* of an answer; of a stream: an incomplete event */
 	/* totals of all sendings */
 	GPtrArray *tried_upstreams; /* ids of upstreams, owned */
