--- a/direct/direct_places.c
+++ b/direct/direct_places.c
@@ -362,7 +362,7 @@
 	ask.tried = (const char *const *)tried->pdata;
 	ask.tried_count = tried->len;
 	ask.domain = *domain ? domain : NULL;
-	direct_stages_share(places->direct->stages, &ask);
+	direct_stages_set_shard(places->direct->stages, &ask);
 	held = hold(places, lp_hash_pair(peer, number), &ask);
 	reply = g_variant_ref_sink(write_placed(
 		number, held,
--- a/direct/direct_prepare.c
+++ b/direct/direct_prepare.c
@@ -150,7 +150,7 @@
 			(int64_t)graph_pieces(request->graph, before);
 	}
 	if (!stages[stage].after_count && !after_stage_us(request, stage)) {
-		direct_stages_share(request->direct->stages, &ask);
+		direct_stages_set_shard(request->direct->stages, &ask);
 		preferred = pool_home(pool, &ask);
 		piece->preferred_bytes = stages[stage].bytes;
 	}
@@ -245,7 +245,7 @@
 	else
 		request->asked_us[stage] = direct_request_now_us(request);
 	work.indices = take_missing(request->graph, stage);
-	direct_stages_ask(request->direct->stages, request, &work);
+	direct_stages_submit(request->direct->stages, request, &work);
 }
 
 /* Results take up room until the request goes off. What is needed only at the
@@ -275,8 +275,8 @@
 		    is_early(request, i))
 			continue;
 		if (!graph_inputs_kept(request->graph, i)) {
-			direct_stages_lost_inputs(request->direct->stages,
-						  request, i);
+			direct_stages_recompute_inputs(request->direct->stages,
+						       request, i);
 			i = UINT32_MAX; /* the loop adds one */
 			continue;
 		}
@@ -289,11 +289,11 @@
 	request->made_us[stage] = direct_request_now_us(request);
 	if (request->asked_us[stage] <=
 	    request->arrived_us + request->route->target_us)
-		direct_stages_learn(request->direct->stages,
-				    request->route->stages[stage].service,
-				    request->priority,
-				    request->made_us[stage] -
-					    request->asked_us[stage]);
+		direct_stages_record_latency(
+			request->direct->stages,
+			request->route->stages[stage].service,
+			request->priority,
+			request->made_us[stage] - request->asked_us[stage]);
 }
 
 static void note_made(struct direct_request *request)
--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -136,28 +136,31 @@
 uint64_t direct_stages_dispatcher(struct direct_stages *stages,
 				  const struct pool_upstream *upstream);
 /** Set the share of a service's engines at which a prompt is placed. */
-void direct_stages_share(struct direct_stages *stages, struct pool_ask *ask);
+void direct_stages_set_shard(struct direct_stages *stages,
+			     struct pool_ask *ask);
 /** Who places this prompt; 0: we do. */
 uint64_t direct_stages_placer(struct direct_stages *stages,
 			      const struct pool_ask *ask);
 /** Have pieces made. Takes over the fields of `work`. */
-void direct_stages_ask(struct direct_stages *stages,
-		       struct direct_request *request,
-		       struct direct_work *work);
+void direct_stages_submit(struct direct_stages *stages,
+			  struct direct_request *request,
+			  struct direct_work *work);
 /** A request has ended; its results are given up. */
-void direct_stages_drop(struct direct_stages *stages,
-			struct direct_request *request);
+void direct_stages_cancel(struct direct_stages *stages,
+			  struct direct_request *request);
 /** Give up what a request does not need any more. */
 void direct_stages_free_results(struct direct_stages *stages,
 				struct direct_request *request, bool all);
 /** Inputs of a stage of a request are gone: have them made again. */
-void direct_stages_lost_inputs(struct direct_stages *stages,
-			       struct direct_request *request, uint32_t stage);
+void direct_stages_recompute_inputs(struct direct_stages *stages,
+				    struct direct_request *request,
+				    uint32_t stage);
 /** Time until a piece for this service that came now would be made. */
 int64_t direct_stages_estimate_us(struct direct_stages *stages,
 				  const char *service, int32_t priority);
 /** The pieces of a stage that were asked for in time took so long. */
-void direct_stages_learn(struct direct_stages *stages, const char *service,
-			 int32_t priority, int64_t took_us);
+void direct_stages_record_latency(struct direct_stages *stages,
+				  const char *service, int32_t priority,
+				  int64_t took_us);
 
 #endif
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -19,7 +19,7 @@
 	direct_clear_timer(&request->give_up_timer);
 	direct_quarantine_over(request->direct->quarantine, request);
 	if (request->graph)
-		direct_stages_drop(request->direct->stages, request);
+		direct_stages_cancel(request->direct->stages, request);
 	g_hash_table_remove(request->direct->requests, request);
 	graph_destroy(request->graph);
 	g_free(request->asked_us);
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -77,7 +77,7 @@
 		.target_us = request->arrived_us + request->route->target_us -
 			     direct_request_now_us(request),
 	};
-	direct_stages_share(request->direct->stages, ask);
+	direct_stages_set_shard(request->direct->stages, ask);
 	if (request->graph)
 		ask->domain = graph_main_domain(request->graph, domain_of_maker,
 						request->direct->pool,
@@ -144,8 +144,8 @@
 				      "inputs_gone");
 		return;
 	}
-	direct_stages_lost_inputs(request->direct->stages, request,
-				  request->route->stages_count);
+	direct_stages_recompute_inputs(request->direct->stages, request,
+				       request->route->stages_count);
 	request->state = DIRECT_STATE_STAGES;
 	direct_request_advance(request);
 }
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -9,58 +9,58 @@
 #include <string.h>
 
 /* What a dispatcher said of its queue counts for as long. */
-#define WAITS_US (500 * LP_US_PER_MS)
+#define DISPATCHER_WAITS_VALID_US (500 * LP_US_PER_MS)
 /* Members and upstreams change slowly against this. */
-#define LOOK_MS 200
+#define ASSIGNMENT_INTERVAL_MS 200
 /* Members that are being met may all be heard before the wait would end. */
-#define MEET_LOOK_MS 10
+#define DISCOVERY_POLL_MS 10
 /* To place prompts at so many engines is as much work as to keep one upstream
  * of stages full. */
-#define ENGINES_PER_UPSTREAM 4
+#define ENGINES_PER_STAGE_UPSTREAM 4
 /* Parts of a service that can be told apart. */
-#define PARTS_MAX 64
+#define SHARDS_MAX 64
 
-struct service {
+struct stage_service {
 	char *name;
 	bool is_engines; /* prompts are placed there, no pieces dispatched */
-	bool is_ours;	 /* and we place some of them, members being met */
-	uint32_t parts;
-	uint64_t dispatchers[PARTS_MAX];
-	int64_t owned_us; /* when the last part became ours */
-	struct admission_memory learnt[DIRECT_RANKS];
-	int64_t waits_us[DIRECT_RANKS]; /* at the dispatcher */
-	int64_t waits_at_us;
+	bool is_placed_here; /* and we place some of them, members being met */
+	uint32_t shards;
+	uint64_t dispatchers[SHARDS_MAX];
+	int64_t acquired_us; /* when the last part became ours */
+	struct admission_memory latencies[DIRECT_RANKS];
+	int64_t queue_waits_us[DIRECT_RANKS]; /* at the dispatcher */
+	int64_t queue_waits_received_us;
 };
 
 /* Pieces of one stage of a request that were asked for together. */
-struct ask {
+struct submission {
 	struct direct_stages *stages;
 	uint64_t number;
 	struct direct_request *request;
 	uint32_t stage;
-	uint32_t round;	  /* direct_request_round() when it was asked, ... */
-	int64_t asked_us; /* and the time */
-	struct service *service;
+	uint32_t round; /* direct_request_round() when it was asked, ... */
+	int64_t submitted_us; /* and the time */
+	struct stage_service *service;
 	struct direct_job *job;	 /* served here; NULL: at a peer, or waits */
 	struct direct_work work; /* at a peer: kept to be asked elsewhere */
 };
 
 struct direct_stages {
 	struct direct *direct;
-	GHashTable *services; /* name -> struct service */
-	GHashTable *asks;     /* number -> struct ask */
+	GHashTable *services;	 /* name -> struct stage_service */
+	GHashTable *submissions; /* number -> struct submission */
 	uint64_t next_number;
 	double phase; /* unlike that of other entries: warmup.h, rate_limit.h */
-	guint look_timer;
-	guint meet_timer; /* pieces wait for it; 0: members are met */
+	guint assignment_timer;
+	guint discovery_timer; /* pieces wait for it; 0: members are met */
 };
 
-static int64_t now(const struct direct_stages *stages)
+static int64_t time_now_us(const struct direct_stages *stages)
 {
 	return lp_now_us(stages->direct->options.clock);
 }
 
-static int32_t rank_of(int32_t priority)
+static int32_t rank_of_priority(int32_t priority)
 {
 	return CLAMP(priority, 0, DIRECT_RANKS - 1);
 }
@@ -69,37 +69,38 @@
 
 static void free_service(gpointer data)
 {
-	struct service *service = data;
+	struct stage_service *service = data;
 
 	g_free(service->name);
 	g_free(service);
 }
 
-static uint64_t self_of(const struct direct_stages *stages)
+static uint64_t own_hash(const struct direct_stages *stages)
 {
 	const struct direct *direct = stages->direct;
 
 	return direct->relay ? direct_peers_self(direct->peers) : 0;
 }
 
-static struct service *service_of(struct direct_stages *stages,
-				  const char *name)
+static struct stage_service *get_or_create_service(struct direct_stages *stages,
+						   const char *name)
 {
-	struct service *service = g_hash_table_lookup(stages->services, name);
+	struct stage_service *service =
+		g_hash_table_lookup(stages->services, name);
 
 	if (service)
 		return service;
-	service = g_new0(struct service, 1);
+	service = g_new0(struct stage_service, 1);
 	service->name = g_strdup(name);
-	service->parts = 1;
-	service->dispatchers[0] = self_of(stages);
-	service->owned_us = now(stages);
+	service->shards = 1;
+	service->dispatchers[0] = own_hash(stages);
+	service->acquired_us = time_now_us(stages);
 	g_hash_table_insert(stages->services, service->name, service);
 	return service;
 }
 
 static void log_dispatcher(struct direct_stages *stages,
-			   const struct service *service, uint32_t part,
+			   const struct stage_service *service, uint32_t shard,
 			   uint64_t dispatcher, uint32_t members)
 {
 	struct lp_event_log *log = stages->direct->options.log;
@@ -107,8 +108,8 @@
 	if (!lp_event_begin(log, "dispatcher", NULL))
 		return;
 	lp_event_text(log, "service", service->name);
-	lp_event_int(log, "part", part);
-	lp_event_int(log, "parts", service->parts);
+	lp_event_int(log, "part", shard);
+	lp_event_int(log, "parts", service->shards);
 	lp_event_text(log, "peer",
 		      direct_peers_ip(stages->direct->peers, dispatcher));
 	lp_event_int(log, "members", members);
@@ -116,55 +117,55 @@
 }
 
 static void set_dispatcher(struct direct_stages *stages,
-			   struct service *service, uint32_t part,
+			   struct stage_service *service, uint32_t shard,
 			   uint64_t dispatcher, uint32_t members)
 {
-	if (service->dispatchers[part] == dispatcher)
+	if (service->dispatchers[shard] == dispatcher)
 		return;
-	service->dispatchers[part] = dispatcher;
-	if (dispatcher == self_of(stages))
-		service->owned_us = now(stages);
-	log_dispatcher(stages, service, part, dispatcher, members);
+	service->dispatchers[shard] = dispatcher;
+	if (dispatcher == own_hash(stages))
+		service->acquired_us = time_now_us(stages);
+	log_dispatcher(stages, service, shard, dispatcher, members);
 }
 
 /* Bits of the parts that are ours. */
-static uint64_t own_parts(const struct direct_stages *stages,
-			  const struct service *service)
+static uint64_t own_shards(const struct direct_stages *stages,
+			   const struct stage_service *service)
 {
 	uint64_t own = 0;
 
-	for (uint32_t i = 0; i < service->parts; i++)
-		if (service->dispatchers[i] == self_of(stages))
+	for (uint32_t i = 0; i < service->shards; i++)
+		if (service->dispatchers[i] == own_hash(stages))
 			own |= UINT64_C(1) << i;
 	return own;
 }
 
 /* Our own queue calls the upstreams of the parts that are ours; all of them
  * while none is, for who believes that they are. */
-static void set_own_parts(struct direct_stages *stages,
-			  const struct service *service)
+static void set_own_shards(struct direct_stages *stages,
+			   const struct stage_service *service)
 {
-	uint64_t own = own_parts(stages, service);
+	uint64_t own = own_shards(stages, service);
 
 	direct_calls_set_parts(stages->direct->calls, service->name,
-			       service->parts, own ? own : UINT64_MAX);
+			       service->shards, own ? own : UINT64_MAX);
 }
 
-static uint32_t parts_of(const struct direct_stages *stages,
-			 const struct service *service)
+static uint32_t count_shards(const struct direct_stages *stages,
+			     const struct stage_service *service)
 {
 	const GPtrArray *list =
 		pool_of_service(stages->direct->pool, service->name);
 	uint32_t upstreams = list ? list->len : 1;
 
 	if (service->is_engines)
-		upstreams /= ENGINES_PER_UPSTREAM;
-	return MIN(dispatchers_parts(upstreams), PARTS_MAX);
+		upstreams /= ENGINES_PER_STAGE_UPSTREAM;
+	return MIN(dispatchers_parts(upstreams), SHARDS_MAX);
 }
 
-static uint64_t task_hash(const struct service *service, uint32_t part)
+static uint64_t task_hash(const struct stage_service *service, uint32_t shard)
 {
-	return lp_hash_pair(lp_hash_str(service->name), part);
+	return lp_hash_pair(lp_hash_str(service->name), shard);
 }
 
 static GArray *list_tasks(struct direct_stages *stages)
@@ -176,10 +177,10 @@
 
 	g_hash_table_iter_init(&iter, stages->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct service *service = value;
+		struct stage_service *service = value;
 
-		service->parts = parts_of(stages, service);
-		for (uint32_t i = 0; i < service->parts; i++) {
+		service->shards = count_shards(stages, service);
+		for (uint32_t i = 0; i < service->shards; i++) {
 			struct dispatchers_task task = {
 				.hash = task_hash(service, i),
 			};
@@ -190,7 +191,7 @@
 	return tasks;
 }
 
-static uint64_t found_for(const GArray *tasks, uint64_t hash)
+static uint64_t dispatcher_of_task(const GArray *tasks, uint64_t hash)
 {
 	for (guint i = 0; i < tasks->len; i++) {
 		const struct dispatchers_task *task =
@@ -202,30 +203,30 @@
 	return 0;
 }
 
-static bool places_some(const struct direct_stages *stages,
-			const struct service *service)
+static bool owns_any_shard(const struct direct_stages *stages,
+			   const struct stage_service *service)
 {
-	return own_parts(stages, service) != 0;
+	return own_shards(stages, service) != 0;
 }
 
 /* Whether we send to a service on behalf of all entries; plain services have
  * nobody who does. */
 static bool sends_for_all(const struct direct_stages *stages,
-			  const struct service *service, uint32_t members)
+			  const struct stage_service *service, uint32_t members)
 {
-	return members < 2 || (service && places_some(stages, service));
+	return members < 2 || (service && owns_any_shard(stages, service));
 }
 
 /* Ours, of what a cold upstream of a service takes. */
-static double cold_share(const struct service *service, bool for_all,
-			 uint32_t members)
+static double own_warmup_share(const struct stage_service *service,
+			       bool for_all, uint32_t members)
 {
 	if (for_all)
 		return WARMUP_OWNER_SHARE;
 	return (service ? WARMUP_OTHERS_SHARE : WARMUP_OWNER_SHARE) / members;
 }
 
-static void share_cold_upstreams(struct direct_stages *stages, uint32_t members)
+static void set_warmup_shares(struct direct_stages *stages, uint32_t members)
 {
 	const struct direct_config *config = stages->direct->config;
 	GHashTableIter iter;
@@ -236,7 +237,7 @@
 	g_hash_table_iter_init(&iter, config->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct direct_service *figures = value;
-		const struct service *service;
+		const struct stage_service *service;
 		struct warmup_limits limits = {
 			.cold_us = figures->cold_us,
 			.per_s = figures->cold_per_s,
@@ -247,13 +248,15 @@
 			continue;
 		service = g_hash_table_lookup(stages->services, figures->name);
 		limits.for_all = sends_for_all(stages, service, members);
-		limits.share = cold_share(service, limits.for_all, members);
+		limits.share =
+			own_warmup_share(service, limits.for_all, members);
 		pool_set_warmup(stages->direct->pool, figures->name, &limits);
 	}
 }
 
-static struct rate_limit_share find_share(const struct direct_stages *stages,
-					  const struct rate_limit_fleet *fleet)
+static struct rate_limit_share
+find_rate_limit_share(const struct direct_stages *stages,
+		      const struct rate_limit_fleet *fleet)
 {
 	struct rate_limit_share share = rate_limit_find_share(fleet);
 
@@ -262,7 +265,7 @@
 }
 
 /* Our shares of the limits that upstreams name. */
-static void share_limits(struct direct_stages *stages)
+static void set_rate_limit_shares(struct direct_stages *stages)
 {
 	const struct direct_peers *peers =
 		stages->direct->relay ? stages->direct->peers : NULL;
@@ -273,29 +276,29 @@
 	struct pool_limit_share share = {
 		.parts = 1,
 		.own = 1,
-		.own_share = find_share(stages, &fleet),
+		.own_share = find_rate_limit_share(stages, &fleet),
 	};
 	GHashTableIter iter;
 	gpointer value;
 
 	pool_set_limit_share(stages->direct->pool, NULL, &share);
 	fleet.has_owner = true;
-	share.other_share = find_share(stages, &fleet);
+	share.other_share = find_rate_limit_share(stages, &fleet);
 	fleet.is_owner = true;
 	g_hash_table_iter_init(&iter, stages->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct service *service = value;
+		const struct stage_service *service = value;
 
-		share.parts = service->parts;
-		share.own = own_parts(stages, service);
-		fleet.owner_us = now(stages) - service->owned_us;
-		share.own_share = find_share(stages, &fleet);
+		share.parts = service->shards;
+		share.own = own_shards(stages, service);
+		fleet.owner_us = time_now_us(stages) - service->acquired_us;
+		share.own_share = find_rate_limit_share(stages, &fleet);
 		pool_set_limit_share(stages->direct->pool, service->name,
 				     &share);
 	}
 }
 
-static void find_dispatchers(struct direct_stages *stages)
+static void assign_dispatchers(struct direct_stages *stages)
 {
 	g_autoptr(GArray) members =
 		g_array_new(FALSE, FALSE, sizeof(struct dispatchers_member));
@@ -304,8 +307,8 @@
 	gpointer value;
 
 	if (!stages->direct->relay) {
-		share_cold_upstreams(stages, 1);
-		share_limits(stages);
+		set_warmup_shares(stages, 1);
+		set_rate_limit_shares(stages);
 		return;
 	}
 	direct_peers_members(stages->direct->peers, members);
@@ -315,48 +318,48 @@
 			 tasks->len);
 	g_hash_table_iter_init(&iter, stages->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct service *service = value;
+		struct stage_service *service = value;
 
-		for (uint32_t i = 0; i < service->parts; i++) {
-			uint64_t found =
-				found_for(tasks, task_hash(service, i));
+		for (uint32_t i = 0; i < service->shards; i++) {
+			uint64_t found = dispatcher_of_task(
+				tasks, task_hash(service, i));
 
 			set_dispatcher(stages, service, i,
-				       found ? found : self_of(stages),
+				       found ? found : own_hash(stages),
 				       members->len);
 		}
 		if (!service->is_engines)
-			set_own_parts(stages, service);
+			set_own_shards(stages, service);
 	}
-	share_cold_upstreams(stages, direct_peers_count(stages->direct->peers));
-	share_limits(stages);
+	set_warmup_shares(stages, direct_peers_count(stages->direct->peers));
+	set_rate_limit_shares(stages);
 }
 
 /* Whoever begins to place prompts asks what is in the engines' memory. */
-static void take_over_engines(struct direct_stages *stages)
+static void query_acquired_engines(struct direct_stages *stages)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	if (stages->meet_timer || !direct_ready(stages->direct))
+	if (stages->discovery_timer || !direct_ready(stages->direct))
 		return;
 	g_hash_table_iter_init(&iter, stages->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct service *service = value;
-		bool was_ours = service->is_ours;
+		struct stage_service *service = value;
+		bool was_placed_here = service->is_placed_here;
 
-		service->is_ours =
-			service->is_engines && places_some(stages, service);
-		if (service->is_ours && !was_ours)
+		service->is_placed_here =
+			service->is_engines && owns_any_shard(stages, service);
+		if (service->is_placed_here && !was_placed_here)
 			direct_memory_ask(stages->direct->memory,
 					  service->name);
 	}
 }
 
-static gboolean on_look(gpointer userdata)
+static gboolean on_assignment_timer(gpointer userdata)
 {
-	find_dispatchers(userdata);
-	take_over_engines(userdata);
+	assign_dispatchers(userdata);
+	query_acquired_engines(userdata);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -376,73 +379,75 @@
 				 service->token_bytes,
 				 service->copy_bytes_per_us);
 		if (service->does_pieces || service->engine_tokens)
-			service_of(stages, service->name)->is_engines =
-				!service->does_pieces;
+			get_or_create_service(stages, service->name)
+				->is_engines = !service->does_pieces;
 	}
-	find_dispatchers(stages);
+	assign_dispatchers(stages);
 }
 
 uint64_t direct_stages_dispatcher(struct direct_stages *stages,
 				  const struct pool_upstream *upstream)
 {
 	/* Before a configuration names it, nobody dispatches a service. */
-	const struct service *service =
+	const struct stage_service *service =
 		g_hash_table_lookup(stages->services, upstream->entry.service);
 	uint64_t dispatcher;
 
 	if (!service)
 		return 0;
-	dispatcher = service->dispatchers[upstream->hash % service->parts];
-	return dispatcher == self_of(stages) ? 0 : dispatcher;
+	dispatcher = service->dispatchers[upstream->hash % service->shards];
+	return dispatcher == own_hash(stages) ? 0 : dispatcher;
 }
 
-void direct_stages_share(struct direct_stages *stages, struct pool_ask *ask)
+void direct_stages_set_shard(struct direct_stages *stages, struct pool_ask *ask)
 {
-	const struct service *service =
+	const struct stage_service *service =
 		g_hash_table_lookup(stages->services, ask->service);
 	uint32_t last = ask->parts_count - 1;
 
 	if (!service || !service->is_engines || !ask->parts_count)
 		return;
 	/* By the last part that others share. */
-	ask->share_count = service->parts;
-	ask->share =
-		(uint32_t)(ask->parts[last ? last - 1 : 0].id % service->parts);
+	ask->share_count = service->shards;
+	ask->share = (uint32_t)(ask->parts[last ? last - 1 : 0].id %
+				service->shards);
 }
 
 uint64_t direct_stages_placer(struct direct_stages *stages,
 			      const struct pool_ask *ask)
 {
-	const struct service *service =
+	const struct stage_service *service =
 		g_hash_table_lookup(stages->services, ask->service);
 
 	if (!service || !service->is_engines ||
-	    service->dispatchers[ask->share] == self_of(stages))
+	    service->dispatchers[ask->share] == own_hash(stages))
 		return 0;
 	return service->dispatchers[ask->share];
 }
 
 /* ---- asks ---- */
 
-static void free_ask(gpointer data)
+static void free_submission(gpointer data)
 {
-	struct ask *ask = data;
+	struct submission *submission = data;
 
-	direct_work_clear(&ask->work);
-	g_free(ask);
+	direct_work_clear(&submission->work);
+	g_free(submission);
 }
 
-static void take_result(struct ask *ask, struct direct_result *result)
+static void store_result(struct submission *submission,
+			 struct direct_result *result)
 {
-	struct graph *graph = ask->request->graph;
+	struct graph *graph = submission->request->graph;
 
 	/* Our list may not name its maker yet; the dispatcher's does. */
 	if (result->result == DIRECT_ITEM_MADE)
-		graph_made(graph, ask->stage, result->index, result->handle,
-			   result->maker,
-			   ask->request->route->stages[ask->stage].bytes);
+		graph_made(graph, submission->stage, result->index,
+			   result->handle, result->maker,
+			   submission->request->route->stages[submission->stage]
+				   .bytes);
 	else
-		graph_not_made(graph, ask->stage, result->index);
+		graph_not_made(graph, submission->stage, result->index);
 }
 
 static void remove_index(GArray *indices, uint32_t index)
@@ -455,8 +460,8 @@
 	}
 }
 
-static bool any_is(const struct direct_result *results, uint32_t count,
-		   enum direct_item_result kind)
+static bool any_has_outcome(const struct direct_result *results, uint32_t count,
+			    enum direct_item_result kind)
 {
 	for (uint32_t i = 0; i < count; i++)
 		if (results[i].result == kind)
@@ -465,10 +470,11 @@
 }
 
 /* Calls broke off: what was asked of these upstreams is lost. */
-static void note_lost(const struct ask *ask,
-		      const struct direct_result *results, uint32_t count)
+static void report_lost_requests(const struct submission *submission,
+				 const struct direct_result *results,
+				 uint32_t count)
 {
-	struct direct_request *request = ask->request;
+	struct direct_request *request = submission->request;
 	const struct pool_upstream *before = NULL;
 
 	for (uint32_t i = 0; i < count; i++) {
@@ -479,168 +485,184 @@
 		upstream =
 			pool_find_life(request->direct->pool, results[i].maker);
 		if (upstream && upstream != before)
-			direct_request_lost(request, upstream, ask->round,
-					    ask->asked_us);
+			direct_request_lost(request, upstream,
+					    submission->round,
+					    submission->submitted_us);
 		before = upstream;
 	}
 }
 
 /* Results have come; the ask is over when `left` is 0. Its request may end by
  * this. */
-static void take_results(struct ask *ask, struct direct_result *results,
-			 uint32_t count, uint32_t left)
+static void deliver_results(struct submission *submission,
+			    struct direct_result *results, uint32_t count,
+			    uint32_t left)
 {
-	struct direct_stages *stages = ask->stages;
-	struct direct_request *request = ask->request;
-	uint32_t stage = ask->stage;
-	bool late = any_is(results, count, DIRECT_ITEM_LATE);
+	struct direct_stages *stages = submission->stages;
+	struct direct_request *request = submission->request;
+	uint32_t stage = submission->stage;
+	bool late = any_has_outcome(results, count, DIRECT_ITEM_LATE);
 
-	note_lost(ask, results, count);
+	report_lost_requests(submission, results, count);
 	for (uint32_t i = 0; i < count; i++) {
-		take_result(ask, &results[i]);
-		remove_index(ask->work.indices, results[i].index);
+		store_result(submission, &results[i]);
+		remove_index(submission->work.indices, results[i].index);
 	}
 	if (!left)
-		g_hash_table_remove(stages->asks, &ask->number);
-	if (any_is(results, count, DIRECT_ITEM_INPUT_GONE))
-		direct_stages_lost_inputs(stages, request, stage);
+		g_hash_table_remove(stages->submissions, &submission->number);
+	if (any_has_outcome(results, count, DIRECT_ITEM_INPUT_GONE))
+		direct_stages_recompute_inputs(stages, request, stage);
 	if (late)
 		direct_request_pieces_late(request);
 	else
 		direct_request_advance(request);
 }
 
-static void on_job_made(void *userdata, struct direct_result *results,
-			uint32_t count, uint32_t left)
+static void on_job_results(void *userdata, struct direct_result *results,
+			   uint32_t count, uint32_t left)
 {
-	take_results(userdata, results, count, left);
+	deliver_results(userdata, results, count, left);
 }
 
-static void on_relay_made(void *userdata, uint64_t number,
-			  struct direct_result *results, uint32_t count)
+static void on_relay_results(void *userdata, uint64_t number,
+			     struct direct_result *results, uint32_t count)
 {
 	struct direct_stages *stages = userdata;
-	struct ask *ask = g_hash_table_lookup(stages->asks, &number);
+	struct submission *submission =
+		g_hash_table_lookup(stages->submissions, &number);
 	uint32_t left;
 
-	if (!ask)
+	if (!submission)
 		return;
-	left = ask->work.indices->len - MIN(count, ask->work.indices->len);
+	left = submission->work.indices->len -
+	       MIN(count, submission->work.indices->len);
 	if (!left)
 		direct_relay_forget(stages->direct->relay, number, false);
-	take_results(ask, results, count, left);
+	deliver_results(submission, results, count, left);
 }
 
 static void on_relay_waits(void *userdata, uint64_t number,
-			   const int64_t waits_us[DIRECT_RANKS])
+			   const int64_t queue_waits_us[DIRECT_RANKS])
 {
 	struct direct_stages *stages = userdata;
-	struct ask *ask = g_hash_table_lookup(stages->asks, &number);
+	struct submission *submission =
+		g_hash_table_lookup(stages->submissions, &number);
 
-	if (!ask)
+	if (!submission)
 		return;
-	memcpy(ask->service->waits_us, waits_us,
-	       sizeof(ask->service->waits_us));
-	ask->service->waits_at_us = now(stages);
+	memcpy(submission->service->queue_waits_us, queue_waits_us,
+	       sizeof(submission->service->queue_waits_us));
+	submission->service->queue_waits_received_us = time_now_us(stages);
 }
 
 /* To the dispatcher of its part, or to our own queue. */
-static void place(struct direct_stages *stages, struct ask *ask)
+static void dispatch(struct direct_stages *stages,
+		     struct submission *submission)
 {
-	const struct service *service = ask->service;
-	uint32_t part = (uint32_t)(lp_hash_str(ask->work.id) % service->parts);
-	uint64_t dispatcher = service->dispatchers[part];
+	const struct stage_service *service = submission->service;
+	uint32_t shard =
+		(uint32_t)(lp_hash_str(submission->work.id) % service->shards);
+	uint64_t dispatcher = service->dispatchers[shard];
 
-	if (stages->direct->relay && dispatcher != self_of(stages) &&
-	    direct_relay_ask(stages->direct->relay, dispatcher, ask->number,
-			     &ask->work))
+	if (stages->direct->relay && dispatcher != own_hash(stages) &&
+	    direct_relay_ask(stages->direct->relay, dispatcher,
+			     submission->number, &submission->work))
 		return;
-	ask->job = direct_calls_add(stages->direct->calls, &ask->work,
-				    on_job_made, ask);
+	submission->job =
+		direct_calls_add(stages->direct->calls, &submission->work,
+				 on_job_results, submission);
 }
 
-static gboolean on_met_look(gpointer userdata)
+static gboolean on_discovery_timer(gpointer userdata)
 {
 	struct direct_stages *stages = userdata;
 	g_autoptr(GList) waiting = NULL;
 
 	if (direct_peers_meeting_left_us(stages->direct->peers))
 		return G_SOURCE_CONTINUE;
-	stages->meet_timer = 0;
-	waiting = g_hash_table_get_values(stages->asks);
-	find_dispatchers(stages);
-	take_over_engines(stages);
+	stages->discovery_timer = 0;
+	waiting = g_hash_table_get_values(stages->submissions);
+	assign_dispatchers(stages);
+	query_acquired_engines(stages);
 	for (GList *at = waiting; at; at = at->next)
-		place(stages, at->data);
+		dispatch(stages, at->data);
 	return G_SOURCE_REMOVE;
 }
 
 static void on_relay_lost(void *userdata, uint64_t number)
 {
 	struct direct_stages *stages = userdata;
-	struct ask *ask = g_hash_table_lookup(stages->asks, &number);
+	struct submission *submission =
+		g_hash_table_lookup(stages->submissions, &number);
 	struct lp_event_log *log = stages->direct->options.log;
 
-	if (!ask)
+	if (!submission)
 		return;
-	find_dispatchers(stages);
+	assign_dispatchers(stages);
 	/* Results that still come of the old number are not ours any more. */
-	g_hash_table_steal(stages->asks, &ask->number);
-	ask->number = stages->next_number++;
-	g_hash_table_insert(stages->asks, &ask->number, ask);
-	if (lp_event_begin(log, "pieces_moved", ask->work.id)) {
-		lp_event_text(log, "service", ask->service->name);
-		lp_event_int(log, "pieces", ask->work.indices->len);
+	g_hash_table_steal(stages->submissions, &submission->number);
+	submission->number = stages->next_number++;
+	g_hash_table_insert(stages->submissions, &submission->number,
+			    submission);
+	if (lp_event_begin(log, "pieces_moved", submission->work.id)) {
+		lp_event_text(log, "service", submission->service->name);
+		lp_event_int(log, "pieces", submission->work.indices->len);
 		lp_event_end(log);
 	}
-	place(stages, ask);
+	dispatch(stages, submission);
 }
 
-void direct_stages_ask(struct direct_stages *stages,
-		       struct direct_request *request, struct direct_work *work)
+void direct_stages_submit(struct direct_stages *stages,
+			  struct direct_request *request,
+			  struct direct_work *work)
 {
-	struct ask *ask = g_new0(struct ask, 1);
+	struct submission *submission = g_new0(struct submission, 1);
 
-	ask->stages = stages;
-	ask->number = stages->next_number++;
-	ask->request = request;
-	ask->stage = work->piece.stage;
-	ask->round = direct_request_round(request);
-	ask->asked_us = now(stages);
-	ask->service = service_of(stages, work->service);
-	ask->work = *work;
+	submission->stages = stages;
+	submission->number = stages->next_number++;
+	submission->request = request;
+	submission->stage = work->piece.stage;
+	submission->round = direct_request_round(request);
+	submission->submitted_us = time_now_us(stages);
+	submission->service = get_or_create_service(stages, work->service);
+	submission->work = *work;
 	memset(work, 0, sizeof(*work));
-	g_hash_table_insert(stages->asks, &ask->number, ask);
-	if (!stages->meet_timer)
-		place(stages, ask);
+	g_hash_table_insert(stages->submissions, &submission->number,
+			    submission);
+	if (!stages->discovery_timer)
+		dispatch(stages, submission);
 }
 
-static void drop_ask(struct direct_stages *stages, struct ask *ask)
+static void cancel_submission(struct direct_stages *stages,
+			      struct submission *submission)
 {
-	if (ask->job)
-		direct_calls_drop(ask->job);
+	if (submission->job)
+		direct_calls_drop(submission->job);
 	else if (stages->direct->relay)
-		direct_relay_forget(stages->direct->relay, ask->number, true);
-	g_hash_table_remove(stages->asks, &ask->number);
+		direct_relay_forget(stages->direct->relay, submission->number,
+				    true);
+	g_hash_table_remove(stages->submissions, &submission->number);
 }
 
-static void drop_asks(struct direct_stages *stages,
-		      const struct direct_request *request,
-		      const uint32_t *stage)
+static void cancel_submissions(struct direct_stages *stages,
+			       const struct direct_request *request,
+			       const uint32_t *stage)
 {
-	g_autoptr(GList) asks = g_hash_table_get_values(stages->asks);
+	g_autoptr(GList) submissions =
+		g_hash_table_get_values(stages->submissions);
 
-	for (GList *at = asks; at; at = at->next) {
-		struct ask *ask = at->data;
+	for (GList *at = submissions; at; at = at->next) {
+		struct submission *submission = at->data;
 
-		if (ask->request == request && (!stage || ask->stage == *stage))
-			drop_ask(stages, ask);
+		if (submission->request == request &&
+		    (!stage || submission->stage == *stage))
+			cancel_submission(stages, submission);
 	}
 }
 
 /* ---- giving results up ---- */
 
-static void give_up(struct direct_stages *stages, const GArray *results)
+static void free_results(struct direct_stages *stages, const GArray *results)
 {
 	struct direct *direct = stages->direct;
 
@@ -660,68 +682,72 @@
 		g_array_new(FALSE, FALSE, sizeof(struct graph_result));
 
 	graph_take_unneeded(request->graph, all, results);
-	give_up(stages, results);
+	free_results(stages, results);
 }
 
 /* Pieces that wait with the old inputs are not made. */
-static void forget_asked(struct graph *graph, uint32_t stage)
+static void reset_submitted(struct graph *graph, uint32_t stage)
 {
 	for (uint32_t i = 0; i < graph_pieces(graph, stage); i++)
 		if (graph_state(graph, stage, i) == GRAPH_PIECE_ASKED)
 			graph_not_made(graph, stage, i);
 }
 
-void direct_stages_lost_inputs(struct direct_stages *stages,
-			       struct direct_request *request, uint32_t stage)
+void direct_stages_recompute_inputs(struct direct_stages *stages,
+				    struct direct_request *request,
+				    uint32_t stage)
 {
 	g_autoptr(GArray) results =
 		g_array_new(FALSE, FALSE, sizeof(struct graph_result));
 
 	if (stage < request->route->stages_count) {
-		drop_asks(stages, request, &stage);
-		forget_asked(request->graph, stage);
+		cancel_submissions(stages, request, &stage);
+		reset_submitted(request->graph, stage);
 	}
 	graph_lost_inputs(request->graph, stage, results);
-	give_up(stages, results);
+	free_results(stages, results);
 }
 
-void direct_stages_drop(struct direct_stages *stages,
-			struct direct_request *request)
+void direct_stages_cancel(struct direct_stages *stages,
+			  struct direct_request *request)
 {
-	drop_asks(stages, request, NULL);
+	cancel_submissions(stages, request, NULL);
 	direct_stages_free_results(stages, request, true);
 }
 
 /* ---- estimates ---- */
 
-static int64_t queue_us(struct direct_stages *stages,
-			const struct service *service, int32_t priority)
+static int64_t queue_wait_us(struct direct_stages *stages,
+			     const struct stage_service *service,
+			     int32_t priority)
 {
-	if (service->dispatchers[0] == self_of(stages))
+	if (service->dispatchers[0] == own_hash(stages))
 		return direct_calls_estimate_us(stages->direct->calls,
 						service->name, priority);
-	if (now(stages) - service->waits_at_us > WAITS_US)
+	if (time_now_us(stages) - service->queue_waits_received_us >
+	    DISPATCHER_WAITS_VALID_US)
 		return 0;
-	return service->waits_us[rank_of(priority)];
+	return service->queue_waits_us[rank_of_priority(priority)];
 }
 
 int64_t direct_stages_estimate_us(struct direct_stages *stages,
 				  const char *name, int32_t priority)
 {
-	struct service *service = service_of(stages, name);
+	struct stage_service *service = get_or_create_service(stages, name);
 
-	return admission_stage_us(&service->learnt[rank_of(priority)],
-				  queue_us(stages, service, priority),
-				  now(stages));
+	return admission_stage_us(
+		&service->latencies[rank_of_priority(priority)],
+		queue_wait_us(stages, service, priority), time_now_us(stages));
 }
 
-void direct_stages_learn(struct direct_stages *stages, const char *name,
-			 int32_t priority, int64_t took_us)
+void direct_stages_record_latency(struct direct_stages *stages,
+				  const char *name, int32_t priority,
+				  int64_t took_us)
 {
-	struct service *service = service_of(stages, name);
+	struct stage_service *service = get_or_create_service(stages, name);
 
-	admission_learn(&service->learnt[rank_of(priority)], took_us,
-			now(stages));
+	admission_learn(&service->latencies[rank_of_priority(priority)],
+			took_us, time_now_us(stages));
 }
 
 /* ---- start and end ---- */
@@ -730,7 +756,7 @@
 			     struct direct_peers *peers)
 {
 	const struct direct_relay_events events = {
-		.made = on_relay_made,
+		.made = on_relay_results,
 		.waits = on_relay_waits,
 		.lost = on_relay_lost,
 		.userdata = stages,
@@ -740,8 +766,9 @@
 		return;
 	stages->direct->relay =
 		direct_relay_create(stages->direct, peers, &events);
-	stages->meet_timer = lp_timer_add(MEET_LOOK_MS, on_met_look, stages);
-	find_dispatchers(stages);
+	stages->discovery_timer =
+		lp_timer_add(DISCOVERY_POLL_MS, on_discovery_timer, stages);
+	assign_dispatchers(stages);
 }
 
 struct direct_stages *direct_stages_create(struct direct *direct)
@@ -751,21 +778,22 @@
 	stages->direct = direct;
 	stages->services = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						 free_service);
-	stages->asks = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					     free_ask);
+	stages->submissions = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						    NULL, free_submission);
 	/* Unlike those of an earlier life. */
 	stages->next_number = lp_random_u64();
 	stages->phase = g_random_double();
-	stages->look_timer = lp_timer_add(LOOK_MS, on_look, stages);
+	stages->assignment_timer = lp_timer_add(ASSIGNMENT_INTERVAL_MS,
+						on_assignment_timer, stages);
 	return stages;
 }
 
 void direct_stages_destroy(struct direct_stages *stages)
 {
-	g_source_remove(stages->look_timer);
-	if (stages->meet_timer)
-		g_source_remove(stages->meet_timer);
-	g_hash_table_unref(stages->asks);
+	g_source_remove(stages->assignment_timer);
+	if (stages->discovery_timer)
+		g_source_remove(stages->discovery_timer);
+	g_hash_table_unref(stages->submissions);
 	g_hash_table_unref(stages->services);
 	g_free(stages);
 }
