--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -122,43 +122,46 @@
 void direct_results_take(struct direct_results *results, uint64_t maker,
 			 GPtrArray *handles, int64_t bytes);
 
-/* ---- direct_stages.c: pieces of our requests ---- */
+/* ---- direct_stages.c: pieces of this entry's requests, dispatchers ---- */
 
 struct direct_stages *direct_stages_create(struct direct *direct);
 void direct_stages_destroy(struct direct_stages *stages);
-/** Other entries dispatch for us and we for them. */
+/** Let this entry and its peers dispatch for each other. NULL: no peers. */
 void direct_stages_set_peers(struct direct_stages *stages,
 			     struct direct_peers *peers);
-/** Services may have come. */
+/** Take over the services of a new configuration. */
 void direct_stages_configure(struct direct_stages *stages,
 			     const struct direct_config *config);
-/** Who dispatches at this upstream; 0: we do. */
+/** Hash of the peer that dispatches to this upstream; 0: this entry does. */
 uint64_t direct_stages_dispatcher(struct direct_stages *stages,
 				  const struct pool_upstream *upstream);
-/** Set the share of a service's engines at which a prompt is placed. */
+/** Set the shard of a service's engines at which a prompt is placed. */
 void direct_stages_set_shard(struct direct_stages *stages,
 			     struct pool_ask *ask);
-/** Who places this prompt; 0: we do. */
+/** Hash of the peer that places this prompt; 0: this entry does. */
 uint64_t direct_stages_placer(struct direct_stages *stages,
 			      const struct pool_ask *ask);
-/** Have pieces made. Takes over the fields of `work`. */
+/** Submit pieces to their dispatcher. Takes over the fields of `work`. The
+ * graph of `request` gets the results. */
 void direct_stages_submit(struct direct_stages *stages,
 			  struct direct_request *request,
 			  struct direct_work *work);
-/** A request has ended; its results are given up. */
+/** A request has ended: cancel its pieces and free its results. */
 void direct_stages_cancel(struct direct_stages *stages,
 			  struct direct_request *request);
-/** Give up what a request does not need any more. */
+/** Free the results that a request does not need any more; `all`: every one. */
 void direct_stages_free_results(struct direct_stages *stages,
 				struct direct_request *request, bool all);
-/** Inputs of a stage of a request are gone: have them made again. */
+/** Inputs of a stage of a request are gone: cancel the stage's pieces, free the
+ * other inputs and mark them all as missing, to be computed again. */
 void direct_stages_recompute_inputs(struct direct_stages *stages,
 				    struct direct_request *request,
 				    uint32_t stage);
-/** Time until a piece for this service that came now would be made. */
+/** Estimated time until a piece submitted now to this service is completed. */
 int64_t direct_stages_estimate_us(struct direct_stages *stages,
 				  const char *service, int32_t priority);
-/** The pieces of a stage that were asked for in time took so long. */
+/** Record how long the pieces of a stage took that were submitted before their
+ * request's target time. */
 void direct_stages_record_latency(struct direct_stages *stages,
 				  const char *service, int32_t priority,
 				  int64_t took_us);
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -1,4 +1,12 @@
-/** Stages of our requests: their pieces are asked of whoever dispatches. */
+/**
+ * Submits the pieces of this entry's requests to the entry that dispatches
+ * them, and assigns dispatchers.
+ *
+ * The upstreams of each service of stages or engines are split into shards,
+ * and each shard has one dispatcher (stages) or placer (engines) among the
+ * entries: dispatchers.h. Pieces of a shard that this entry dispatches go to
+ * its own queue (direct_calls.h), others to the dispatcher by direct_relay.h.
+ */
 #include "direct/direct_relay.h"
 #include "direct/direct_request.h"
 
@@ -8,41 +16,43 @@
 
 #include <string.h>
 
-/* What a dispatcher said of its queue counts for as long. */
+/* How long the queue waits that a dispatcher reported are used. */
 #define DISPATCHER_WAITS_VALID_US (500 * LP_US_PER_MS)
-/* Members and upstreams change slowly against this. */
+/* Interval at which dispatchers are assigned again. Members and upstreams
+ * change more slowly. */
 #define ASSIGNMENT_INTERVAL_MS 200
-/* Members that are being met may all be heard before the wait would end. */
+/* Polls for the end of member discovery: it may end early, when all known
+ * members have been heard. */
 #define DISCOVERY_POLL_MS 10
-/* To place prompts at so many engines is as much work as to keep one upstream
+/* Placing prompts at this many engines is as much work as keeping one upstream
  * of stages full. */
 #define ENGINES_PER_STAGE_UPSTREAM 4
-/* Parts of a service that can be told apart. */
+/* As many as own_shards() has bits. */
 #define SHARDS_MAX 64
 
 struct stage_service {
 	char *name;
-	bool is_engines; /* prompts are placed there, no pieces dispatched */
-	bool is_placed_here; /* and we place some of them, members being met */
+	bool is_engines;     /* takes prompts that are placed, not pieces */
+	bool is_placed_here; /* this entry is placer of some shard */
 	uint32_t shards;
-	uint64_t dispatchers[SHARDS_MAX];
-	int64_t acquired_us; /* when the last part became ours */
+	uint64_t dispatchers[SHARDS_MAX]; /* peer hash of each shard's */
+	int64_t acquired_us; /* when this entry last took over a shard */
 	struct admission_memory latencies[DIRECT_RANKS];
-	int64_t queue_waits_us[DIRECT_RANKS]; /* at the dispatcher */
+	int64_t queue_waits_us[DIRECT_RANKS]; /* reported by the dispatcher */
 	int64_t queue_waits_received_us;
 };
 
-/* Pieces of one stage of a request that were asked for together. */
+/* Pieces of one stage of a request that were submitted together. */
 struct submission {
 	struct direct_stages *stages;
 	uint64_t number;
 	struct direct_request *request;
 	uint32_t stage;
-	uint32_t round; /* direct_request_round() when it was asked, ... */
-	int64_t submitted_us; /* and the time */
+	uint32_t round; /* direct_request_round() at submission */
+	int64_t submitted_us;
 	struct stage_service *service;
-	struct direct_job *job;	 /* served here; NULL: at a peer, or waits */
-	struct direct_work work; /* at a peer: kept to be asked elsewhere */
+	struct direct_job *job;	 /* in our queue; NULL: at a peer or waiting */
+	struct direct_work work; /* at a peer: kept for submission elsewhere */
 };
 
 struct direct_stages {
@@ -50,9 +60,9 @@
 	GHashTable *services;	 /* name -> struct stage_service */
 	GHashTable *submissions; /* number -> struct submission */
 	uint64_t next_number;
-	double phase; /* unlike that of other entries: warmup.h, rate_limit.h */
+	double phase; /* random per entry: warmup.h, rate_limit.h */
 	guint assignment_timer;
-	guint discovery_timer; /* pieces wait for it; 0: members are met */
+	guint discovery_timer; /* runs while pieces wait for member discovery */
 };
 
 static int64_t time_now_us(const struct direct_stages *stages)
@@ -65,7 +75,7 @@
 	return CLAMP(priority, 0, DIRECT_RANKS - 1);
 }
 
-/* ---- who dispatches ---- */
+/* ---- assignment of dispatchers ---- */
 
 static void free_service(gpointer data)
 {
@@ -128,7 +138,7 @@
 	log_dispatcher(stages, service, shard, dispatcher, members);
 }
 
-/* Bits of the parts that are ours. */
+/* Bit mask of the shards that this entry dispatches or places. */
 static uint64_t own_shards(const struct direct_stages *stages,
 			   const struct stage_service *service)
 {
@@ -140,8 +150,9 @@
 	return own;
 }
 
-/* Our own queue calls the upstreams of the parts that are ours; all of them
- * while none is, for who believes that they are. */
+/* Our own queue calls the upstreams of our shards. Without any shard it calls
+ * all upstreams: peers that still take this entry for the dispatcher may send
+ * it pieces. */
 static void set_own_shards(struct direct_stages *stages,
 			   const struct stage_service *service)
 {
@@ -209,15 +220,15 @@
 	return own_shards(stages, service) != 0;
 }
 
-/* Whether we send to a service on behalf of all entries; plain services have
- * nobody who does. */
+/* Whether this entry sends to a service on behalf of all entries. Nobody does
+ * for a plain service, unless there is only one entry. */
 static bool sends_for_all(const struct direct_stages *stages,
 			  const struct stage_service *service, uint32_t members)
 {
 	return members < 2 || (service && owns_any_shard(stages, service));
 }
 
-/* Ours, of what a cold upstream of a service takes. */
+/* This entry's share of the request rate that a cold upstream takes. */
 static double own_warmup_share(const struct stage_service *service,
 			       bool for_all, uint32_t members)
 {
@@ -264,7 +275,7 @@
 	return share;
 }
 
-/* Our shares of the limits that upstreams name. */
+/* This entry's shares of the rates that upstreams advertise. */
 static void set_rate_limit_shares(struct direct_stages *stages)
 {
 	const struct direct_peers *peers =
@@ -335,7 +346,7 @@
 	set_rate_limit_shares(stages);
 }
 
-/* Whoever begins to place prompts asks what is in the engines' memory. */
+/* A new placer queries the engines' prefix caches. */
 static void query_acquired_engines(struct direct_stages *stages)
 {
 	GHashTableIter iter;
@@ -363,8 +374,8 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* Services of stages are known from the configuration, so that all entries
- * share them out alike. */
+/* Services are taken from the configuration, not from requests, so that all
+ * entries assign the same dispatchers. */
 void direct_stages_configure(struct direct_stages *stages,
 			     const struct direct_config *config)
 {
@@ -388,7 +399,7 @@
 uint64_t direct_stages_dispatcher(struct direct_stages *stages,
 				  const struct pool_upstream *upstream)
 {
-	/* Before a configuration names it, nobody dispatches a service. */
+	/* A service has no dispatcher until a configuration names it. */
 	const struct stage_service *service =
 		g_hash_table_lookup(stages->services, upstream->entry.service);
 	uint64_t dispatcher;
@@ -407,7 +418,8 @@
 
 	if (!service || !service->is_engines || !ask->parts_count)
 		return;
-	/* By the last part that others share. */
+	/* By the last prefix block but one: the last block is taken as not
+	 * shared with other prompts. */
 	ask->share_count = service->shards;
 	ask->share = (uint32_t)(ask->parts[last ? last - 1 : 0].id %
 				service->shards);
@@ -425,7 +437,7 @@
 	return service->dispatchers[ask->share];
 }
 
-/* ---- asks ---- */
+/* ---- submissions ---- */
 
 static void free_submission(gpointer data)
 {
@@ -440,7 +452,8 @@
 {
 	struct graph *graph = submission->request->graph;
 
-	/* Our list may not name its maker yet; the dispatcher's does. */
+	/* Our upstream list may not contain the producer yet; the dispatcher's
+	 * does. */
 	if (result->result == DIRECT_ITEM_MADE)
 		graph_made(graph, submission->stage, result->index,
 			   result->handle, result->maker,
@@ -469,7 +482,7 @@
 	return false;
 }
 
-/* Calls broke off: what was asked of these upstreams is lost. */
+/* Reports the request as lost with each upstream whose call broke off. */
 static void report_lost_requests(const struct submission *submission,
 				 const struct direct_result *results,
 				 uint32_t count)
@@ -492,8 +505,8 @@
 	}
 }
 
-/* Results have come; the ask is over when `left` is 0. Its request may end by
- * this. */
+/* Stores results of a submission, which is freed when `left` is 0. The request
+ * may end and be freed in here. */
 static void deliver_results(struct submission *submission,
 			    struct direct_result *results, uint32_t count,
 			    uint32_t left)
@@ -555,7 +568,8 @@
 	submission->service->queue_waits_received_us = time_now_us(stages);
 }
 
-/* To the dispatcher of its part, or to our own queue. */
+/* Sends a submission to the dispatcher of its shard, or adds it to our own
+ * queue if that is us or the dispatcher cannot be sent to. */
 static void dispatch(struct direct_stages *stages,
 		     struct submission *submission)
 {
@@ -599,7 +613,7 @@
 	if (!submission)
 		return;
 	assign_dispatchers(stages);
-	/* Results that still come of the old number are not ours any more. */
+	/* Results that still arrive under the old number match nothing. */
 	g_hash_table_steal(stages->submissions, &submission->number);
 	submission->number = stages->next_number++;
 	g_hash_table_insert(stages->submissions, &submission->number,
@@ -660,7 +674,7 @@
 	}
 }
 
-/* ---- giving results up ---- */
+/* ---- freeing results ---- */
 
 static void free_results(struct direct_stages *stages, const GArray *results)
 {
@@ -685,7 +699,8 @@
 	free_results(stages, results);
 }
 
-/* Pieces that wait with the old inputs are not made. */
+/* Marks the submitted pieces of a stage as missing: they were queued with
+ * inputs that are gone. */
 static void reset_submitted(struct graph *graph, uint32_t stage)
 {
 	for (uint32_t i = 0; i < graph_pieces(graph, stage); i++)
@@ -780,7 +795,7 @@
 						 free_service);
 	stages->submissions = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						    NULL, free_submission);
-	/* Unlike those of an earlier life. */
+	/* Random, to differ from those of an earlier start. */
 	stages->next_number = lp_random_u64();
 	stages->phase = g_random_double();
 	stages->assignment_timer = lp_timer_add(ASSIGNMENT_INTERVAL_MS,
