--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -8,47 +8,47 @@
 #include <string.h>
 
 /* A call may take this many times what is expected of it. */
-#define CALL_SLACK 3
+#define CALL_TIMEOUT_FACTOR 3
 #define CALL_TIMEOUT_MIN_US (700 * LP_US_PER_MS)
 /* A question about room; what is not told by then is not worth waiting for. */
-#define ROOM_TIMEOUT_US (500 * LP_US_PER_MS)
+#define MEMORY_QUERY_TIMEOUT_US (500 * LP_US_PER_MS)
 /* Peers that hear of an upstream that does not answer leave it alone for as
  * long as it would take them to find out. */
-#define TELL_ASIDE_US (1 * LP_US_PER_S)
+#define PEER_EJECTION_US (1 * LP_US_PER_S)
 
-struct service {
+struct call_queue {
 	struct direct_calls *calls;
 	struct pieces *pieces;
 	char *name;
-	guint wake;
+	guint wake_timer;
 };
 
 struct direct_job {
 	struct direct_calls *calls;
-	struct service *service;
+	struct call_queue *queue;
 	struct direct_work work;
-	uint32_t open; /* pieces not told of yet */
-	bool telling;  /* its owner is being told of results */
-	bool dropped;  /* nobody waits for it any more */
-	direct_made_fn made;
+	uint32_t open_pieces; /* pieces not told of yet */
+	bool is_notifying;    /* its owner is being told of results */
+	bool is_cancelled;    /* nobody waits for it any more */
+	direct_results_fn on_results;
 	void *userdata;
 };
 
 struct direct_calls {
 	struct direct *direct;
-	GHashTable *services;  /* name -> struct service */
-	GHashTable *under_way; /* of struct stage_call */
-	GHashTable *questions; /* of struct room_question */
+	GHashTable *queues;	     /* name -> struct call_queue */
+	GHashTable *calls_in_flight; /* of struct stage_call */
+	GHashTable *memory_queries;  /* of struct memory_query */
 	guint run_source;
 };
 
 struct stage_call {
 	struct direct_calls *calls;
-	struct service *service;
-	struct pieces_call *call;
+	struct call_queue *queue;
+	struct pieces_call *batch;
 	struct direct_fetch *fetch;
-	uint32_t no_room; /* pieces not made for want of it */
-	bool lost;	  /* it was sent, and no whole answer came */
+	uint32_t no_memory_pieces; /* pieces not made for want of it */
+	bool is_lost;		   /* it was sent, and no whole answer came */
 	struct direct_reply reply;
 	int64_t born_ms; /* of the upstream that answered; 0: not said */
 };
@@ -71,19 +71,19 @@
 
 /* ---- services ---- */
 
-static void free_service(gpointer data)
+static void free_queue(gpointer data)
 {
-	struct service *service = data;
+	struct call_queue *queue = data;
 
-	if (service->wake)
-		g_source_remove(service->wake);
-	pieces_destroy(service->pieces);
-	g_free(service->name);
-	g_free(service);
+	if (queue->wake_timer)
+		g_source_remove(queue->wake_timer);
+	pieces_destroy(queue->pieces);
+	g_free(queue->name);
+	g_free(queue);
 }
 
-static void set_figures(struct pieces_options *options,
-			const struct direct_service *figures)
+static void set_service_limits(struct pieces_options *options,
+			       const struct direct_service *figures)
 {
 	options->batch_max = 1;
 	if (!figures || !figures->does_pieces)
@@ -95,27 +95,28 @@
 	options->linger_us = figures->linger_us;
 }
 
-static struct service *service_of(struct direct_calls *calls, const char *name)
+static struct call_queue *get_or_create_queue(struct direct_calls *calls,
+					      const char *name)
 {
 	struct direct *direct = calls->direct;
 	const struct direct_service *figures =
 		direct_config_service(direct->config, name);
-	struct service *service = g_hash_table_lookup(calls->services, name);
+	struct call_queue *queue = g_hash_table_lookup(calls->queues, name);
 	struct pieces_options options = {
 		.clock = direct->options.clock,
 		.pool = direct->pool,
 		.service = name,
 	};
 
-	if (service)
-		return service;
-	set_figures(&options, figures);
-	service = g_new0(struct service, 1);
-	service->calls = calls;
-	service->name = g_strdup(name);
-	service->pieces = pieces_create(&options);
-	g_hash_table_insert(calls->services, service->name, service);
-	return service;
+	if (queue)
+		return queue;
+	set_service_limits(&options, figures);
+	queue = g_new0(struct call_queue, 1);
+	queue->calls = calls;
+	queue->name = g_strdup(name);
+	queue->pieces = pieces_create(&options);
+	g_hash_table_insert(calls->queues, queue->name, queue);
+	return queue;
 }
 
 void direct_calls_configure(struct direct_calls *calls,
@@ -124,21 +125,22 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, calls->services);
+	g_hash_table_iter_init(&iter, calls->queues);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct service *service = value;
+		struct call_queue *queue = value;
 		struct pieces_options figures = { 0 };
 
-		set_figures(&figures,
-			    direct_config_service(config, service->name));
-		pieces_set(service->pieces, &figures);
+		set_service_limits(&figures,
+				   direct_config_service(config, queue->name));
+		pieces_set(queue->pieces, &figures);
 	}
 }
 
-void direct_calls_set_parts(struct direct_calls *calls, const char *service,
-			    uint32_t parts, uint64_t own)
+void direct_calls_set_shards(struct direct_calls *calls, const char *service,
+			     uint32_t shards, uint64_t own)
 {
-	pieces_set_parts(service_of(calls, service)->pieces, parts, own);
+	pieces_set_parts(get_or_create_queue(calls, service)->pieces, shards,
+			 own);
 }
 
 /* ---- jobs ---- */
@@ -151,37 +153,38 @@
 
 struct direct_job *direct_calls_add(struct direct_calls *calls,
 				    struct direct_work *work,
-				    direct_made_fn made, void *userdata)
+				    direct_results_fn on_results,
+				    void *userdata)
 {
 	struct direct_job *job = g_new0(struct direct_job, 1);
 	struct piece piece = work->piece;
 
 	job->calls = calls;
-	job->service = service_of(calls, work->service);
+	job->queue = get_or_create_queue(calls, work->service);
 	job->work = *work;
 	memset(work, 0, sizeof(*work));
-	job->open = job->work.indices->len;
-	job->made = made;
+	job->open_pieces = job->work.indices->len;
+	job->on_results = on_results;
 	job->userdata = userdata;
 	piece.request = job;
 	for (guint i = 0; i < job->work.indices->len; i++) {
 		piece.index = g_array_index(job->work.indices, uint32_t, i);
-		pieces_add(job->service->pieces, &piece);
+		pieces_add(job->queue->pieces, &piece);
 	}
 	schedule_run(calls);
 	return job;
 }
 
-void direct_calls_drop(struct direct_job *job)
+void direct_calls_cancel(struct direct_job *job)
 {
-	job->dropped = true;
-	job->open -= pieces_drop(job->service->pieces, job);
-	if (!job->open && !job->telling)
+	job->is_cancelled = true;
+	job->open_pieces -= pieces_drop(job->queue->pieces, job);
+	if (!job->open_pieces && !job->is_notifying)
 		free_job(job);
 }
 
-static void give_up(struct direct_job *job, struct direct_result *results,
-		    uint32_t count)
+static void free_results(struct direct_job *job, struct direct_result *results,
+			 uint32_t count)
 {
 	struct direct *direct = job->calls->direct;
 
@@ -194,19 +197,20 @@
 	}
 }
 
-static void tell_job(struct direct_job *job, struct direct_result *results,
-		     uint32_t count)
+static void notify_job(struct direct_job *job, struct direct_result *results,
+		       uint32_t count)
 {
-	job->open -= count;
-	job->telling = true;
-	if (job->dropped)
-		give_up(job, results, count);
+	job->open_pieces -= count;
+	job->is_notifying = true;
+	if (job->is_cancelled)
+		free_results(job, results, count);
 	else
-		job->made(job->userdata, results, count, job->open);
-	job->telling = false;
+		job->on_results(job->userdata, results, count,
+				job->open_pieces);
+	job->is_notifying = false;
 	for (uint32_t i = 0; i < count; i++)
 		g_free(results[i].handle);
-	if (!job->open)
+	if (!job->open_pieces)
 		free_job(job);
 }
 
@@ -215,21 +219,21 @@
 static void log_call(const struct stage_call *call, const char *outcome)
 {
 	struct lp_event_log *log = call->calls->direct->options.log;
-	const struct pieces_call *made = call->call;
+	const struct pieces_call *batch = call->batch;
 	int64_t now_us = lp_now_us(call->calls->direct->options.clock);
 
 	if (!lp_event_begin(log, "stage_call", NULL))
 		return;
-	lp_event_text(log, "service", call->service->name);
-	lp_event_text(log, "upstream", made->upstream->entry.id);
+	lp_event_text(log, "service", call->queue->name);
+	lp_event_text(log, "upstream", batch->upstream->entry.id);
 	lp_event_text(log, "outcome", outcome);
-	lp_event_int(log, "pieces", made->pieces->len);
-	lp_event_int(log, "no_room", call->no_room);
-	lp_event_int(log, "own_bytes", made->own_bytes);
+	lp_event_int(log, "pieces", batch->pieces->len);
+	lp_event_int(log, "no_room", call->no_memory_pieces);
+	lp_event_int(log, "own_bytes", batch->own_bytes);
 	lp_event_int(log, "other_bytes",
-		     room_other_bytes(made->upstream->room));
-	lp_event_int(log, "took_us", now_us - made->started_us);
-	lp_event_int(log, "expected_us", made->expected_us);
+		     room_other_bytes(batch->upstream->room));
+	lp_event_int(log, "took_us", now_us - batch->started_us);
+	lp_event_int(log, "expected_us", batch->expected_us);
 	lp_event_int(log, "rest_us", call->reply.rest_us);
 	lp_event_int(log, "others_running", call->reply.running);
 	lp_event_int(log, "others_waiting", call->reply.waiting);
@@ -241,54 +245,55 @@
 					const struct http_fetch_answer *answer)
 {
 	const struct direct_codec *codec = call->calls->direct->options.codec;
-	uint32_t count = call->call->pieces->len;
-	struct direct_made *made;
+	uint32_t count = call->batch->pieces->len;
+	struct direct_made *items;
 
 	if (answer->error || answer->status != 200)
 		return NULL;
-	made = g_new0(struct direct_made, count);
-	if (codec->read_items(answer->body, answer->size, made, count,
+	items = g_new0(struct direct_made, count);
+	if (codec->read_items(answer->body, answer->size, items, count,
 			      &call->born_ms))
-		return made;
-	g_free(made);
+		return items;
+	g_free(items);
 	return NULL;
 }
 
 /* What came of one piece; its handle is moved. `maker`: 0 if whoever made it
  * has ended, and its results with it. */
 static struct direct_result result_of(const struct stage_call *call, guint at,
-				      struct direct_made *made, uint64_t maker)
+				      struct direct_made *items,
+				      uint64_t producer)
 {
-	struct pieces *pieces = call->service->pieces;
+	struct pieces *pieces = call->queue->pieces;
 	const struct piece *piece =
-		&g_array_index(call->call->pieces, struct piece, at);
+		&g_array_index(call->batch->pieces, struct piece, at);
 	struct direct_result result = {
 		.index = piece->index,
-		.result = made ? made[at].result : DIRECT_ITEM_FAILED,
-		.maker = maker,
+		.result = items ? items[at].result : DIRECT_ITEM_FAILED,
+		.maker = producer,
 	};
 
-	if (!maker && result.result == DIRECT_ITEM_MADE)
+	if (!producer && result.result == DIRECT_ITEM_MADE)
 		result.result = DIRECT_ITEM_FAILED;
-	if (call->lost) {
+	if (call->is_lost) {
 		result.result = DIRECT_ITEM_LOST;
-		result.maker = call->call->upstream->life;
+		result.maker = call->batch->upstream->life;
 	}
 	if (result.result == DIRECT_ITEM_MADE) {
-		result.handle = g_steal_pointer(&made[at].handle);
-		pieces_made(pieces, call->call, piece, result.handle);
+		result.handle = g_steal_pointer(&items[at].handle);
+		pieces_made(pieces, call->batch, piece, result.handle);
 	} else {
-		pieces_not_made(pieces, call->call, piece,
+		pieces_not_made(pieces, call->batch, piece,
 				result.result == DIRECT_ITEM_NO_ROOM);
 	}
 	return result;
 }
 
 /* Tell the jobs of a call, each of all its pieces at once. */
-static void take_results(struct stage_call *call, struct direct_made *made,
-			 uint64_t maker)
+static void deliver_results(struct stage_call *call, struct direct_made *items,
+			    uint64_t producer)
 {
-	GArray *pieces = call->call->pieces;
+	GArray *pieces = call->batch->pieces;
 	g_autoptr(GArray) results =
 		g_array_new(FALSE, FALSE, sizeof(struct direct_result));
 
@@ -304,34 +309,34 @@
 
 			if (piece->request != job)
 				continue;
-			result = result_of(call, j, made, maker);
+			result = result_of(call, j, items, producer);
 			g_array_append_val(results, result);
 			piece->request = NULL;
 		}
 		if (job)
-			tell_job(job, (struct direct_result *)results->data,
-				 results->len);
+			notify_job(job, (struct direct_result *)results->data,
+				   results->len);
 	}
 }
 
 /* The life of whoever answered; 0: it has ended. */
-static uint64_t maker_of(const struct stage_call *call)
+static uint64_t find_producer(const struct stage_call *call)
 {
-	struct pool_upstream *maker =
-		pool_answered(call->calls->direct->pool, call->call->upstream,
-			      call->born_ms, call->call->started_us);
+	struct pool_upstream *producer =
+		pool_answered(call->calls->direct->pool, call->batch->upstream,
+			      call->born_ms, call->batch->started_us);
 
-	return maker ? maker->life : 0;
+	return producer ? producer->life : 0;
 }
 
 static enum pool_outcome outcome_of(const struct stage_call *call, int error,
-				    const struct direct_made *made)
+				    const struct direct_made *items)
 {
 	if (error)
 		return POOL_UNREACHABLE;
 	if (call->reply.other_process)
 		return POOL_WRONG;
-	if (made)
+	if (items)
 		return POOL_SERVED;
 	return call->reply.not_run ? POOL_FULL : POOL_ERROR;
 }
@@ -346,42 +351,45 @@
 }
 
 /* What its end says of the upstream's own. */
-static void note_end(const struct stage_call *call,
-		     const struct http_fetch_answer *answer)
+static void report_termination(const struct stage_call *call,
+			       const struct http_fetch_answer *answer)
 {
 	struct direct_ends *ends = call->calls->direct->ends;
 
 	if (answer->error == LP_ERROR_NOT_LISTENING)
-		direct_ends_saw(ends, call->call->upstream, DIRECT_END_REFUSED);
+		direct_ends_saw(ends, call->batch->upstream,
+				DIRECT_END_REFUSED);
 	else if (!answer->error && call->reply.other_process)
-		direct_ends_saw(ends, call->call->upstream,
+		direct_ends_saw(ends, call->batch->upstream,
 				DIRECT_END_REPLACED);
 }
 
-static void end_call(struct stage_call *call,
-		     const struct http_fetch_answer *answer)
+static void finish_call(struct stage_call *call,
+			const struct http_fetch_answer *answer)
 {
 	struct direct_calls *calls = call->calls;
-	struct direct_made *made = read_results(call, answer);
-	enum pool_outcome outcome = outcome_of(call, answer->error, made);
-	uint64_t maker = made ? maker_of(call) : 0;
-	guint count = call->call->pieces->len;
-
-	call->lost = answer->error && answer->sent;
-	note_end(call, answer);
-	for (guint i = 0; made && i < count; i++)
-		call->no_room += made[i].result == DIRECT_ITEM_NO_ROOM;
-	log_call(call, made && !maker ? "restarted" : outcome_name(outcome));
-	take_results(call, made, maker);
-	for (guint i = 0; made && i < count; i++)
-		g_free(made[i].handle);
-	g_free(made);
-	g_hash_table_remove(calls->under_way, call);
+	struct direct_made *items = read_results(call, answer);
+	enum pool_outcome outcome = outcome_of(call, answer->error, items);
+	uint64_t producer = items ? find_producer(call) : 0;
+	guint count = call->batch->pieces->len;
+
+	call->is_lost = answer->error && answer->sent;
+	report_termination(call, answer);
+	for (guint i = 0; items && i < count; i++)
+		call->no_memory_pieces +=
+			items[i].result == DIRECT_ITEM_NO_ROOM;
+	log_call(call,
+		 items && !producer ? "restarted" : outcome_name(outcome));
+	deliver_results(call, items, producer);
+	for (guint i = 0; items && i < count; i++)
+		g_free(items[i].handle);
+	g_free(items);
+	g_hash_table_remove(calls->calls_in_flight, call);
 	if (outcome == POOL_UNREACHABLE && calls->direct->peers)
 		direct_peers_tell_unreachable(calls->direct->peers,
-					      call->call->upstream->life,
-					      TELL_ASIDE_US);
-	pieces_end(call->service->pieces, call->call, outcome,
+					      call->batch->upstream->life,
+					      PEER_EJECTION_US);
+	pieces_end(call->queue->pieces, call->batch, outcome,
 		   call->reply.running, call->reply.waiting);
 	g_free(call);
 	schedule_run(calls);
@@ -393,7 +401,7 @@
 	struct stage_call *call = userdata;
 
 	call->reply = *reply;
-	end_call(call, answer);
+	finish_call(call, answer);
 }
 
 /* What stands for the answer of a call that could not be made or is dropped. */
@@ -433,162 +441,163 @@
 	return body;
 }
 
-static void start_call(struct service *service, struct pieces_call *made)
+static void start_call(struct call_queue *queue, struct pieces_call *batch)
 {
-	struct direct_calls *calls = service->calls;
+	struct direct_calls *calls = queue->calls;
 	const struct direct_codec *codec = calls->direct->options.codec;
-	g_autofree char *body = write_items(calls, made->pieces);
+	g_autofree char *body = write_items(calls, batch->pieces);
 	struct stage_call *call = g_new0(struct stage_call, 1);
 
 	call->calls = calls;
-	call->service = service;
-	call->call = made;
+	call->queue = queue;
+	call->batch = batch;
 	call->reply.running = -1;
 	call->reply.waiting = -1;
-	g_hash_table_add(calls->under_way, call);
+	g_hash_table_add(calls->calls_in_flight, call);
 	call->fetch = direct_fetch_start(&(struct direct_fetch_options){
 		.codec = codec,
 		.notices = calls->direct->notices,
-		.upstream = made->upstream,
+		.upstream = batch->upstream,
 		.method = "POST",
 		.target = codec->items_target,
 		.body = body,
-		.timeout_us = MAX(CALL_SLACK * made->expected_us,
+		.timeout_us = MAX(CALL_TIMEOUT_FACTOR * batch->expected_us,
 				  CALL_TIMEOUT_MIN_US),
 		.done = on_call_done,
 		.userdata = call,
 	});
 	if (!call->fetch)
-		end_call(call, &no_answer);
+		finish_call(call, &no_answer);
 }
 
 /* ---- an upstream's room ---- */
 
-struct room_question {
-	struct service *service;
+struct memory_query {
+	struct call_queue *queue;
 	struct pool_upstream *upstream; /* held */
 	int64_t own_bytes;
-	int64_t asked_us;
+	int64_t sent_us;
 	struct direct_fetch *fetch;
 };
 
-static void log_room(const struct room_question *question, bool told,
-		     int64_t least_bytes)
+static void log_memory_query(const struct memory_query *query, bool is_answered,
+			     int64_t least_bytes)
 {
-	struct lp_event_log *log =
-		question->service->calls->direct->options.log;
+	struct lp_event_log *log = query->queue->calls->direct->options.log;
 
 	if (!lp_event_begin(log, "room_asked", NULL))
 		return;
-	lp_event_text(log, "service", question->service->name);
-	lp_event_text(log, "upstream", question->upstream->entry.id);
-	lp_event_text(log, "outcome", told ? "told" : "not_told");
+	lp_event_text(log, "service", query->queue->name);
+	lp_event_text(log, "upstream", query->upstream->entry.id);
+	lp_event_text(log, "outcome", is_answered ? "told" : "not_told");
 	lp_event_int(log, "least_bytes", least_bytes);
-	lp_event_int(log, "own_bytes", question->own_bytes);
+	lp_event_int(log, "own_bytes", query->own_bytes);
 	lp_event_int(log, "other_bytes",
-		     room_other_bytes(question->upstream->room));
+		     room_other_bytes(query->upstream->room));
 	lp_event_end(log);
 }
 
-static void end_question(struct room_question *question)
+static void finish_memory_query(struct memory_query *query)
 {
-	g_hash_table_remove(question->service->calls->questions, question);
-	pool_release(question->upstream);
-	g_free(question);
+	g_hash_table_remove(query->queue->calls->memory_queries, query);
+	pool_release(query->upstream);
+	g_free(query);
 }
 
 /* What the life that was asked says of itself; not what another one has. */
-static bool read_room(const struct room_question *question,
-		      const struct http_fetch_answer *answer,
-		      struct direct_room *room)
+static bool read_memory_answer(const struct memory_query *query,
+			       const struct http_fetch_answer *answer,
+			       struct direct_room *room)
 {
-	struct direct *direct = question->service->calls->direct;
+	struct direct *direct = query->queue->calls->direct;
 
 	return !answer->error && answer->status == 200 &&
 	       direct->options.codec->read_room(answer->body, answer->size,
 						room) &&
-	       pool_answered(direct->pool, question->upstream, room->born_ms,
-			     question->asked_us) == question->upstream;
+	       pool_answered(direct->pool, query->upstream, room->born_ms,
+			     query->sent_us) == query->upstream;
 }
 
 /* Not told: calls go there all the same, and tell. */
-static void on_room_told(void *userdata, const struct http_fetch_answer *answer,
-			 const struct direct_reply *reply)
+static void on_memory_answer(void *userdata,
+			     const struct http_fetch_answer *answer,
+			     const struct direct_reply *reply)
 {
-	struct room_question *question = userdata;
-	struct direct_calls *calls = question->service->calls;
+	struct memory_query *query = userdata;
+	struct direct_calls *calls = query->queue->calls;
 	struct direct_room room = { 0 };
-	bool told = read_room(question, answer, &room);
+	bool is_answered = read_memory_answer(query, answer, &room);
 
-	if (told)
-		pieces_room_told(question->service->pieces, question->upstream,
-				 question->own_bytes, room.least_bytes,
+	if (is_answered)
+		pieces_room_told(query->queue->pieces, query->upstream,
+				 query->own_bytes, room.least_bytes,
 				 room.most_bytes);
-	log_room(question, told, room.least_bytes);
-	end_question(question);
+	log_memory_query(query, is_answered, room.least_bytes);
+	finish_memory_query(query);
 	schedule_run(calls);
 }
 
-static void ask_room(struct service *service, struct pool_upstream *upstream)
+static void query_memory(struct call_queue *queue,
+			 struct pool_upstream *upstream)
 {
-	struct direct_calls *calls = service->calls;
+	struct direct_calls *calls = queue->calls;
 	const struct direct_codec *codec = calls->direct->options.codec;
-	struct room_question *question = g_new0(struct room_question, 1);
-
-	question->service = service;
-	question->upstream = pool_hold(upstream);
-	question->own_bytes = room_own_bytes(upstream->room);
-	question->asked_us = lp_now_us(calls->direct->options.clock);
-	g_hash_table_add(calls->questions, question);
-	question->fetch = direct_fetch_start(&(struct direct_fetch_options){
+	struct memory_query *query = g_new0(struct memory_query, 1);
+
+	query->queue = queue;
+	query->upstream = pool_hold(upstream);
+	query->own_bytes = room_own_bytes(upstream->room);
+	query->sent_us = lp_now_us(calls->direct->options.clock);
+	g_hash_table_add(calls->memory_queries, query);
+	query->fetch = direct_fetch_start(&(struct direct_fetch_options){
 		.codec = codec,
 		.notices = calls->direct->notices,
 		.upstream = upstream,
 		.method = "GET",
 		.target = codec->room_target,
-		.timeout_us = ROOM_TIMEOUT_US,
-		.done = on_room_told,
-		.userdata = question,
+		.timeout_us = MEMORY_QUERY_TIMEOUT_US,
+		.done = on_memory_answer,
+		.userdata = query,
 	});
-	if (!question->fetch)
-		end_question(question);
+	if (!query->fetch)
+		finish_memory_query(query);
 }
 
-static gboolean on_wake(gpointer userdata)
+static gboolean on_wake_timer(gpointer userdata)
 {
-	struct service *service = userdata;
+	struct call_queue *queue = userdata;
 
-	service->wake = 0;
-	schedule_run(service->calls);
+	queue->wake_timer = 0;
+	schedule_run(queue->calls);
 	return G_SOURCE_REMOVE;
 }
 
-static void set_wake(struct service *service)
+static void set_wake_timer(struct call_queue *queue)
 {
-	int64_t wake_us = pieces_wake_us(service->pieces);
-	int64_t now_us = lp_now_us(service->calls->direct->options.clock);
+	int64_t wake_us = pieces_wake_us(queue->pieces);
+	int64_t now_us = lp_now_us(queue->calls->direct->options.clock);
 
-	if (!wake_us || service->wake)
+	if (!wake_us || queue->wake_timer)
 		return;
-	service->wake =
+	queue->wake_timer =
 		lp_timer_add((guint)(MAX(wake_us - now_us, 0) / LP_US_PER_MS),
-			     on_wake, service);
+			     on_wake_timer, queue);
 }
 
 void direct_calls_run(struct direct_calls *calls)
 {
-	g_autoptr(GList) services = g_hash_table_get_values(calls->services);
+	g_autoptr(GList) queues = g_hash_table_get_values(calls->queues);
 
-	for (GList *at = services; at; at = at->next) {
-		struct service *service = at->data;
+	for (GList *at = queues; at; at = at->next) {
+		struct call_queue *queue = at->data;
 		struct pool_upstream *upstream;
-		struct pieces_call *call;
+		struct pieces_call *batch;
 
-		while ((upstream = pieces_ask_room(service->pieces)))
-			ask_room(service, upstream);
-		while ((call = pieces_next(service->pieces)))
-			start_call(service, call);
-		set_wake(service);
+		while ((upstream = pieces_ask_room(queue->pieces)))
+			query_memory(queue, upstream);
+		while ((batch = pieces_next(queue->pieces)))
+			start_call(queue, batch);
+		set_wake_timer(queue);
 	}
 }
 
@@ -612,14 +621,16 @@
 int64_t direct_calls_estimate_us(struct direct_calls *calls,
 				 const char *service, int32_t priority)
 {
-	return pieces_estimate_us(service_of(calls, service)->pieces, priority);
+	return pieces_estimate_us(get_or_create_queue(calls, service)->pieces,
+				  priority);
 }
 
 void direct_calls_estimate_each_us(struct direct_calls *calls,
 				   const char *service, int64_t *out,
 				   int32_t count)
 {
-	pieces_estimate_each_us(service_of(calls, service)->pieces, out, count);
+	pieces_estimate_each_us(get_or_create_queue(calls, service)->pieces,
+				out, count);
 }
 
 struct direct_calls *direct_calls_create(struct direct *direct)
@@ -627,45 +638,45 @@
 	struct direct_calls *calls = g_new0(struct direct_calls, 1);
 
 	calls->direct = direct;
-	calls->services = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-						free_service);
-	calls->under_way = g_hash_table_new(NULL, NULL);
-	calls->questions = g_hash_table_new(NULL, NULL);
+	calls->queues = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+					      free_queue);
+	calls->calls_in_flight = g_hash_table_new(NULL, NULL);
+	calls->memory_queries = g_hash_table_new(NULL, NULL);
 	return calls;
 }
 
-static void end_under_way(struct direct_calls *calls)
+static void cancel_calls_in_flight(struct direct_calls *calls)
 {
-	g_autoptr(GList) list = g_hash_table_get_keys(calls->under_way);
+	g_autoptr(GList) list = g_hash_table_get_keys(calls->calls_in_flight);
 
 	for (GList *at = list; at; at = at->next) {
 		struct stage_call *call = at->data;
 
 		direct_fetch_cancel(call->fetch);
-		end_call(call, &no_answer);
+		finish_call(call, &no_answer);
 	}
 }
 
-static void drop_questions(struct direct_calls *calls)
+static void cancel_memory_queries(struct direct_calls *calls)
 {
-	g_autoptr(GList) list = g_hash_table_get_keys(calls->questions);
+	g_autoptr(GList) list = g_hash_table_get_keys(calls->memory_queries);
 
 	for (GList *at = list; at; at = at->next) {
-		struct room_question *question = at->data;
+		struct memory_query *query = at->data;
 
-		direct_fetch_cancel(question->fetch);
-		end_question(question);
+		direct_fetch_cancel(query->fetch);
+		finish_memory_query(query);
 	}
 }
 
 void direct_calls_destroy(struct direct_calls *calls)
 {
-	end_under_way(calls);
-	drop_questions(calls);
+	cancel_calls_in_flight(calls);
+	cancel_memory_queries(calls);
 	if (calls->run_source)
 		g_source_remove(calls->run_source);
-	g_hash_table_unref(calls->services);
-	g_hash_table_unref(calls->under_way);
-	g_hash_table_unref(calls->questions);
+	g_hash_table_unref(calls->queues);
+	g_hash_table_unref(calls->calls_in_flight);
+	g_hash_table_unref(calls->memory_queries);
 	g_free(calls);
 }
--- a/direct/direct_calls.h
+++ b/direct/direct_calls.h
@@ -39,8 +39,8 @@
  * Results for a job's owner, who may take handles. `left`: pieces of which
  * nothing is known yet; at 0 the job is over and its pointer ends.
  */
-typedef void (*direct_made_fn)(void *userdata, struct direct_result *results,
-			       uint32_t count, uint32_t left);
+typedef void (*direct_results_fn)(void *userdata, struct direct_result *results,
+				  uint32_t count, uint32_t left);
 
 void direct_work_clear(struct direct_work *work);
 
@@ -51,14 +51,15 @@
 void direct_calls_configure(struct direct_calls *calls,
 			    const struct direct_config *config);
 /** Of a service in so many parts we dispatch those whose bits are set. */
-void direct_calls_set_parts(struct direct_calls *calls, const char *service,
-			    uint32_t parts, uint64_t own);
+void direct_calls_set_shards(struct direct_calls *calls, const char *service,
+			     uint32_t shards, uint64_t own);
 /** Takes over the fields of `work` and leaves it empty. */
 struct direct_job *direct_calls_add(struct direct_calls *calls,
 				    struct direct_work *work,
-				    direct_made_fn made, void *userdata);
+				    direct_results_fn on_results,
+				    void *userdata);
 /** Nobody waits for it any more; its pointer ends here. */
-void direct_calls_drop(struct direct_job *job);
+void direct_calls_cancel(struct direct_job *job);
 /** Time until a piece for this service that came now would be made. */
 int64_t direct_calls_estimate_us(struct direct_calls *calls,
 				 const char *service, int32_t priority);
--- a/direct/direct_relay.c
+++ b/direct/direct_relay.c
@@ -227,7 +227,7 @@
 
 		if (served->until_us > now(relay))
 			continue;
-		direct_calls_drop(served->job);
+		direct_calls_cancel(served->job);
 		g_hash_table_iter_remove(&iter);
 	}
 }
@@ -594,7 +594,7 @@
 	served = g_hash_table_lookup(relay->served, &key);
 	if (!served)
 		return;
-	direct_calls_drop(served->job);
+	direct_calls_cancel(served->job);
 	g_hash_table_remove(relay->served, &key);
 }
 
@@ -675,7 +675,7 @@
 
 	g_hash_table_iter_init(&iter, relay->served);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		direct_calls_drop(((struct served *)value)->job);
+		direct_calls_cancel(((struct served *)value)->job);
 }
 
 void direct_relay_destroy(struct direct_relay *relay)
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -158,8 +158,8 @@
 {
 	uint64_t own = own_shards(stages, service);
 
-	direct_calls_set_parts(stages->direct->calls, service->name,
-			       service->shards, own ? own : UINT64_MAX);
+	direct_calls_set_shards(stages->direct->calls, service->name,
+				service->shards, own ? own : UINT64_MAX);
 }
 
 static uint32_t count_shards(const struct direct_stages *stages,
@@ -651,7 +651,7 @@
 			      struct submission *submission)
 {
 	if (submission->job)
-		direct_calls_drop(submission->job);
+		direct_calls_cancel(submission->job);
 	else if (stages->direct->relay)
 		direct_relay_forget(stages->direct->relay, submission->number,
 				    true);
