--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -189,9 +189,9 @@
 	struct direct *direct = job->calls->direct;
 
 	for (uint32_t i = 0; i < count; i++) {
-		if (results[i].result != DIRECT_ITEM_MADE)
+		if (results[i].outcome != DIRECT_ITEM_MADE)
 			continue;
-		direct_results_give_up(direct->results, results[i].maker,
+		direct_results_give_up(direct->results, results[i].producer,
 				       g_steal_pointer(&results[i].handle),
 				       job->work.piece.bytes);
 	}
@@ -269,22 +269,22 @@
 		&g_array_index(call->batch->pieces, struct piece, at);
 	struct direct_result result = {
 		.index = piece->index,
-		.result = items ? items[at].result : DIRECT_ITEM_FAILED,
-		.maker = producer,
+		.outcome = items ? items[at].result : DIRECT_ITEM_FAILED,
+		.producer = producer,
 	};
 
-	if (!producer && result.result == DIRECT_ITEM_MADE)
-		result.result = DIRECT_ITEM_FAILED;
+	if (!producer && result.outcome == DIRECT_ITEM_MADE)
+		result.outcome = DIRECT_ITEM_FAILED;
 	if (call->is_lost) {
-		result.result = DIRECT_ITEM_LOST;
-		result.maker = call->batch->upstream->life;
+		result.outcome = DIRECT_ITEM_LOST;
+		result.producer = call->batch->upstream->life;
 	}
-	if (result.result == DIRECT_ITEM_MADE) {
+	if (result.outcome == DIRECT_ITEM_MADE) {
 		result.handle = g_steal_pointer(&items[at].handle);
 		pieces_made(pieces, call->batch, piece, result.handle);
 	} else {
 		pieces_not_made(pieces, call->batch, piece,
-				result.result == DIRECT_ITEM_NO_ROOM);
+				result.outcome == DIRECT_ITEM_NO_ROOM);
 	}
 	return result;
 }
--- a/direct/direct_calls.h
+++ b/direct/direct_calls.h
@@ -30,9 +30,9 @@
 /** What came of one piece. */
 struct direct_result {
 	uint32_t index;
-	enum direct_item_result result;
-	char *handle;	/**< of a made one */
-	uint64_t maker; /**< life of the upstream */
+	enum direct_item_result outcome;
+	char *handle;	   /**< of a made one */
+	uint64_t producer; /**< life of the upstream */
 };
 
 /**
--- a/direct/direct_peers.c
+++ b/direct/direct_peers.c
@@ -174,8 +174,8 @@
 
 	if (peers->ends || (!peers->open && age_us > STARTING_US))
 		return 0;
-	return age_us < peers->options.settle_us ? capacity / YOUNG_PART
-						 : capacity;
+	return age_us < peers->options.slow_start_us ? capacity / YOUNG_PART
+						     : capacity;
 }
 
 /* Members heard lately, borrowed. */
@@ -591,7 +591,8 @@
 
 		greeter->met(greeter->userdata, from->hash);
 	}
-	peers->options.config(peers->options.userdata, from->ip, version);
+	peers->options.on_config_version(peers->options.userdata, from->ip,
+					 version);
 }
 
 static void take_sign(struct direct_peers *peers, const struct peer *from)
@@ -605,7 +606,8 @@
 	gint64 aside_us;
 
 	g_variant_get(body, UNREACHABLE_TYPE, &upstream, &aside_us);
-	peers->options.unreachable(peers->options.userdata, upstream, aside_us);
+	peers->options.on_unreachable(peers->options.userdata, upstream,
+				      aside_us);
 }
 
 static void take_list(struct direct_peers *peers, const struct peer *from,
@@ -615,7 +617,8 @@
 	gint64 age_us;
 
 	g_variant_get(body, LIST_TYPE, &hash, &age_us);
-	peers->options.list(peers->options.userdata, from->ip, hash, age_us);
+	peers->options.on_upstream_list(peers->options.userdata, from->ip, hash,
+					age_us);
 }
 
 static const struct listener *listener_of(const struct direct_peers *peers,
@@ -759,8 +762,8 @@
 	peers->greeters = g_array_new(FALSE, FALSE, sizeof(struct greeter));
 	peers->start = lp_random_u64();
 	peers->started_us = lp_now_us(options->clock);
-	if (!peers->options.settle_us)
-		peers->options.settle_us = SETTLE_US;
+	if (!peers->options.slow_start_us)
+		peers->options.slow_start_us = SETTLE_US;
 	peers->source = g_socket_create_source(socket, G_IO_IN, NULL);
 	g_source_set_callback(peers->source, G_SOURCE_FUNC(on_datagram), peers,
 			      NULL);
--- a/direct/direct_peers.h
+++ b/direct/direct_peers.h
@@ -23,19 +23,20 @@
 struct direct_peers_options {
 	const struct lp_clock *clock;
 	struct lp_event_log *log;
-	const char *ip;	    /**< own; copied */
-	uint32_t capacity;  /**< own, in thousandths of a core */
-	int64_t settle_us;  /**< young for so long; 0: 8 s */
-	uint16_t port;	    /**< the same on all hosts */
-	char *const *seeds; /**< "IP:PORT"; only the IPs are used; copied */
+	const char *ip;	       /**< own; copied */
+	uint32_t capacity;     /**< own, in thousandths of a core */
+	int64_t slow_start_us; /**< young for so long; 0: 8 s */
+	uint16_t port;	       /**< the same on all hosts */
+	char *const *seeds;    /**< "IP:PORT"; only the IPs are used; copied */
 	/** A peer sets an upstream aside that it cannot reach. */
-	void (*unreachable)(void *userdata, uint64_t upstream,
-			    int64_t aside_us);
+	void (*on_unreachable)(void *userdata, uint64_t upstream,
+			       int64_t aside_us);
 	/** A peer has read the list of upstreams so long ago: its hash. */
-	void (*list)(void *userdata, const char *ip, uint64_t hash,
-		     int64_t age_us);
+	void (*on_upstream_list)(void *userdata, const char *ip, uint64_t hash,
+				 int64_t age_us);
 	/** A peer's hello: the version that it has in force. */
-	void (*config)(void *userdata, const char *ip, int64_t version);
+	void (*on_config_version)(void *userdata, const char *ip,
+				  int64_t version);
 	void *userdata;
 };
 
--- a/direct/direct_places.c
+++ b/direct/direct_places.c
@@ -177,7 +177,7 @@
 		g_variant_new(STATE_TYPE, (guint64)place->number, state,
 			      (gint64)took_us, (gint64)expected_us));
 
-	direct_peers_send(places->peers, place->peer, KIND_STATE, body);
+	direct_peers_send(places->peers, place->placer, KIND_STATE, body);
 }
 
 void direct_places_heard(struct direct_places *places,
@@ -197,7 +197,7 @@
 static void on_placed(void *userdata, uint64_t peer, GVariant *body)
 {
 	struct direct_places *places = userdata;
-	struct direct_place place = { .peer = peer };
+	struct direct_place place = { .placer = peer };
 	struct pool_upstream *upstream;
 	struct question *question;
 	guint64 number;
@@ -208,7 +208,7 @@
 		      &place.copied_tokens, &place.cold_tokens,
 		      &place.tokens_ahead, &place.wait_us);
 	place.number = number;
-	place.source = source;
+	place.copy_source = source;
 	question = g_hash_table_lookup(places->questions, &number);
 	/* Too late: placed by ourselves meanwhile. */
 	if (!question || question->peer != peer) {
--- a/direct/direct_places.h
+++ b/direct/direct_places.h
@@ -20,9 +20,9 @@
 struct direct_place {
 	int64_t wait_us; /**< nobody may take it yet: until then, about; 0: the
 			    placer does not say so */
-	uint64_t peer;	 /**< the placer */
+	uint64_t placer; /**< the placer */
 	uint64_t number; /**< of this placing */
-	uint64_t source; /**< engine to copy memory from; 0: none */
+	uint64_t copy_source; /**< engine to copy memory from; 0: none */
 	int64_t copied_tokens;
 	int64_t cold_tokens;  /**< to be read */
 	int64_t tokens_ahead; /**< at the engine before it */
--- a/direct/direct_relay.c
+++ b/direct/direct_relay.c
@@ -163,7 +163,7 @@
 static void lose(struct direct_relay *relay, uint64_t number)
 {
 	g_hash_table_remove(relay->asked, &number);
-	relay->events.lost(relay->events.userdata, number);
+	relay->events.on_lost(relay->events.userdata, number);
 }
 
 static void look_at_asked(struct direct_relay *relay)
@@ -326,7 +326,8 @@
 		g_variant_get_fixed_array(list, &count, sizeof(int64_t));
 
 	if (count == DIRECT_RANKS)
-		relay->events.waits(relay->events.userdata, number, waits_us);
+		relay->events.on_queue_waits(relay->events.userdata, number,
+					     waits_us);
 }
 
 static void on_taken(void *userdata, uint64_t peer, GVariant *body)
@@ -364,9 +365,9 @@
 			    struct direct_result *results, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++)
-		if (results[i].result == DIRECT_ITEM_MADE)
+		if (results[i].outcome == DIRECT_ITEM_MADE)
 			direct_results_give_up(
-				relay->direct->results, results[i].maker,
+				relay->direct->results, results[i].producer,
 				g_steal_pointer(&results[i].handle), 0);
 }
 
@@ -385,11 +386,11 @@
 				   &handle)) {
 		struct direct_result result = {
 			.index = index,
-			.result = MIN(kind, DIRECT_ITEM_LOST),
-			.maker = maker,
+			.outcome = MIN(kind, DIRECT_ITEM_LOST),
+			.producer = maker,
 		};
 
-		if (result.result == DIRECT_ITEM_MADE)
+		if (result.outcome == DIRECT_ITEM_MADE)
 			result.handle = g_strdup(handle);
 		g_array_append_val(results, result);
 	}
@@ -415,9 +416,9 @@
 	if (asked && asked->peer == peer) {
 		asked->taken = true;
 		take_waits(relay, number, waits);
-		relay->events.made(relay->events.userdata, number,
-				   (struct direct_result *)results->data,
-				   results->len);
+		relay->events.on_results(relay->events.userdata, number,
+					 (struct direct_result *)results->data,
+					 results->len);
 	} else {
 		give_up_results(relay, (struct direct_result *)results->data,
 				results->len);
@@ -457,10 +458,11 @@
 
 	g_variant_builder_init(&list, G_VARIANT_TYPE("a(uuts)"));
 	for (uint32_t i = 0; i < count; i++)
-		g_variant_builder_add(
-			&list, "(uuts)", results[i].index,
-			(guint32)results[i].result, (guint64)results[i].maker,
-			results[i].handle ? results[i].handle : "");
+		g_variant_builder_add(&list, "(uuts)", results[i].index,
+				      (guint32)results[i].outcome,
+				      (guint64)results[i].producer,
+				      results[i].handle ? results[i].handle
+							: "");
 	sent->serial = relay->next_serial++;
 	sent->peer = served->peer;
 	sent->sent_us = now(relay);
--- a/direct/direct_relay.h
+++ b/direct/direct_relay.h
@@ -21,13 +21,13 @@
 
 struct direct_relay_events {
 	/** Results of an ask; handles may be taken. */
-	void (*made)(void *userdata, uint64_t number,
-		     struct direct_result *results, uint32_t count);
+	void (*on_results)(void *userdata, uint64_t number,
+			   struct direct_result *results, uint32_t count);
 	/** What asks of this number wait at their dispatcher, a rank. */
-	void (*waits)(void *userdata, uint64_t number,
-		      const int64_t waits_us[DIRECT_RANKS]);
+	void (*on_queue_waits)(void *userdata, uint64_t number,
+			       const int64_t waits_us[DIRECT_RANKS]);
 	/** A dispatcher has lost this ask, or cannot be reached. */
-	void (*lost)(void *userdata, uint64_t number);
+	void (*on_lost)(void *userdata, uint64_t number);
 	void *userdata;
 };
 
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -47,7 +47,7 @@
 	if (!request->heard)
 		upstream->tokens_ahead -= request->cold_tokens;
 	pool_learn(request->direct->pool, upstream, outcome, 0, 0);
-	if (request->place.peer)
+	if (request->place.placer)
 		direct_places_ended(request->direct->places, &request->place,
 				    outcome);
 	pool_release(upstream);
@@ -276,7 +276,7 @@
 	request->upstream->tokens_ahead -= request->cold_tokens;
 	pool_learn(direct->pool, request->upstream, POOL_SERVED, took_us,
 		   request->expected_us);
-	if (request->place.peer)
+	if (request->place.placer)
 		direct_places_heard(direct->places, &request->place, took_us,
 				    request->expected_us);
 	if (request->route->kind == DIRECT_STREAM)
@@ -480,13 +480,14 @@
 	const struct direct_place *place = &request->place;
 	struct pool_ask ask;
 
-	if (!place->peer) {
+	if (!place->placer) {
 		write_pool_ask(request, &ask);
 		return pool_find_copy(pool, request->upstream, &ask);
 	}
 	return (struct pool_copy){
-		.from = place->source ? pool_find_life(pool, place->source)
-				      : NULL,
+		.from = place->copy_source
+				? pool_find_life(pool, place->copy_source)
+				: NULL,
 		.tokens = place->copied_tokens,
 		.cold_tokens = place->cold_tokens,
 	};
@@ -497,8 +498,8 @@
 {
 	const struct direct_place *place = &request->place;
 	struct pool_copy copy = find_copy(request);
-	int64_t ahead = place->peer ? place->tokens_ahead
-				    : request->upstream->tokens_ahead;
+	int64_t ahead = place->placer ? place->tokens_ahead
+				      : request->upstream->tokens_ahead;
 
 	request->copy_from = copy.from;
 	request->cold_tokens = copy.cold_tokens;
@@ -557,9 +558,9 @@
 	lp_event_int(log, "tokens_ahead", request->upstream->tokens_ahead);
 	lp_event_int(log, "expected_us", request->expected_us);
 	lp_event_text(log, "placer",
-		      request->place.peer
+		      request->place.placer
 			      ? direct_peers_ip(request->direct->peers,
-						request->place.peer)
+						request->place.placer)
 			      : "");
 	lp_event_int(log, "in_flight", request->upstream->in_flight);
 	lp_event_int(log, "waited_us", request->sent_us - request->arrived_us);
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -454,9 +454,9 @@
 
 	/* Our upstream list may not contain the producer yet; the dispatcher's
 	 * does. */
-	if (result->result == DIRECT_ITEM_MADE)
+	if (result->outcome == DIRECT_ITEM_MADE)
 		graph_made(graph, submission->stage, result->index,
-			   result->handle, result->maker,
+			   result->handle, result->producer,
 			   submission->request->route->stages[submission->stage]
 				   .bytes);
 	else
@@ -477,7 +477,7 @@
 			    enum direct_item_result kind)
 {
 	for (uint32_t i = 0; i < count; i++)
-		if (results[i].result == kind)
+		if (results[i].outcome == kind)
 			return true;
 	return false;
 }
@@ -493,10 +493,10 @@
 	for (uint32_t i = 0; i < count; i++) {
 		const struct pool_upstream *upstream;
 
-		if (results[i].result != DIRECT_ITEM_LOST)
+		if (results[i].outcome != DIRECT_ITEM_LOST)
 			continue;
-		upstream =
-			pool_find_life(request->direct->pool, results[i].maker);
+		upstream = pool_find_life(request->direct->pool,
+					  results[i].producer);
 		if (upstream && upstream != before)
 			direct_request_lost(request, upstream,
 					    submission->round,
@@ -771,9 +771,9 @@
 			     struct direct_peers *peers)
 {
 	const struct direct_relay_events events = {
-		.made = on_relay_results,
-		.waits = on_relay_waits,
-		.lost = on_relay_lost,
+		.on_results = on_relay_results,
+		.on_queue_waits = on_relay_waits,
+		.on_lost = on_relay_lost,
 		.userdata = stages,
 	};
 
--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -316,17 +316,18 @@
 		options.log = log;
 		options.ip = ip;
 		options.capacity = capacity;
-		options.settle_us = settle_us;
+		options.slow_start_us = settle_us;
 		options.port = peers_port();
 		options.seeds = seeds.data();
-		options.unreachable = [](void *, uint64_t, int64_t) {};
-		options.list = [](void *self, const char *from, uint64_t hash,
-				  int64_t age_us) {
+		options.on_unreachable = [](void *, uint64_t, int64_t) {};
+		options.on_upstream_list = [](void *self, const char *from,
+					      uint64_t hash, int64_t age_us) {
 			plf_share_heard_list(static_cast<Rig *>(self)->share,
 					     from, hash, age_us);
 		};
 		options.userdata = this;
-		options.config = [](void *, const char *, int64_t) {};
+		options.on_config_version = [](void *, const char *, int64_t) {
+		};
 		share_with(ip);
 		peers = direct_peers_create(&options);
 		ASSERT_NE(peers, nullptr);
