--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -1,4 +1,4 @@
-/** The dispatcher's side of stages: queues of pieces, calls that carry them. */
+/** Queues of pieces at their dispatcher, and the calls that carry them. */
 #include "direct/direct_calls.h"
 
 #include "base/lp_timer.h"
@@ -7,13 +7,13 @@
 
 #include <string.h>
 
-/* A call may take this many times what is expected of it. */
+/* A call times out after this many times its expected duration. */
 #define CALL_TIMEOUT_FACTOR 3
 #define CALL_TIMEOUT_MIN_US (700 * LP_US_PER_MS)
-/* A question about room; what is not told by then is not worth waiting for. */
+/* A query of result memory; a later answer is not worth waiting for. */
 #define MEMORY_QUERY_TIMEOUT_US (500 * LP_US_PER_MS)
-/* Peers that hear of an upstream that does not answer leave it alone for as
- * long as it would take them to find out. */
+/* Peers that receive the report of an unreachable upstream eject it for this
+ * long: about as long as it would take them to find out. */
 #define PEER_EJECTION_US (1 * LP_US_PER_S)
 
 struct call_queue {
@@ -27,9 +27,9 @@
 	struct direct_calls *calls;
 	struct call_queue *queue;
 	struct direct_work work;
-	uint32_t open_pieces; /* pieces not told of yet */
-	bool is_notifying;    /* its owner is being told of results */
-	bool is_cancelled;    /* nobody waits for it any more */
+	uint32_t open_pieces; /* pieces without a result yet */
+	bool is_notifying;    /* on_results is being called */
+	bool is_cancelled;    /* results are freed, not passed on */
 	direct_results_fn on_results;
 	void *userdata;
 };
@@ -47,10 +47,10 @@
 	struct call_queue *queue;
 	struct pieces_call *batch;
 	struct direct_fetch *fetch;
-	uint32_t no_memory_pieces; /* pieces not made for want of it */
-	bool is_lost;		   /* it was sent, and no whole answer came */
+	uint32_t no_memory_pieces; /* refused for want of result memory */
+	bool is_lost;		   /* was sent, but got no complete answer */
 	struct direct_reply reply;
-	int64_t born_ms; /* of the upstream that answered; 0: not said */
+	int64_t born_ms; /* start time that the upstream reported; 0: none */
 };
 
 static void schedule_run(struct direct_calls *calls);
@@ -69,7 +69,7 @@
 	memset(work, 0, sizeof(*work));
 }
 
-/* ---- services ---- */
+/* ---- queues ---- */
 
 static void free_queue(gpointer data)
 {
@@ -214,7 +214,7 @@
 		free_job(job);
 }
 
-/* ---- a call's end ---- */
+/* ---- end of a call ---- */
 
 static void log_call(const struct stage_call *call, const char *outcome)
 {
@@ -240,7 +240,8 @@
 	lp_event_end(log);
 }
 
-/* Results, or NULL when the call brought none. */
+/* Reads a result for each piece; NULL: the call failed or has no readable
+ * answer. */
 static struct direct_made *read_results(struct stage_call *call,
 					const struct http_fetch_answer *answer)
 {
@@ -258,8 +259,9 @@
 	return NULL;
 }
 
-/* What came of one piece; its handle is moved. `maker`: 0 if whoever made it
- * has ended, and its results with it. */
+/* Result of one piece, whose handle is moved out of `items`. `items`: NULL if
+ * the call failed. `producer`: 0 if that incarnation has terminated, and its
+ * results are lost. */
 static struct direct_result result_of(const struct stage_call *call, guint at,
 				      struct direct_made *items,
 				      uint64_t producer)
@@ -289,7 +291,7 @@
 	return result;
 }
 
-/* Tell the jobs of a call, each of all its pieces at once. */
+/* Passes the results of a call to its jobs, one notification for each job. */
 static void deliver_results(struct stage_call *call, struct direct_made *items,
 			    uint64_t producer)
 {
@@ -319,7 +321,7 @@
 	}
 }
 
-/* The life of whoever answered; 0: it has ended. */
+/* The incarnation that answered; 0: it has terminated since. */
 static uint64_t find_producer(const struct stage_call *call)
 {
 	struct pool_upstream *producer =
@@ -350,7 +352,8 @@
 	return names[outcome];
 }
 
-/* What its end says of the upstream's own. */
+/* Reports the upstream as terminated if its host refused the connection or
+ * another process answered. */
 static void report_termination(const struct stage_call *call,
 			       const struct http_fetch_answer *answer)
 {
@@ -404,13 +407,13 @@
 	finish_call(call, answer);
 }
 
-/* What stands for the answer of a call that could not be made or is dropped. */
+/* Stands for the answer of a call that could not be sent or is cancelled. */
 static const struct http_fetch_answer no_answer = {
 	.error = LP_ERROR_UPSTREAM_GONE,
 	.body = "",
 };
 
-/* ---- a call's start ---- */
+/* ---- start of a call ---- */
 
 static void fill_item(const struct direct_calls *calls,
 		      const struct piece *piece, struct direct_item *item)
@@ -470,11 +473,11 @@
 		finish_call(call, &no_answer);
 }
 
-/* ---- an upstream's room ---- */
+/* ---- result memory of upstreams ---- */
 
 struct memory_query {
 	struct call_queue *queue;
-	struct pool_upstream *upstream; /* held */
+	struct pool_upstream *upstream; /* held by pool_hold() */
 	int64_t own_bytes;
 	int64_t sent_us;
 	struct direct_fetch *fetch;
@@ -504,7 +507,7 @@
 	g_free(query);
 }
 
-/* What the life that was asked says of itself; not what another one has. */
+/* Reads an answer; false: there is none, or another incarnation sent it. */
 static bool read_memory_answer(const struct memory_query *query,
 			       const struct http_fetch_answer *answer,
 			       struct direct_room *room)
@@ -518,7 +521,8 @@
 			     query->sent_us) == query->upstream;
 }
 
-/* Not told: calls go there all the same, and tell. */
+/* Without an answer calls are made nevertheless; their results show how much
+ * memory there is. */
 static void on_memory_answer(void *userdata,
 			     const struct http_fetch_answer *answer,
 			     const struct direct_reply *reply)
@@ -610,7 +614,8 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Once this turn of the loop is over, so that what comes in it goes along. */
+/* Runs after this event-loop iteration, so that pieces added later in it share
+ * the calls. */
 static void schedule_run(struct direct_calls *calls)
 {
 	if (!calls->run_source)
