--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -191,9 +191,9 @@
 	for (uint32_t i = 0; i < count; i++) {
 		if (results[i].outcome != DIRECT_ITEM_MADE)
 			continue;
-		direct_results_give_up(direct->results, results[i].producer,
-				       g_steal_pointer(&results[i].handle),
-				       job->work.piece.bytes);
+		direct_results_free(direct->results, results[i].producer,
+				    g_steal_pointer(&results[i].handle),
+				    job->work.piece.bytes);
 	}
 }
 
--- a/direct/direct_results.c
+++ b/direct/direct_results.c
@@ -143,9 +143,9 @@
 		for (uint32_t j = i; j < i + part; j++)
 			g_ptr_array_add(handles, g_ptr_array_index(
 							 gathered->handles, j));
-		direct_relay_give_up(results->direct->relay, dispatcher,
-				     upstream->life, handles,
-				     gathered->bytes * part / count);
+		direct_relay_free_results(results->direct->relay, dispatcher,
+					  upstream->life, handles,
+					  gathered->bytes * part / count);
 	}
 }
 
@@ -247,8 +247,8 @@
 	return G_SOURCE_REMOVE;
 }
 
-void direct_results_give_up(struct direct_results *results, uint64_t maker,
-			    char *handle, int64_t bytes)
+void direct_results_free(struct direct_results *results, uint64_t maker,
+			 char *handle, int64_t bytes)
 {
 	struct gathered *gathered =
 		gathered_of(results, results->gathered, maker);
@@ -257,8 +257,9 @@
 	gathered->bytes += bytes;
 }
 
-void direct_results_take(struct direct_results *results, uint64_t maker,
-			 GPtrArray *handles, int64_t bytes)
+void direct_results_free_for_peer(struct direct_results *results,
+				  uint64_t maker, GPtrArray *handles,
+				  int64_t bytes)
 {
 	struct gathered *gathered = gathered_of(results, results->taken, maker);
 
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -37,8 +37,9 @@
 	uint32_t shards;
 	uint64_t dispatchers[SHARDS_MAX]; /* peer hash of each shard's */
 	int64_t acquired_us; /* when this entry last took over a shard */
-	struct admission_memory latencies[DIRECT_RANKS];
-	int64_t queue_waits_us[DIRECT_RANKS]; /* reported by the dispatcher */
+	struct admission_memory latencies[DIRECT_PRIORITY_RANKS];
+	int64_t queue_waits_us[DIRECT_PRIORITY_RANKS]; /* reported by the
+							  dispatcher */
 	int64_t queue_waits_received_us;
 };
 
@@ -72,7 +73,7 @@
 
 static int32_t rank_of_priority(int32_t priority)
 {
-	return CLAMP(priority, 0, DIRECT_RANKS - 1);
+	return CLAMP(priority, 0, DIRECT_PRIORITY_RANKS - 1);
 }
 
 /* ---- assignment of dispatchers ---- */
@@ -550,12 +551,12 @@
 	left = submission->work.indices->len -
 	       MIN(count, submission->work.indices->len);
 	if (!left)
-		direct_relay_forget(stages->direct->relay, number, false);
+		direct_relay_cancel(stages->direct->relay, number, false);
 	deliver_results(submission, results, count, left);
 }
 
 static void on_relay_waits(void *userdata, uint64_t number,
-			   const int64_t queue_waits_us[DIRECT_RANKS])
+			   const int64_t queue_waits_us[DIRECT_PRIORITY_RANKS])
 {
 	struct direct_stages *stages = userdata;
 	struct submission *submission =
@@ -579,8 +580,8 @@
 	uint64_t dispatcher = service->dispatchers[shard];
 
 	if (stages->direct->relay && dispatcher != own_hash(stages) &&
-	    direct_relay_ask(stages->direct->relay, dispatcher,
-			     submission->number, &submission->work))
+	    direct_relay_submit(stages->direct->relay, dispatcher,
+				submission->number, &submission->work))
 		return;
 	submission->job =
 		direct_calls_add(stages->direct->calls, &submission->work,
@@ -653,7 +654,7 @@
 	if (submission->job)
 		direct_calls_cancel(submission->job);
 	else if (stages->direct->relay)
-		direct_relay_forget(stages->direct->relay, submission->number,
+		direct_relay_cancel(stages->direct->relay, submission->number,
 				    true);
 	g_hash_table_remove(stages->submissions, &submission->number);
 }
@@ -684,8 +685,8 @@
 		struct graph_result *result =
 			&g_array_index(results, struct graph_result, i);
 
-		direct_results_give_up(direct->results, result->maker,
-				       result->handle, result->bytes);
+		direct_results_free(direct->results, result->maker,
+				    result->handle, result->bytes);
 	}
 }
 
