--- a/direct/direct_relay.c
+++ b/direct/direct_relay.c
@@ -14,39 +14,42 @@
 #define KIND_RESULTS_ACK 'C'
 #define KIND_FREE 'G'
 
-/* number, service, request, key, stage, pieces, inputs, due and useless in so
- * many us, priority, bytes, flags, domain and bytes of what is near, regions */
+/* number, service, request, key, stage, pieces, inputs, us until due, us until
+ * useless, priority, bytes, flags, preferred domain, bytes that would cross
+ * domains elsewhere, allowed regions */
 #define SUBMIT_TYPE "(tsssuauasxxixusxs)"
-#define ACCEPTED_TYPE "(tax)" /* number, waits a rank */
+#define ACCEPTED_TYPE "(tax)" /* number, queue wait of each rank */
 #define CANCEL_TYPE "(t)"     /* number */
-/* number, serial, results (piece, result, maker, handle), waits a rank */
+/* number, serial, results (piece, outcome, producer, handle), queue wait of
+ * each rank */
 #define RESULTS_TYPE "(tta(uuts)ax)"
 #define RESULTS_ACK_TYPE "(t)" /* serial */
-#define FREE_TYPE "(txas)"     /* maker, bytes, handles */
+#define FREE_TYPE "(txas)"     /* producer, bytes, handles */
 
 #define FLAG_HAS_INPUTS 1
 #define FLAG_HOLDS_MEMORY 2
 #define FLAG_SPLIT 4
 #define FLAG_ALONE 8
 
-/* Twenty round trips: what is not confirmed by then was lost, or its receiver
- * has much to do. */
+/* Twenty round trips: a datagram that is not confirmed by then was lost, or its
+ * receiver is busy. */
 #define RESEND_US (60 * LP_US_PER_MS)
 #define TIMER_MS 20
-/* A dispatcher that owes us something is asked for a sign of life after this,
- * and given up after that: it may be on a slow host. */
+/* A dispatcher with work of this entry gets a liveness probe after the first
+ * period of silence. After the second it counts as gone; it may be on a slow
+ * host, so the period is long. */
 #define PROBE_AFTER_US (150 * LP_US_PER_MS)
 #define GONE_AFTER_US (500 * LP_US_PER_MS)
-/* Results are sent so often; their receiver is gone then. */
+/* A receiver that has not confirmed results after this many resends is gone. */
 #define RESULTS_RESENDS_MAX 8
-/* Serials of results are remembered for as long as they may come again. */
+/* Serials are remembered for as long as the same results may arrive again. */
 #define SERIAL_RETENTION_US (2 * LP_US_PER_S)
-/* Results named in one datagram: about 4 KB. */
+/* About 4 KB. */
 #define RESULTS_PER_DATAGRAM 96
-/* The longest time to a due date that is believed. */
+/* Times until due or useless that peers send are clamped to this. */
 #define DUE_TIME_MAX_US (600 * LP_US_PER_S)
 
-/* What we asked of a peer. */
+/* Work submitted to a peer. */
 struct outgoing_work {
 	uint64_t number;
 	uint64_t peer;
@@ -56,18 +59,18 @@
 	bool is_accepted;
 };
 
-/* What a peer asked of us. */
+/* Work of a peer that this entry dispatches. */
 struct incoming_work {
 	struct direct_relay *relay;
 	uint64_t key;
 	uint64_t peer;
 	uint64_t number;
 	char *service;
-	int64_t until_us; /* of no use after it */
+	int64_t until_us; /* useless after it */
 	struct direct_job *job;
 };
 
-/* Results that a peer has not confirmed yet. */
+/* Results sent to a peer that has not confirmed them yet. */
 struct sent_result {
 	uint64_t serial;
 	uint64_t peer;
@@ -80,10 +83,10 @@
 	struct direct *direct;
 	struct direct_peers *peers;
 	struct direct_relay_events events;
-	GHashTable *outgoing;	      /* number -> struct asked */
-	GHashTable *incoming;	      /* key -> struct served */
+	GHashTable *outgoing;	      /* number -> struct outgoing_work */
+	GHashTable *incoming;	      /* key -> struct incoming_work */
 	GHashTable *unacked_results;  /* serial -> struct sent_result */
-	GHashTable *received_serials; /* heard lately -> time */
+	GHashTable *received_serials; /* hash of peer and serial -> time */
 	uint64_t next_serial;
 	guint timer;
 };
@@ -126,7 +129,7 @@
 	direct_peers_send(relay->peers, peer, kind, body);
 }
 
-/* ---- the tick: what is sent again, who is gone ---- */
+/* ---- timer: resends, dispatchers that are gone ---- */
 
 static void resend_work(struct direct_relay *relay,
 			struct outgoing_work *outgoing)
@@ -136,7 +139,7 @@
 			  outgoing->body);
 }
 
-/* Silent, or it hears us and does not take the work. */
+/* The dispatcher is silent, or it is not but has not accepted the work. */
 static bool is_dispatcher_gone(struct direct_relay *relay,
 			       const struct outgoing_work *outgoing)
 {
@@ -149,7 +152,7 @@
 	       GONE_AFTER_US;
 }
 
-/* Returns whether its dispatcher is gone. */
+/* Resends work or probes its dispatcher; returns whether that is gone. */
 static bool check_outgoing(struct direct_relay *relay,
 			   struct outgoing_work *outgoing)
 {
@@ -223,7 +226,7 @@
 			g_hash_table_iter_remove(&iter);
 }
 
-/* A peer that ended without a word, or whose word was lost. */
+/* Cancels work of peers that terminated, or whose cancel datagram was lost. */
 static void cancel_expired(struct direct_relay *relay)
 {
 	GHashTableIter iter;
@@ -263,7 +266,7 @@
 		relay->timer = lp_timer_add(TIMER_MS, on_timer, relay);
 }
 
-/* ---- asking ---- */
+/* ---- work submitted to peers ---- */
 
 static GVariant *new_strings(const GPtrArray *list)
 {
@@ -355,7 +358,7 @@
 	report_queue_waits(relay, number, waits);
 }
 
-/* False: these results came before. */
+/* False: the same results were received before. */
 static bool record_serial(struct direct_relay *relay, uint64_t peer,
 			  uint64_t serial)
 {
@@ -371,7 +374,7 @@
 	return true;
 }
 
-/* Nobody waits for these any more. */
+/* Frees results of work that was cancelled or resubmitted. */
 static void free_results(struct direct_relay *relay,
 			 struct direct_result *results, uint32_t count)
 {
@@ -449,7 +452,7 @@
 	direct_peers_send(relay->peers, peer, KIND_FREE, body);
 }
 
-/* ---- serving ---- */
+/* ---- work of peers ---- */
 
 static GVariant *write_waits(struct direct_relay *relay, const char *service)
 {
@@ -546,7 +549,7 @@
 	piece->holds_room = flags & FLAG_HOLDS_MEMORY;
 	piece->split = flags & FLAG_SPLIT;
 	piece->alone = flags & FLAG_ALONE;
-	/* Domains are few. */
+	/* Interned strings are never freed, but there are few domains. */
 	piece->preferred_domain =
 		*preferred ? g_intern_string(preferred) : NULL;
 	piece->homes = homes_read(homes);
@@ -578,7 +581,8 @@
 		send_accepted(relay, incoming);
 		return;
 	}
-	/* Started just now, and asked for who we were: it hears our hello. */
+	/* Without a configuration yet. The peer means an earlier start of this
+	 * entry, and will notice the restart by our hello. */
 	if (!direct_ready(relay->direct))
 		return;
 	read_work(relay, body, &work);
@@ -639,7 +643,7 @@
 				     MAX(bytes, 0));
 }
 
-/* A peer has started anew: it knows nothing of what we asked. */
+/* A restarted peer has lost the work that was submitted to it. */
 static void on_peer_restarted(void *userdata, uint64_t peer)
 {
 	struct direct_relay *relay = userdata;
@@ -673,7 +677,7 @@
 		g_int64_hash, g_int64_equal, NULL, free_sent_result);
 	relay->received_serials = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, g_free, g_free);
-	/* Unlike those of an earlier life. */
+	/* Random, to differ from those of an earlier start. */
 	relay->next_serial = lp_random_u64();
 	direct_peers_listen(peers, KIND_SUBMIT, SUBMIT_TYPE, on_submit, relay);
 	direct_peers_listen(peers, KIND_ACCEPTED, ACCEPTED_TYPE, on_accepted,
--- a/direct/direct_relay.h
+++ b/direct/direct_relay.h
@@ -1,11 +1,11 @@
 /**
- * Work that goes to the entry that dispatches it, and its results: datagrams
- * between entries.
+ * Submits work to the peer that dispatches it and returns the results, by
+ * datagrams between entries.
  *
- * Asks and results are confirmed and sent again until they are, so a lost
- * datagram costs some 60 ms. A dispatcher that is not heard for half a second,
- * or that has started anew, has lost our work: whoever asked is told, and asks
- * elsewhere. Pieces may be made twice by that; a piece may be.
+ * Work and results are resent until they are confirmed, so a lost datagram
+ * costs some 60 ms. Work is lost with a dispatcher that is silent for half a
+ * second or has restarted: on_lost is called, and the caller submits it
+ * elsewhere. A piece may be computed twice by that, which is allowed.
  */
 #ifndef DIRECT_RELAY_H
 #define DIRECT_RELAY_H
@@ -16,17 +16,18 @@
 struct direct;
 struct direct_relay;
 
-/** Ranks of priority whose waits are told apart; the last is for the rest. */
+/** Priority ranks with a queue wait of their own; the last covers the rest. */
 #define DIRECT_PRIORITY_RANKS 4
 
 struct direct_relay_events {
-	/** Results of an ask; handles may be taken. */
+	/** Results of submitted work; handles may be taken. */
 	void (*on_results)(void *userdata, uint64_t number,
 			   struct direct_result *results, uint32_t count);
-	/** What asks of this number wait at their dispatcher, a rank. */
+	/** Queue waits of each rank at the dispatcher of this work. */
 	void (*on_queue_waits)(void *userdata, uint64_t number,
 			       const int64_t waits_us[DIRECT_PRIORITY_RANKS]);
-	/** A dispatcher has lost this ask, or cannot be reached. */
+	/** The dispatcher has restarted, is gone, or does not accept the work.
+	 */
 	void (*on_lost)(void *userdata, uint64_t number);
 	void *userdata;
 };
@@ -35,13 +36,15 @@
 direct_relay_create(struct direct *direct, struct direct_peers *peers,
 		    const struct direct_relay_events *events);
 void direct_relay_destroy(struct direct_relay *relay);
-/** Ask a peer; false: the work is too large for a datagram. Borrows `work`. */
+/** Submit work to a peer under a number unique to this entry. False: the peer
+ * is unknown or the work too large for a datagram. Borrows `work`. */
 bool direct_relay_submit(struct direct_relay *relay, uint64_t peer,
 			 uint64_t number, const struct direct_work *work);
-/** An ask is over for us; with `tell`, for its dispatcher as well. */
+/** Forget submitted work; with `notify`, have its dispatcher cancel it. */
 void direct_relay_cancel(struct direct_relay *relay, uint64_t number,
 			 bool notify);
-/** Have a dispatcher give up results of a maker. May be lost. */
+/** Have a dispatcher free results at their producer. The datagram may be lost.
+ * `bytes`: size of all results. */
 void direct_relay_free_results(struct direct_relay *relay, uint64_t peer,
 			       uint64_t producer, const GPtrArray *handles,
 			       int64_t bytes);
