--- a/direct/direct.c
+++ b/direct/direct.c
@@ -1,5 +1,5 @@
 #include "direct/direct_closures.h"
-#include "direct/direct_places.h"
+#include "direct/direct_placement.h"
 #include "direct/direct_private.h"
 #include "direct/direct_relay.h"
 
--- a/direct/direct_places.c
+++ b/direct/direct_placement.c
@@ -1,4 +1,4 @@
-#include "direct/direct_places.h"
+#include "direct/direct_placement.h"
 
 #include "direct/direct_private.h"
 
--- a/direct/direct_places.h
+++ b/direct/direct_placement.h
@@ -7,8 +7,8 @@
  * each engine's memory, and what is still unread. It is asked in one datagram
  * and answers in one; an entry that hears nothing soon decides by itself.
  */
-#ifndef DIRECT_PLACES_H
-#define DIRECT_PLACES_H
+#ifndef DIRECT_PLACEMENT_H
+#define DIRECT_PLACEMENT_H
 
 #include "direct/direct_peers.h"
 #include "policy/pool.h"
--- a/direct/direct_request.h
+++ b/direct/direct_request.h
@@ -6,7 +6,7 @@
 #ifndef DIRECT_REQUEST_H
 #define DIRECT_REQUEST_H
 
-#include "direct/direct_places.h"
+#include "direct/direct_placement.h"
 #include "direct/direct_private.h"
 
 /** An entry that ends: another takes the request as soon as it is asked. */
