--- a/direct/direct.c
+++ b/direct/direct.c
@@ -160,7 +160,7 @@
 	http_server_destroy(direct->server);
 	if (direct->peers)
 		direct_peers_listen_none(direct->peers);
-	direct_places_destroy(direct->places);
+	direct_placement_destroy(direct->places);
 	direct_relay_destroy(direct->relay);
 	direct_calls_destroy(direct->calls);
 	direct_results_destroy(direct->results);
@@ -294,7 +294,7 @@
 {
 	direct->peers = peers;
 	if (peers)
-		direct->places = direct_places_create(direct, peers);
+		direct->places = direct_placement_create(direct, peers);
 	direct_closures_set_peers(direct->closures, peers);
 	direct_notices_set_peers(direct->notices, peers);
 	direct_quarantine_set_peers(direct->quarantine, peers);
--- a/direct/direct_placement.c
+++ b/direct/direct_placement.c
@@ -5,106 +5,106 @@
 #include "base/lp_id.h"
 #include "base/lp_timer.h"
 
-#define KIND_PLACE 'P'
-#define KIND_PLACED 'Q'
+#define KIND_QUERY 'P'
+#define KIND_ANSWER 'Q'
 #define KIND_STATE 'E'
 
 /* number, service, parts (id, tokens), tried, domain and bytes of what is
  * fetched, us until the target, regions */
-#define PLACE_TYPE "(tsa(tx)atsxxs)"
+#define QUERY_TYPE "(tsa(tx)atsxxs)"
 /* number, engine, source of a copy, copied, cold tokens, tokens ahead, us until
  * some engine may take it if there is none */
-#define PLACED_TYPE "(tttxxxx)"
+#define ANSWER_TYPE "(tttxxxx)"
 #define STATE_TYPE "(tuxx)" /* number, state, took and expected us */
 
 /* States of a placed request; an outcome of enum pool_outcome is added to the
  * second. */
-#define STATE_HEARD 0
+#define STATE_ANSWERING 0
 #define STATE_ENDED 1
 
 /* Thirty round trips: an entry that hears nothing places by itself. */
-#define ANSWER_US (40 * LP_US_PER_MS)
+#define ANSWER_TIMEOUT_US (40 * LP_US_PER_MS)
 /* A placer that is silent for so long gets no questions for a while. */
-#define GONE_US (400 * LP_US_PER_MS)
+#define SUSPECT_AFTER_US (400 * LP_US_PER_MS)
 /* Words of an end may be lost: a prompt is read by then, ... */
-#define READ_US (3 * LP_US_PER_S)
+#define PREFILL_MAX_US (3 * LP_US_PER_S)
 /* ... and a stream over. */
-#define OVER_US (15 * LP_US_PER_S)
-#define LOOK_MS 500
+#define REQUEST_MAX_US (15 * LP_US_PER_S)
+#define EXPIRY_INTERVAL_MS 500
 
 /* What we asked. */
-struct question {
-	struct direct_places *places;
+struct query {
+	struct direct_placement *placement;
 	uint64_t number;
 	uint64_t peer;
 	guint timer;
-	direct_placed_fn placed;
+	direct_placement_fn on_placed;
 	void *userdata;
 };
 
 /* What we placed for a peer. */
-struct held {
+struct reservation {
 	uint64_t key;
 	struct pool_upstream *upstream;
-	uint64_t source; /* engine to copy memory from; 0: none */
+	uint64_t copy_source; /* engine to copy memory from; 0: none */
 	int64_t copied_tokens;
 	int64_t cold_tokens; /* to be read */
-	int64_t at_us;
-	bool read;
+	int64_t reserved_us;
+	bool is_prefilled;
 };
 
-struct direct_places {
+struct direct_placement {
 	struct direct *direct;
 	struct direct_peers *peers;
-	GHashTable *questions; /* number -> struct question */
-	GHashTable *held;      /* key -> struct held */
+	GHashTable *queries;	  /* number -> struct question */
+	GHashTable *reservations; /* key -> struct held */
 	uint64_t next_number;
-	guint look_timer;
+	guint expiry_timer;
 };
 
-static int64_t now(const struct direct_places *places)
+static int64_t time_now_us(const struct direct_placement *placement)
 {
-	return lp_now_us(places->direct->options.clock);
+	return lp_now_us(placement->direct->options.clock);
 }
 
 /* ---- asking ---- */
 
-static void free_question(gpointer data)
+static void free_query(gpointer data)
 {
-	struct question *question = data;
+	struct query *query = data;
 
-	if (question->timer)
-		g_source_remove(question->timer);
-	g_free(question);
+	if (query->timer)
+		g_source_remove(query->timer);
+	g_free(query);
 }
 
-static void answer(struct question *question, struct pool_upstream *upstream,
-		   const struct direct_place *place)
+static void finish_query(struct query *query, struct pool_upstream *upstream,
+			 const struct direct_placement_result *result)
 {
-	direct_placed_fn placed = question->placed;
-	void *userdata = question->userdata;
+	direct_placement_fn on_placed = query->on_placed;
+	void *userdata = query->userdata;
 
-	g_hash_table_remove(question->places->questions, &question->number);
-	placed(userdata, upstream, place);
+	g_hash_table_remove(query->placement->queries, &query->number);
+	on_placed(userdata, upstream, result);
 }
 
-static gboolean on_no_answer(gpointer data)
+static gboolean on_answer_timeout(gpointer data)
 {
-	struct question *question = data;
-	struct direct_places *places = question->places;
-	const struct direct_place none = { 0 };
-	int64_t heard_us = direct_peers_heard_us(places->peers, question->peer);
-
-	question->timer = 0;
-	if (now(places) - heard_us > GONE_US)
-		direct_peers_suspect(places->peers, question->peer);
+	struct query *query = data;
+	struct direct_placement *placement = query->placement;
+	const struct direct_placement_result none = { 0 };
+	int64_t heard_us = direct_peers_heard_us(placement->peers, query->peer);
+
+	query->timer = 0;
+	if (time_now_us(placement) - heard_us > SUSPECT_AFTER_US)
+		direct_peers_suspect(placement->peers, query->peer);
 	else
-		direct_peers_ask_sign(places->peers, question->peer);
-	answer(question, NULL, &none);
+		direct_peers_ask_sign(placement->peers, query->peer);
+	finish_query(query, NULL, &none);
 	return G_SOURCE_REMOVE;
 }
 
-static GVariant *write_parts(const struct pool_ask *ask)
+static GVariant *write_prefix_blocks(const struct pool_ask *ask)
 {
 	GVariantBuilder parts;
 
@@ -116,10 +116,10 @@
 }
 
 /* And those that want nothing of us: its placer is another entry to them. */
-static GVariant *write_tried(const struct direct_places *places,
-			     const struct pool_ask *ask)
+static GVariant *write_excluded(const struct direct_placement *placement,
+				const struct pool_ask *ask)
 {
-	const struct pool *pool = places->direct->pool;
+	const struct pool *pool = placement->direct->pool;
 	const GPtrArray *upstreams = pool_of_service(pool, ask->service);
 	GVariantBuilder tried;
 
@@ -138,114 +138,118 @@
 	return g_variant_builder_end(&tried);
 }
 
-uint64_t direct_places_ask(struct direct_places *places, uint64_t placer,
-			   const struct pool_ask *ask, direct_placed_fn placed,
-			   void *userdata)
+uint64_t direct_placement_query(struct direct_placement *placement,
+				uint64_t placer, const struct pool_ask *ask,
+				direct_placement_fn on_placed, void *userdata)
 {
-	uint64_t number = places->next_number++;
+	uint64_t number = placement->next_number++;
 	g_autoptr(GVariant) body = g_variant_ref_sink(g_variant_new(
 		"(ts@a(tx)@atsxxs)", (guint64)number, ask->service,
-		write_parts(ask), write_tried(places, ask),
+		write_prefix_blocks(ask), write_excluded(placement, ask),
 		ask->domain ? ask->domain : "", (gint64)ask->fetch_bytes,
 		(gint64)ask->target_us, homes_write(ask->homes)));
-	struct question *question;
+	struct query *query;
 
-	if (!direct_peers_send(places->peers, placer, KIND_PLACE, body))
+	if (!direct_peers_send(placement->peers, placer, KIND_QUERY, body))
 		return 0;
-	question = g_new0(struct question, 1);
-	question->places = places;
-	question->number = number;
-	question->peer = placer;
-	question->placed = placed;
-	question->userdata = userdata;
-	question->timer =
-		lp_timer_add(ANSWER_US / LP_US_PER_MS, on_no_answer, question);
-	g_hash_table_insert(places->questions, &question->number, question);
+	query = g_new0(struct query, 1);
+	query->placement = placement;
+	query->number = number;
+	query->peer = placer;
+	query->on_placed = on_placed;
+	query->userdata = userdata;
+	query->timer = lp_timer_add(ANSWER_TIMEOUT_US / LP_US_PER_MS,
+				    on_answer_timeout, query);
+	g_hash_table_insert(placement->queries, &query->number, query);
 	return number;
 }
 
-void direct_places_drop(struct direct_places *places, uint64_t number)
+void direct_placement_cancel(struct direct_placement *placement,
+			     uint64_t number)
 {
-	g_hash_table_remove(places->questions, &number);
+	g_hash_table_remove(placement->queries, &number);
 }
 
-static void send_state(struct direct_places *places,
-		       const struct direct_place *place, uint32_t state,
-		       int64_t took_us, int64_t expected_us)
+static void send_state(struct direct_placement *placement,
+		       const struct direct_placement_result *result,
+		       uint32_t state, int64_t took_us, int64_t expected_us)
 {
 	g_autoptr(GVariant) body = g_variant_ref_sink(
-		g_variant_new(STATE_TYPE, (guint64)place->number, state,
+		g_variant_new(STATE_TYPE, (guint64)result->number, state,
 			      (gint64)took_us, (gint64)expected_us));
 
-	direct_peers_send(places->peers, place->placer, KIND_STATE, body);
+	direct_peers_send(placement->peers, result->placer, KIND_STATE, body);
 }
 
-void direct_places_heard(struct direct_places *places,
-			 const struct direct_place *place, int64_t took_us,
-			 int64_t expected_us)
+void direct_placement_report_answering(
+	struct direct_placement *placement,
+	const struct direct_placement_result *result, int64_t took_us,
+	int64_t expected_us)
 {
-	send_state(places, place, STATE_HEARD, took_us, expected_us);
+	send_state(placement, result, STATE_ANSWERING, took_us, expected_us);
 }
 
-void direct_places_ended(struct direct_places *places,
-			 const struct direct_place *place,
-			 enum pool_outcome outcome)
+void direct_placement_report_end(struct direct_placement *placement,
+				 const struct direct_placement_result *result,
+				 enum pool_outcome outcome)
 {
-	send_state(places, place, STATE_ENDED + (uint32_t)outcome, 0, 0);
+	send_state(placement, result, STATE_ENDED + (uint32_t)outcome, 0, 0);
 }
 
-static void on_placed(void *userdata, uint64_t peer, GVariant *body)
+static void on_answer(void *userdata, uint64_t peer, GVariant *body)
 {
-	struct direct_places *places = userdata;
-	struct direct_place place = { .placer = peer };
+	struct direct_placement *placement = userdata;
+	struct direct_placement_result result = { .placer = peer };
 	struct pool_upstream *upstream;
-	struct question *question;
+	struct query *query;
 	guint64 number;
 	guint64 engine;
-	guint64 source;
-
-	g_variant_get(body, PLACED_TYPE, &number, &engine, &source,
-		      &place.copied_tokens, &place.cold_tokens,
-		      &place.tokens_ahead, &place.wait_us);
-	place.number = number;
-	place.copy_source = source;
-	question = g_hash_table_lookup(places->questions, &number);
+	guint64 copy_source;
+
+	g_variant_get(body, ANSWER_TYPE, &number, &engine, &copy_source,
+		      &result.copied_tokens, &result.cold_tokens,
+		      &result.tokens_ahead, &result.wait_us);
+	result.number = number;
+	result.copy_source = copy_source;
+	query = g_hash_table_lookup(placement->queries, &number);
 	/* Too late: placed by ourselves meanwhile. */
-	if (!question || question->peer != peer) {
-		direct_places_ended(places, &place, POOL_UNKNOWN);
+	if (!query || query->peer != peer) {
+		direct_placement_report_end(placement, &result, POOL_UNKNOWN);
 		return;
 	}
-	upstream = pool_find_life(places->direct->pool, engine);
+	upstream = pool_find_life(placement->direct->pool, engine);
 	if (upstream && (!pool_is_open(upstream) ||
-			 pool_is_resting(places->direct->pool, upstream)))
+			 pool_is_resting(placement->direct->pool, upstream)))
 		upstream = NULL;
 	if (!upstream) {
-		direct_places_ended(places, &place, POOL_UNKNOWN);
-		place = (struct direct_place){ .wait_us = place.wait_us };
+		direct_placement_report_end(placement, &result, POOL_UNKNOWN);
+		result = (struct direct_placement_result){
+			.wait_us = result.wait_us
+		};
 	}
-	answer(question, upstream, &place);
+	finish_query(query, upstream, &result);
 }
 
 /* ---- placing for peers ---- */
 
-static void set_read(struct held *held)
+static void mark_prefilled(struct reservation *reservation)
 {
-	if (!held->read)
-		held->upstream->tokens_ahead -= held->cold_tokens;
-	held->read = true;
+	if (!reservation->is_prefilled)
+		reservation->upstream->tokens_ahead -= reservation->cold_tokens;
+	reservation->is_prefilled = true;
 }
 
-static void free_held(gpointer data)
+static void free_reservation(gpointer data)
 {
-	struct held *held = data;
+	struct reservation *reservation = data;
 
-	set_read(held);
-	held->upstream->in_flight--;
-	pool_release(held->upstream);
-	g_free(held);
+	mark_prefilled(reservation);
+	reservation->upstream->in_flight--;
+	pool_release(reservation->upstream);
+	g_free(reservation);
 }
 
-static struct pool_part *read_parts(GVariant *list, uint32_t *count)
+static struct pool_part *read_prefix_blocks(GVariant *list, uint32_t *count)
 {
 	struct pool_part *parts;
 	GVariantIter iter;
@@ -274,11 +278,11 @@
 }
 
 /* Ids of what was tried; those that we do not know cannot be chosen anyway. */
-static GPtrArray *read_tried(const struct direct_places *places,
-			     const char *service, GVariant *list)
+static GPtrArray *read_excluded(const struct direct_placement *placement,
+				const char *service, GVariant *list)
 {
 	const GPtrArray *upstreams =
-		pool_of_service(places->direct->pool, service);
+		pool_of_service(placement->direct->pool, service);
 	GPtrArray *tried = g_ptr_array_new();
 	GVariantIter iter;
 	guint64 hash;
@@ -293,88 +297,92 @@
 	return tried;
 }
 
-static struct held *hold(struct direct_places *places, uint64_t key,
-			 const struct pool_ask *ask)
+static struct reservation *reserve(struct direct_placement *placement,
+				   uint64_t key, const struct pool_ask *ask)
 {
-	struct direct *direct = places->direct;
+	struct direct *direct = placement->direct;
 	struct pool_upstream *upstream = pool_pick(direct->pool, ask);
 	struct pool_copy copy;
-	struct held *held;
+	struct reservation *reservation;
 
 	if (!upstream)
 		return NULL;
-	held = g_new0(struct held, 1);
-	held->key = key;
-	held->upstream = pool_hold(upstream);
+	reservation = g_new0(struct reservation, 1);
+	reservation->key = key;
+	reservation->upstream = pool_hold(upstream);
 	pool_sent(direct->pool, upstream);
-	held->at_us = now(places);
+	reservation->reserved_us = time_now_us(placement);
 	copy = pool_find_copy(direct->pool, upstream, ask);
-	held->source = copy.from ? copy.from->life : 0;
-	held->copied_tokens = copy.tokens;
-	held->cold_tokens = copy.cold_tokens;
+	reservation->copy_source = copy.from ? copy.from->life : 0;
+	reservation->copied_tokens = copy.tokens;
+	reservation->cold_tokens = copy.cold_tokens;
 	upstream->in_flight++;
-	upstream->tokens_ahead += held->cold_tokens;
+	upstream->tokens_ahead += reservation->cold_tokens;
 	pool_remember(direct->pool, upstream, ask->parts, ask->parts_count,
 		      direct_prompt_tokens(direct, ask->service));
-	g_hash_table_replace(places->held, &held->key, held);
-	return held;
+	g_hash_table_replace(placement->reservations, &reservation->key,
+			     reservation);
+	return reservation;
 }
 
 /* `held` NULL: it could not be placed. */
-static GVariant *write_placed(uint64_t number, const struct held *held,
+static GVariant *write_answer(uint64_t number,
+			      const struct reservation *reservation,
 			      int64_t wait_us)
 {
-	if (!held)
-		return g_variant_new(PLACED_TYPE, (guint64)number, (guint64)0,
+	if (!reservation)
+		return g_variant_new(ANSWER_TYPE, (guint64)number, (guint64)0,
 				     (guint64)0, (gint64)0, (gint64)0,
 				     (gint64)0, (gint64)wait_us);
-	return g_variant_new(
-		PLACED_TYPE, (guint64)number, (guint64)held->upstream->life,
-		(guint64)held->source, (gint64)held->copied_tokens,
-		(gint64)held->cold_tokens,
-		(gint64)(held->upstream->tokens_ahead - held->cold_tokens),
-		(gint64)0);
+	return g_variant_new(ANSWER_TYPE, (guint64)number,
+			     (guint64)reservation->upstream->life,
+			     (guint64)reservation->copy_source,
+			     (gint64)reservation->copied_tokens,
+			     (gint64)reservation->cold_tokens,
+			     (gint64)(reservation->upstream->tokens_ahead -
+				      reservation->cold_tokens),
+			     (gint64)0);
 }
 
-static void on_place(void *userdata, uint64_t peer, GVariant *body)
+static void on_query(void *userdata, uint64_t peer, GVariant *body)
 {
-	struct direct_places *places = userdata;
+	struct direct_placement *placement = userdata;
 	g_autoptr(GVariant) list = NULL;
 	g_autoptr(GVariant) tried_list = NULL;
 	g_autoptr(GVariant) reply = NULL;
 	g_autoptr(GPtrArray) tried = NULL;
 	g_autofree struct pool_part *parts = NULL;
 	struct pool_ask ask = { 0 };
-	const struct held *held;
+	const struct reservation *reservation;
 	const char *domain;
 	const char *homes;
 	guint64 number;
 
-	if (!direct_ready(places->direct))
+	if (!direct_ready(placement->direct))
 		return;
 	g_variant_get(body, "(t&s@a(tx)@at&sxx&s)", &number, &ask.service,
 		      &list, &tried_list, &domain, &ask.fetch_bytes,
 		      &ask.target_us, &homes);
 	ask.homes = homes_read(homes);
-	parts = read_parts(list, &ask.parts_count);
-	tried = read_tried(places, ask.service, tried_list);
+	parts = read_prefix_blocks(list, &ask.parts_count);
+	tried = read_excluded(placement, ask.service, tried_list);
 	ask.parts = parts;
 	ask.tried = (const char *const *)tried->pdata;
 	ask.tried_count = tried->len;
 	ask.domain = *domain ? domain : NULL;
-	direct_stages_set_shard(places->direct->stages, &ask);
-	held = hold(places, lp_hash_pair(peer, number), &ask);
-	reply = g_variant_ref_sink(write_placed(
-		number, held,
-		held ? 0 : pool_turn_us(places->direct->pool, &ask)));
-	direct_peers_send(places->peers, peer, KIND_PLACED, reply);
+	direct_stages_set_shard(placement->direct->stages, &ask);
+	reservation = reserve(placement, lp_hash_pair(peer, number), &ask);
+	reply = g_variant_ref_sink(write_answer(
+		number, reservation,
+		reservation ? 0 : pool_turn_us(placement->direct->pool, &ask)));
+	direct_peers_send(placement->peers, peer, KIND_ANSWER, reply);
 }
 
 static void on_state(void *userdata, uint64_t peer, GVariant *body)
 {
-	struct direct_places *places = userdata;
-	struct pool *pool = places->direct->pool;
-	struct held *held;
+	struct direct_placement *placement = userdata;
+	struct pool *pool = placement->direct->pool;
+	struct reservation *reservation;
 	guint64 number;
 	guint32 state;
 	gint64 took_us;
@@ -384,34 +392,35 @@
 	g_variant_get(body, STATE_TYPE, &number, &state, &took_us,
 		      &expected_us);
 	key = lp_hash_pair(peer, number);
-	held = g_hash_table_lookup(places->held, &key);
-	if (!held)
+	reservation = g_hash_table_lookup(placement->reservations, &key);
+	if (!reservation)
 		return;
-	if (state == STATE_HEARD) {
-		set_read(held);
-		pool_learn(pool, held->upstream, POOL_SERVED, took_us,
+	if (state == STATE_ANSWERING) {
+		mark_prefilled(reservation);
+		pool_learn(pool, reservation->upstream, POOL_SERVED, took_us,
 			   expected_us);
 		return;
 	}
-	pool_learn(pool, held->upstream,
+	pool_learn(pool, reservation->upstream,
 		   MIN(state - STATE_ENDED, (guint32)POOL_UNKNOWN), 0, 0);
-	g_hash_table_remove(places->held, &key);
+	g_hash_table_remove(placement->reservations, &key);
 }
 
-static gboolean on_look(gpointer userdata)
+static gboolean on_expiry_timer(gpointer userdata)
 {
-	struct direct_places *places = userdata;
+	struct direct_placement *placement = userdata;
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, places->held);
+	g_hash_table_iter_init(&iter, placement->reservations);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct held *held = value;
-		int64_t age_us = now(places) - held->at_us;
+		struct reservation *reservation = value;
+		int64_t age_us =
+			time_now_us(placement) - reservation->reserved_us;
 
-		if (age_us > READ_US)
-			set_read(held);
-		if (age_us > OVER_US)
+		if (age_us > PREFILL_MAX_US)
+			mark_prefilled(reservation);
+		if (age_us > REQUEST_MAX_US)
 			g_hash_table_iter_remove(&iter);
 	}
 	return G_SOURCE_CONTINUE;
@@ -419,32 +428,34 @@
 
 /* ---- start and end ---- */
 
-struct direct_places *direct_places_create(struct direct *direct,
-					   struct direct_peers *peers)
+struct direct_placement *direct_placement_create(struct direct *direct,
+						 struct direct_peers *peers)
 {
-	struct direct_places *places = g_new0(struct direct_places, 1);
-
-	places->direct = direct;
-	places->peers = peers;
-	places->questions = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						  NULL, free_question);
-	places->held = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					     free_held);
+	struct direct_placement *placement = g_new0(struct direct_placement, 1);
+
+	placement->direct = direct;
+	placement->peers = peers;
+	placement->queries = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						   NULL, free_query);
+	placement->reservations = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, NULL, free_reservation);
 	/* Unlike those of an earlier life. */
-	places->next_number = lp_random_u64();
-	places->look_timer = lp_timer_add(LOOK_MS, on_look, places);
-	direct_peers_listen(peers, KIND_PLACE, PLACE_TYPE, on_place, places);
-	direct_peers_listen(peers, KIND_PLACED, PLACED_TYPE, on_placed, places);
-	direct_peers_listen(peers, KIND_STATE, STATE_TYPE, on_state, places);
-	return places;
+	placement->next_number = lp_random_u64();
+	placement->expiry_timer =
+		lp_timer_add(EXPIRY_INTERVAL_MS, on_expiry_timer, placement);
+	direct_peers_listen(peers, KIND_QUERY, QUERY_TYPE, on_query, placement);
+	direct_peers_listen(peers, KIND_ANSWER, ANSWER_TYPE, on_answer,
+			    placement);
+	direct_peers_listen(peers, KIND_STATE, STATE_TYPE, on_state, placement);
+	return placement;
 }
 
-void direct_places_destroy(struct direct_places *places)
+void direct_placement_destroy(struct direct_placement *placement)
 {
-	if (!places)
+	if (!placement)
 		return;
-	g_source_remove(places->look_timer);
-	g_hash_table_unref(places->questions);
-	g_hash_table_unref(places->held);
-	g_free(places);
+	g_source_remove(placement->expiry_timer);
+	g_hash_table_unref(placement->queries);
+	g_hash_table_unref(placement->reservations);
+	g_free(placement);
 }
--- a/direct/direct_placement.h
+++ b/direct/direct_placement.h
@@ -14,10 +14,10 @@
 #include "policy/pool.h"
 
 struct direct;
-struct direct_places;
+struct direct_placement;
 
 /** Where a request was placed; all zero: by ourselves. */
-struct direct_place {
+struct direct_placement_result {
 	int64_t wait_us; /**< nobody may take it yet: until then, about; 0: the
 			    placer does not say so */
 	uint64_t placer; /**< the placer */
@@ -29,27 +29,30 @@
 };
 
 /** The answer; `upstream` NULL: decide by yourself. */
-typedef void (*direct_placed_fn)(void *userdata, struct pool_upstream *upstream,
-				 const struct direct_place *place);
+typedef void (*direct_placement_fn)(
+	void *userdata, struct pool_upstream *upstream,
+	const struct direct_placement_result *result);
 
-struct direct_places *direct_places_create(struct direct *direct,
-					   struct direct_peers *peers);
-void direct_places_destroy(struct direct_places *places);
+struct direct_placement *direct_placement_create(struct direct *direct,
+						 struct direct_peers *peers);
+void direct_placement_destroy(struct direct_placement *placement);
 /**
  * Ask `placer`. Returns the question's number, or 0: it cannot be asked.
  * `placed` is called once, later, unless the question is dropped.
  */
-uint64_t direct_places_ask(struct direct_places *places, uint64_t placer,
-			   const struct pool_ask *ask, direct_placed_fn placed,
-			   void *userdata);
-void direct_places_drop(struct direct_places *places, uint64_t number);
+uint64_t direct_placement_query(struct direct_placement *placement,
+				uint64_t placer, const struct pool_ask *ask,
+				direct_placement_fn on_placed, void *userdata);
+void direct_placement_cancel(struct direct_placement *placement,
+			     uint64_t number);
 /** The engine has begun to answer, after `took_us` of `expected_us`. */
-void direct_places_heard(struct direct_places *places,
-			 const struct direct_place *place, int64_t took_us,
-			 int64_t expected_us);
+void direct_placement_report_answering(
+	struct direct_placement *placement,
+	const struct direct_placement_result *result, int64_t took_us,
+	int64_t expected_us);
 /** It is over there. */
-void direct_places_ended(struct direct_places *places,
-			 const struct direct_place *place,
-			 enum pool_outcome outcome);
+void direct_placement_report_end(struct direct_placement *placement,
+				 const struct direct_placement_result *result,
+				 enum pool_outcome outcome);
 
 #endif
--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -26,7 +26,7 @@
 
 struct direct_closures;
 struct direct_ends;
-struct direct_places;
+struct direct_placement;
 struct direct_relay;
 struct direct_results;
 struct direct_stages;
@@ -59,11 +59,11 @@
 	struct direct_calls *calls;
 	struct direct_results *results;
 	struct direct_memory *memory;
-	struct direct_peers *peers;   /* NULL: no other entries are known */
-	struct direct_relay *relay;   /* NULL: likewise */
-	struct direct_places *places; /* NULL: likewise */
-	GHashTable *requests;	      /* of struct direct_request */
-	GHashTable *learnt;	      /* route's name -> struct direct_learnt */
+	struct direct_peers *peers;	 /* NULL: no other entries are known */
+	struct direct_relay *relay;	 /* NULL: likewise */
+	struct direct_placement *places; /* NULL: likewise */
+	GHashTable *requests;		 /* of struct direct_request */
+	GHashTable *learnt; /* route's name -> struct direct_learnt */
 	struct lp_histogram *answer_times;
 	struct lp_histogram *first_times;
 };
--- a/direct/direct_relay.c
+++ b/direct/direct_relay.c
@@ -562,8 +562,7 @@
 		g_variant_new("(t@ax)", (guint64)incoming->number,
 			      write_waits(relay, incoming->service)));
 
-	direct_peers_send(relay->peers, incoming->peer, KIND_ACCEPTED,
-			  is_accepted);
+	direct_peers_send(relay->peers, incoming->peer, KIND_ACCEPTED, reply);
 }
 
 static void on_submit(void *userdata, uint64_t peer, GVariant *body)
--- a/direct/direct_request.h
+++ b/direct/direct_request.h
@@ -51,7 +51,7 @@
 	int64_t *made_us;  /* and when the last of them was made */
 	/* the sending under way */
 	uint64_t question; /* to its placer; 0: none */
-	struct direct_place place;
+	struct direct_placement_result place;
 	struct http_exchange *exchange;
 	struct pool_upstream *upstream;
 	const struct pool_upstream *copy_from; /* only while it is sent; or
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -36,7 +36,8 @@
 
 	direct_clear_timer(&request->stall_timer);
 	if (request->question)
-		direct_places_drop(request->direct->places, request->question);
+		direct_placement_cancel(request->direct->places,
+					request->question);
 	request->question = 0;
 	if (request->exchange)
 		http_exchange_cancel(request->exchange);
@@ -48,8 +49,8 @@
 		upstream->tokens_ahead -= request->cold_tokens;
 	pool_learn(request->direct->pool, upstream, outcome, 0, 0);
 	if (request->place.placer)
-		direct_places_ended(request->direct->places, &request->place,
-				    outcome);
+		direct_placement_report_end(request->direct->places,
+					    &request->place, outcome);
 	pool_release(upstream);
 	request->upstream = NULL;
 }
@@ -277,8 +278,9 @@
 	pool_learn(direct->pool, request->upstream, POOL_SERVED, took_us,
 		   request->expected_us);
 	if (request->place.placer)
-		direct_places_heard(direct->places, &request->place, took_us,
-				    request->expected_us);
+		direct_placement_report_answering(direct->places,
+						  &request->place, took_us,
+						  request->expected_us);
 	if (request->route->kind == DIRECT_STREAM)
 		lp_histogram_add(direct->first_times,
 				 direct_request_now_us(request) -
@@ -477,7 +479,7 @@
 static struct pool_copy find_copy(const struct direct_request *request)
 {
 	const struct pool *pool = request->direct->pool;
-	const struct direct_place *place = &request->place;
+	const struct direct_placement_result *place = &request->place;
 	struct pool_ask ask;
 
 	if (!place->placer) {
@@ -496,7 +498,7 @@
 /* By ourselves, or as its placer counts. */
 static void count_tokens(struct direct_request *request)
 {
-	const struct direct_place *place = &request->place;
+	const struct direct_placement_result *place = &request->place;
 	struct pool_copy copy = find_copy(request);
 	int64_t ahead = place->placer ? place->tokens_ahead
 				      : request->upstream->tokens_ahead;
@@ -628,7 +630,7 @@
 	struct pool *pool = request->direct->pool;
 	struct pool_upstream *upstream;
 
-	request->place = (struct direct_place){ 0 };
+	request->place = (struct direct_placement_result){ 0 };
 	upstream = pool_pick(pool, ask);
 	if (!upstream) { /* none of its share is left */
 		ask->share_count = 0;
@@ -644,7 +646,7 @@
 }
 
 static void on_placed(void *userdata, struct pool_upstream *upstream,
-		      const struct direct_place *place)
+		      const struct direct_placement_result *place)
 {
 	struct direct_request *request = userdata;
 	struct pool_ask ask;
@@ -671,8 +673,8 @@
 	placer = direct_stages_placer(direct->stages, ask);
 	if (!placer)
 		return false;
-	request->question = direct_places_ask(direct->places, placer, ask,
-					      on_placed, request);
+	request->question = direct_placement_query(direct->places, placer, ask,
+						   on_placed, request);
 	if (!request->question)
 		return false;
 	request->state = DIRECT_STATE_PLACED;
