--- a/direct/direct_placement.c
+++ b/direct/direct_placement.c
@@ -9,30 +9,31 @@
 #define KIND_ANSWER 'Q'
 #define KIND_STATE 'E'
 
-/* number, service, parts (id, tokens), tried, domain and bytes of what is
- * fetched, us until the target, regions */
+/* number, service, prefix blocks (id, tokens), hashes of excluded upstreams,
+ * domain and bytes of what is fetched, us until the target, allowed regions */
 #define QUERY_TYPE "(tsa(tx)atsxxs)"
-/* number, engine, source of a copy, copied, cold tokens, tokens ahead, us until
- * some engine may take it if there is none */
+/* number, engine, engine to copy from, copied tokens, cold tokens, tokens
+ * ahead, us until some engine may take the prompt if none may now */
 #define ANSWER_TYPE "(tttxxxx)"
-#define STATE_TYPE "(tuxx)" /* number, state, took and expected us */
+#define STATE_TYPE "(tuxx)" /* number, state, us taken, us expected */
 
-/* States of a placed request; an outcome of enum pool_outcome is added to the
- * second. */
+/* States of a placed prompt; a value of enum pool_outcome is added to
+ * STATE_ENDED. */
 #define STATE_ANSWERING 0
 #define STATE_ENDED 1
 
-/* Thirty round trips: an entry that hears nothing places by itself. */
+/* Thirty round trips. Without an answer by then the entry places the prompt
+ * itself. */
 #define ANSWER_TIMEOUT_US (40 * LP_US_PER_MS)
-/* A placer that is silent for so long gets no questions for a while. */
+/* A placer that is silent for this long gets no queries for a while. */
 #define SUSPECT_AFTER_US (400 * LP_US_PER_MS)
-/* Words of an end may be lost: a prompt is read by then, ... */
+/* State datagrams may be lost: a prompt counts as read after the first period,
+ * and its request as ended after the second. */
 #define PREFILL_MAX_US (3 * LP_US_PER_S)
-/* ... and a stream over. */
 #define REQUEST_MAX_US (15 * LP_US_PER_S)
 #define EXPIRY_INTERVAL_MS 500
 
-/* What we asked. */
+/* A query sent to a placer. */
 struct query {
 	struct direct_placement *placement;
 	uint64_t number;
@@ -42,13 +43,14 @@
 	void *userdata;
 };
 
-/* What we placed for a peer. */
+/* A prompt placed for a peer, counted at its engine until the
+ * request ends. */
 struct reservation {
-	uint64_t key;
+	uint64_t key; /* hash of peer and number */
 	struct pool_upstream *upstream;
-	uint64_t copy_source; /* engine to copy memory from; 0: none */
+	uint64_t copy_source; /* engine whose prefix cache is copied; 0: none */
 	int64_t copied_tokens;
-	int64_t cold_tokens; /* to be read */
+	int64_t cold_tokens; /* that the engine has to read */
 	int64_t reserved_us;
 	bool is_prefilled;
 };
@@ -56,8 +58,8 @@
 struct direct_placement {
 	struct direct *direct;
 	struct direct_peers *peers;
-	GHashTable *queries;	  /* number -> struct question */
-	GHashTable *reservations; /* key -> struct held */
+	GHashTable *queries;	  /* number -> struct query */
+	GHashTable *reservations; /* key -> struct reservation */
 	uint64_t next_number;
 	guint expiry_timer;
 };
@@ -67,7 +69,7 @@
 	return lp_now_us(placement->direct->options.clock);
 }
 
-/* ---- asking ---- */
+/* ---- queries to placers ---- */
 
 static void free_query(gpointer data)
 {
@@ -115,7 +117,8 @@
 	return g_variant_builder_end(&parts);
 }
 
-/* And those that want nothing of us: its placer is another entry to them. */
+/* Upstreams tried before, and those in pushback towards this entry: to them
+ * the placer is another entry. */
 static GVariant *write_excluded(const struct direct_placement *placement,
 				const struct pool_ask *ask)
 {
@@ -212,7 +215,7 @@
 	result.number = number;
 	result.copy_source = copy_source;
 	query = g_hash_table_lookup(placement->queries, &number);
-	/* Too late: placed by ourselves meanwhile. */
+	/* Too late: this entry has placed the prompt itself. */
 	if (!query || query->peer != peer) {
 		direct_placement_report_end(placement, &result, POOL_UNKNOWN);
 		return;
@@ -230,7 +233,7 @@
 	finish_query(query, upstream, &result);
 }
 
-/* ---- placing for peers ---- */
+/* ---- prompts placed for peers ---- */
 
 static void mark_prefilled(struct reservation *reservation)
 {
@@ -277,7 +280,8 @@
 	return NULL;
 }
 
-/* Ids of what was tried; those that we do not know cannot be chosen anyway. */
+/* Ids of the excluded upstreams. Unknown ones are left out, as they cannot be
+ * chosen anyway. */
 static GPtrArray *read_excluded(const struct direct_placement *placement,
 				const char *service, GVariant *list)
 {
@@ -325,7 +329,7 @@
 	return reservation;
 }
 
-/* `held` NULL: it could not be placed. */
+/* `reservation` NULL: the prompt could not be placed. */
 static GVariant *write_answer(uint64_t number,
 			      const struct reservation *reservation,
 			      int64_t wait_us)
@@ -439,7 +443,7 @@
 						   NULL, free_query);
 	placement->reservations = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, NULL, free_reservation);
-	/* Unlike those of an earlier life. */
+	/* Random, to differ from those of an earlier start. */
 	placement->next_number = lp_random_u64();
 	placement->expiry_timer =
 		lp_timer_add(EXPIRY_INTERVAL_MS, on_expiry_timer, placement);
--- a/direct/direct_placement.h
+++ b/direct/direct_placement.h
@@ -1,11 +1,13 @@
 /**
- * Where prompts go: asked of the one entry that places them for all.
+ * Placement of prompts: the engine of a prompt is chosen by its placer, the one
+ * entry that places the prompts of a shard of a service for all entries.
  *
- * An engine's queue is made by all entries; one alone sees its own requests
- * only, and each would read the same prompts in again somewhere else. The
- * placer of a service knows what all sent where, which prompts that left in
- * each engine's memory, and what is still unread. It is asked in one datagram
- * and answers in one; an entry that hears nothing soon decides by itself.
+ * All entries add to an engine's queue. An entry that knew only its own
+ * requests could not see that queue, and each entry would have the same prefix
+ * read at another engine. The placer knows what all entries sent where, which
+ * prefix blocks that left in each engine's prefix cache, and how many tokens
+ * are still unread. A query is one datagram, and so is the answer. Without an
+ * answer within 40 ms the entry chooses an engine by itself.
  */
 #ifndef DIRECT_PLACEMENT_H
 #define DIRECT_PLACEMENT_H
@@ -16,19 +18,19 @@
 struct direct;
 struct direct_placement;
 
-/** Where a request was placed; all zero: by ourselves. */
+/** Where a prompt was placed; all zero: by this entry. */
 struct direct_placement_result {
-	int64_t wait_us; /**< nobody may take it yet: until then, about; 0: the
-			    placer does not say so */
-	uint64_t placer; /**< the placer */
-	uint64_t number; /**< of this placing */
-	uint64_t copy_source; /**< engine to copy memory from; 0: none */
+	int64_t wait_us;      /**< estimated time until some engine may take the
+				 prompt, if none may now; else 0 */
+	uint64_t placer;      /**< hash of the peer */
+	uint64_t number;      /**< of the query */
+	uint64_t copy_source; /**< engine to copy KV cache from; 0: none */
 	int64_t copied_tokens;
-	int64_t cold_tokens;  /**< to be read */
-	int64_t tokens_ahead; /**< at the engine before it */
+	int64_t cold_tokens;  /**< that the engine has to read */
+	int64_t tokens_ahead; /**< unread tokens queued there before it */
 };
 
-/** The answer; `upstream` NULL: decide by yourself. */
+/** Passes the answer of a query. `upstream` NULL: choose an engine yourself. */
 typedef void (*direct_placement_fn)(
 	void *userdata, struct pool_upstream *upstream,
 	const struct direct_placement_result *result);
@@ -37,20 +39,23 @@
 						 struct direct_peers *peers);
 void direct_placement_destroy(struct direct_placement *placement);
 /**
- * Ask `placer`. Returns the question's number, or 0: it cannot be asked.
- * `placed` is called once, later, unless the question is dropped.
+ * Ask `placer` for an engine. Returns the query's number, or 0: the query
+ * cannot be sent. `on_placed` is called once, later, unless the query is
+ * cancelled.
  */
 uint64_t direct_placement_query(struct direct_placement *placement,
 				uint64_t placer, const struct pool_ask *ask,
 				direct_placement_fn on_placed, void *userdata);
 void direct_placement_cancel(struct direct_placement *placement,
 			     uint64_t number);
-/** The engine has begun to answer, after `took_us` of `expected_us`. */
+/** Tell the placer that the engine has begun to answer, after `took_us`;
+ * `expected_us` had been expected. */
 void direct_placement_report_answering(
 	struct direct_placement *placement,
 	const struct direct_placement_result *result, int64_t took_us,
 	int64_t expected_us);
-/** It is over there. */
+/** Tell the placer that a request has ended, or that its choice is not used.
+ */
 void direct_placement_report_end(struct direct_placement *placement,
 				 const struct direct_placement_result *result,
 				 enum pool_outcome outcome);
