--- a/direct/direct.c
+++ b/direct/direct.c
@@ -159,7 +159,7 @@
 	each_request(direct, direct_request_drop);
 	http_server_destroy(direct->server);
 	if (direct->peers)
-		direct_peers_listen_none(direct->peers);
+		direct_peers_remove_listeners(direct->peers);
 	direct_placement_destroy(direct->places);
 	direct_relay_destroy(direct->relay);
 	direct_calls_destroy(direct->calls);
@@ -212,7 +212,7 @@
 static void open_to_peers(struct direct *direct)
 {
 	if (direct->peers)
-		direct_peers_open(direct->peers, direct_ready(direct));
+		direct_peers_set_ready(direct->peers, direct_ready(direct));
 }
 
 bool direct_set_config(struct direct *direct, struct direct_config *config)
@@ -352,7 +352,7 @@
 {
 	http_server_drain(direct->server);
 	if (direct->peers)
-		direct_peers_end_work(direct->peers);
+		direct_peers_drain(direct->peers);
 }
 
 void direct_end_by(struct direct *direct, int64_t end_us)
--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -389,9 +389,9 @@
 	g_free(items);
 	g_hash_table_remove(calls->calls_in_flight, call);
 	if (outcome == POOL_UNREACHABLE && calls->direct->peers)
-		direct_peers_tell_unreachable(calls->direct->peers,
-					      call->batch->upstream->life,
-					      PEER_EJECTION_US);
+		direct_peers_report_unreachable(calls->direct->peers,
+						call->batch->upstream->life,
+						PEER_EJECTION_US);
 	pieces_end(call->queue->pieces, call->batch, outcome,
 		   call->reply.running, call->reply.waiting);
 	g_free(call);
--- a/direct/direct_closures.c
+++ b/direct/direct_closures.c
@@ -109,7 +109,7 @@
 		return;
 	direct_peers_listen(peers, KIND_CLOSURES, CLOSURES_TYPE, on_word,
 			    closures);
-	direct_peers_on_met(peers, on_met, closures);
+	direct_peers_on_discovered(peers, on_met, closures);
 }
 
 struct direct_closures *
--- a/direct/direct_notices.c
+++ b/direct/direct_notices.c
@@ -300,7 +300,7 @@
 			    notices);
 	direct_peers_listen(peers, KIND_LEAVING, LEAVING_TYPE, on_leaving,
 			    notices);
-	direct_peers_on_met(peers, on_met, notices);
+	direct_peers_on_discovered(peers, on_met, notices);
 }
 
 struct direct_notices *
--- a/direct/direct_peers.c
+++ b/direct/direct_peers.c
@@ -10,66 +10,66 @@
 #define HELLO_MS 1000
 /* At first, members that have not been heard get one more often: they may have
  * started a little later. */
-#define FIRST_HELLO_MS 100
-#define FIRST_HELLOS 10
-#define SILENT_US (3500 * LP_US_PER_MS)
+#define INITIAL_HELLO_MS 100
+#define INITIAL_HELLOS 10
+#define LIVENESS_TIMEOUT_US (3500 * LP_US_PER_MS)
 /* Work with many inputs or results; larger ones are not sent. */
 #define DATAGRAM_MAX 8192
 /* Members named in one hello; the next one goes on with those after them. */
-#define NAMED_MAX 40
-#define DATAGRAMS_A_TURN 32
+#define NAMES_PER_HELLO 40
+#define DATAGRAMS_PER_ITERATION 32
 /* A member that did not do its work gets none for this long, and not before
  * it is heard again. */
 #define SUSPECT_US (2 * LP_US_PER_S)
 
 /* Signs of life are asked for this often at the most. */
-#define SIGN_EACH_US (50 * LP_US_PER_MS)
+#define PROBE_INTERVAL_US (50 * LP_US_PER_MS)
 
 /* A young member counts as this part of itself: one that was killed shall not
  * take its work back at once, and then be killed again. Where all are young
  * they are equal. Shorter than the time from a fleet's start to its traffic. */
-#define YOUNG_PART 4
-#define SETTLE_US (8 * LP_US_PER_S)
+#define SLOW_START_DIVISOR 4
+#define SLOW_START_DEFAULT_US (8 * LP_US_PER_S)
 /* One that has no configuration after this is not counted on. */
-#define STARTING_US (3 * LP_US_PER_S)
+#define CONFIG_GRACE_US (3 * LP_US_PER_S)
 
 /* One that was heard or first named in this time may be there, and work. */
-#define KNOWN_US (60 * LP_US_PER_S)
+#define KNOWN_RETENTION_US (60 * LP_US_PER_S)
 
 #define KIND_HELLO 'H'
-#define KIND_SIGN 'S' /* asks for a hello */
+#define KIND_PROBE 'S' /* asks for a hello */
 #define KIND_UNREACHABLE 'U'
-#define KIND_LIST 'L'
-#define LIST_TYPE "(tx)" /* hash, us since it was asked for */
+#define KIND_UPSTREAM_LIST 'L'
+#define UPSTREAM_LIST_TYPE "(tx)" /* hash, us since it was asked for */
 /* version in force, members' IPs, capacity, what sets this start apart */
 #define HELLO_TYPE "(xasut)"
-#define SIGN_TYPE "(t)"
+#define PROBE_TYPE "(t)"
 #define UNREACHABLE_TYPE "(tx)" /* upstream's hash, us it is set aside */
 
 struct peer {
 	char *ip;
 	uint64_t hash; /* of the ip */
 	GSocketAddress *address;
-	int64_t named_us;  /* when we learnt of it */
-	int64_t heard_us;  /* its last hello; 0: only named so far */
-	int64_t word_us;   /* any datagram of it */
-	int64_t signed_us; /* when a sign of life was asked for last */
+	int64_t added_us;    /* when we learnt of it */
+	int64_t hello_us;    /* its last hello; 0: only named so far */
+	int64_t received_us; /* any datagram of it */
+	int64_t probed_us;   /* when a sign of life was asked for last */
 	int64_t suspect_until_us;
 	uint32_t capacity; /* in thousandths of a core */
-	uint64_t start;	   /* sets its starts apart */
+	uint64_t start_id; /* sets its starts apart */
 };
 
 /* Who takes datagrams of a kind. */
 struct listener {
 	char kind;
 	const char *type;
-	direct_peers_word word;
+	direct_peers_datagram_fn handler;
 	void *userdata;
 };
 
 /* Who is told of members that are met. */
-struct greeter {
-	void (*met)(void *userdata, uint64_t peer);
+struct discovery_listener {
+	void (*on_discovered)(void *userdata, uint64_t peer);
 	void *userdata;
 };
 
@@ -80,22 +80,23 @@
 	GSocket *socket;
 	GSource *source;
 	guint hello_timer;
-	guint first_timer; /* 0: the first hellos are over */
-	uint32_t first_hellos;
-	uint32_t named_next; /* where the next hello begins to name members */
+	guint initial_timer; /* 0: the first hellos are over */
+	uint32_t initial_hellos;
+	uint32_t next_name;  /* where the next hello begins to name members */
 	GHashTable *peers;   /* ip -> struct peer */
 	GHashTable *by_hash; /* hash -> struct peer */
 	GHashTable *known;   /* ip -> int64_t: heard, or first named, last */
 	GArray *listeners;   /* of struct listener */
-	void (*restarted)(void *userdata, uint64_t peer);
-	void *restarted_userdata;
-	GArray *greeters; /* of struct greeter */
+	void (*on_restarted)(void *userdata, uint64_t peer);
+	void *on_restarted_userdata;
+	GArray *discovery_listeners; /* of struct greeter */
 	int64_t version;
-	bool open; /* takes work of others */
-	bool ends;
-	uint64_t start;
+	bool is_ready; /* takes work of others */
+	bool is_draining;
+	uint64_t start_id;
 	int64_t started_us;
-	int64_t found_us; /* a member that had not been heard; 0: none yet */
+	int64_t discovered_us; /* a member that had not been heard; 0: none yet
+				*/
 };
 
 static void free_peer(gpointer data)
@@ -107,7 +108,7 @@
 	g_free(peer);
 }
 
-static void note_known(struct direct_peers *peers, const char *ip)
+static void record_known(struct direct_peers *peers, const char *ip)
 {
 	int64_t now_us = lp_now_us(peers->options.clock);
 
@@ -115,7 +116,7 @@
 			     g_memdup2(&now_us, sizeof(now_us)));
 }
 
-static struct peer *peer_of(struct direct_peers *peers, const char *ip)
+static struct peer *get_or_add_peer(struct direct_peers *peers, const char *ip)
 {
 	struct peer *peer = g_hash_table_lookup(peers->peers, ip);
 	GSocketAddress *address;
@@ -127,28 +128,29 @@
 	if (!address)
 		return NULL;
 	if (!g_hash_table_contains(peers->known, ip))
-		note_known(peers, ip);
+		record_known(peers, ip);
 	peer = g_new0(struct peer, 1);
 	peer->ip = g_strdup(ip);
 	peer->hash = lp_hash_str(ip);
-	peer->named_us = lp_now_us(peers->options.clock);
+	peer->added_us = lp_now_us(peers->options.clock);
 	peer->address = address;
 	g_hash_table_insert(peers->peers, peer->ip, peer);
 	g_hash_table_insert(peers->by_hash, &peer->hash, peer);
 	return peer;
 }
 
-static bool is_fresh(const struct direct_peers *peers, const struct peer *peer)
+static bool is_alive(const struct direct_peers *peers, const struct peer *peer)
 {
-	return peer->heard_us &&
-	       lp_now_us(peers->options.clock) - peer->heard_us < SILENT_US;
+	return peer->hello_us &&
+	       lp_now_us(peers->options.clock) - peer->hello_us <
+		       LIVENESS_TIMEOUT_US;
 }
 
 /* ---- sending ---- */
 
 /* False: it is too large. */
-static bool send_to(struct direct_peers *peers, const struct peer *peer,
-		    char kind, GVariant *body)
+static bool send_datagram(struct direct_peers *peers, const struct peer *peer,
+			  char kind, GVariant *body)
 {
 	/* GVariant wants its bytes aligned, so the kind comes last. */
 	_Alignas(8) char datagram[DATAGRAM_MAX];
@@ -172,14 +174,16 @@
 	uint32_t capacity = peers->options.capacity;
 	int64_t age_us = lp_now_us(peers->options.clock) - peers->started_us;
 
-	if (peers->ends || (!peers->open && age_us > STARTING_US))
+	if (peers->is_draining ||
+	    (!peers->is_ready && age_us > CONFIG_GRACE_US))
 		return 0;
-	return age_us < peers->options.slow_start_us ? capacity / YOUNG_PART
-						     : capacity;
+	return age_us < peers->options.slow_start_us
+		       ? capacity / SLOW_START_DIVISOR
+		       : capacity;
 }
 
 /* Members heard lately, borrowed. */
-static GPtrArray *fresh_ips(const struct direct_peers *peers)
+static GPtrArray *live_ips(const struct direct_peers *peers)
 {
 	GPtrArray *ips = g_ptr_array_new();
 	GHashTableIter iter;
@@ -187,28 +191,27 @@
 
 	g_hash_table_iter_init(&iter, peers->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (is_fresh(peers, value))
+		if (is_alive(peers, value))
 			g_ptr_array_add(ips, ((struct peer *)value)->ip);
 	return ips;
 }
 
 /* Each hello of ours that goes to all begins where the one before ended: all
  * are named in turn, however many there are. */
-static GVariant *make_hello(struct direct_peers *peers)
+static GVariant *write_hello(struct direct_peers *peers)
 {
-	g_autoptr(GPtrArray) ips = fresh_ips(peers);
-	uint32_t count = MIN(ips->len, NAMED_MAX);
+	g_autoptr(GPtrArray) ips = live_ips(peers);
+	uint32_t count = MIN(ips->len, NAMES_PER_HELLO);
 	GVariantBuilder names;
 
 	g_variant_builder_init(&names, G_VARIANT_TYPE("as"));
 	for (uint32_t i = 0; i < count; i++)
-		g_variant_builder_add(
-			&names, "s",
-			g_ptr_array_index(ips,
-					  (peers->named_next + i) % ips->len));
+		g_variant_builder_add(&names, "s",
+				      g_ptr_array_index(ips, (peers->next_name +
+							      i) % ips->len));
 	return g_variant_ref_sink(
 		g_variant_new(HELLO_TYPE, (gint64)peers->version, &names,
-			      own_capacity(peers), (guint64)peers->start));
+			      own_capacity(peers), (guint64)peers->start_id));
 }
 
 static void add_seeds(struct direct_peers *peers)
@@ -216,11 +219,11 @@
 	for (char **seed = peers->seeds; *seed; seed++) {
 		g_autofree char *ip = g_strndup(*seed, strcspn(*seed, ":"));
 
-		peer_of(peers, ip);
+		get_or_add_peer(peers, ip);
 	}
 }
 
-static void forget_silent(struct direct_peers *peers)
+static void remove_silent(struct direct_peers *peers)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -230,10 +233,10 @@
 		const struct peer *peer = value;
 
 		if (lp_now_us(peers->options.clock) -
-			    MAX(peer->heard_us, peer->named_us) <
-		    SILENT_US)
+			    MAX(peer->hello_us, peer->added_us) <
+		    LIVENESS_TIMEOUT_US)
 			continue;
-		if (peer->heard_us &&
+		if (peer->hello_us &&
 		    lp_event_begin(peers->options.log, "peer_lost", NULL)) {
 			lp_event_text(peers->options.log, "peer", peer->ip);
 			lp_event_end(peers->options.log);
@@ -243,41 +246,41 @@
 	}
 }
 
-static void say_hello(struct direct_peers *peers)
+static void send_hellos(struct direct_peers *peers)
 {
-	g_autoptr(GVariant) hello = make_hello(peers);
+	g_autoptr(GVariant) hello = write_hello(peers);
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, peers->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		send_to(peers, value, KIND_HELLO, hello);
+		send_datagram(peers, value, KIND_HELLO, hello);
 }
 
-static gboolean on_first_timer(gpointer userdata)
+static gboolean on_initial_timer(gpointer userdata)
 {
 	struct direct_peers *peers = userdata;
-	g_autoptr(GVariant) hello = make_hello(peers);
+	g_autoptr(GVariant) hello = write_hello(peers);
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, peers->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (!((struct peer *)value)->heard_us)
-			send_to(peers, value, KIND_HELLO, hello);
-	if (++peers->first_hellos < FIRST_HELLOS)
+		if (!((struct peer *)value)->hello_us)
+			send_datagram(peers, value, KIND_HELLO, hello);
+	if (++peers->initial_hellos < INITIAL_HELLOS)
 		return G_SOURCE_CONTINUE;
-	peers->first_timer = 0;
+	peers->initial_timer = 0;
 	return G_SOURCE_REMOVE;
 }
 
 static bool is_known(const struct direct_peers *peers, const int64_t *at_us)
 {
-	return lp_now_us(peers->options.clock) - *at_us < KNOWN_US;
+	return lp_now_us(peers->options.clock) - *at_us < KNOWN_RETENTION_US;
 }
 
 /* Seeds are named for as long as we live, and not known anew each time. */
-static void forget_unknown(struct direct_peers *peers)
+static void expire_known(struct direct_peers *peers)
 {
 	GHashTableIter iter;
 	gpointer ip;
@@ -294,32 +297,33 @@
 {
 	struct direct_peers *peers = userdata;
 
-	peers->named_next += NAMED_MAX;
-	forget_silent(peers);
+	peers->next_name += NAMES_PER_HELLO;
+	remove_silent(peers);
 	add_seeds(peers);
-	forget_unknown(peers);
-	say_hello(peers);
+	expire_known(peers);
+	send_hellos(peers);
 	return G_SOURCE_CONTINUE;
 }
 
-void direct_peers_set_version(struct direct_peers *peers, int64_t version)
+void direct_peers_set_config_version(struct direct_peers *peers,
+				     int64_t version)
 {
 	peers->version = version;
-	say_hello(peers);
+	send_hellos(peers);
 }
 
-void direct_peers_open(struct direct_peers *peers, bool open)
+void direct_peers_set_ready(struct direct_peers *peers, bool is_ready)
 {
-	if (peers->open == open)
+	if (peers->is_ready == is_ready)
 		return;
-	peers->open = open;
-	say_hello(peers);
+	peers->is_ready = is_ready;
+	send_hellos(peers);
 }
 
-void direct_peers_end_work(struct direct_peers *peers)
+void direct_peers_drain(struct direct_peers *peers)
 {
-	peers->ends = true;
-	say_hello(peers);
+	peers->is_draining = true;
+	send_hellos(peers);
 }
 
 void direct_peers_send_all(struct direct_peers *peers, char kind,
@@ -331,36 +335,37 @@
 
 	g_hash_table_iter_init(&iter, peers->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (is_fresh(peers, value))
-			send_to(peers, value, kind, held);
+		if (is_alive(peers, value))
+			send_datagram(peers, value, kind, held);
 }
 
-void direct_peers_tell_unreachable(struct direct_peers *peers,
-				   uint64_t upstream, int64_t aside_us)
+void direct_peers_report_unreachable(struct direct_peers *peers,
+				     uint64_t upstream, int64_t eject_us)
 {
 	direct_peers_send_all(peers, KIND_UNREACHABLE,
 			      g_variant_new(UNREACHABLE_TYPE, (guint64)upstream,
-					    (gint64)aside_us));
+					    (gint64)eject_us));
 }
 
-void direct_peers_tell_list(struct direct_peers *peers, uint64_t hash,
-			    int64_t age_us)
+void direct_peers_report_upstream_list(struct direct_peers *peers,
+				       uint64_t hash, int64_t age_us)
 {
-	direct_peers_send_all(
-		peers, KIND_LIST,
-		g_variant_new(LIST_TYPE, (guint64)hash, (gint64)age_us));
+	direct_peers_send_all(peers, KIND_UPSTREAM_LIST,
+			      g_variant_new(UPSTREAM_LIST_TYPE, (guint64)hash,
+					    (gint64)age_us));
 }
 
-static bool may_work(const struct direct_peers *peers, const struct peer *peer)
+static bool may_get_work(const struct direct_peers *peers,
+			 const struct peer *peer)
 {
-	return is_fresh(peers, peer) &&
+	return is_alive(peers, peer) &&
 	       lp_now_us(peers->options.clock) >= peer->suspect_until_us &&
-	       peer->word_us >= peer->suspect_until_us - SUSPECT_US;
+	       peer->received_us >= peer->suspect_until_us - SUSPECT_US;
 }
 
 void direct_peers_members(const struct direct_peers *peers, GArray *out)
 {
-	struct dispatchers_member member = { direct_peers_self(peers),
+	struct dispatchers_member member = { direct_peers_own_hash(peers),
 					     own_capacity(peers) };
 	GHashTableIter iter;
 	gpointer value;
@@ -370,7 +375,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct peer *peer = value;
 
-		if (!may_work(peers, peer))
+		if (!may_get_work(peers, peer))
 			continue;
 		member.hash = peer->hash;
 		member.capacity = peer->capacity;
@@ -383,14 +388,15 @@
 {
 	const struct peer *to = g_hash_table_lookup(peers->by_hash, &peer);
 
-	return to && send_to(peers, to, kind, body);
+	return to && send_datagram(peers, to, kind, body);
 }
 
-int64_t direct_peers_heard_us(const struct direct_peers *peers, uint64_t peer)
+int64_t direct_peers_last_received_us(const struct direct_peers *peers,
+				      uint64_t peer)
 {
 	const struct peer *from = g_hash_table_lookup(peers->by_hash, &peer);
 
-	return from ? from->word_us : 0;
+	return from ? from->received_us : 0;
 }
 
 static bool knows_silent(const struct direct_peers *peers)
@@ -400,16 +406,16 @@
 
 	g_hash_table_iter_init(&iter, peers->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (!((const struct peer *)value)->heard_us)
+		if (!((const struct peer *)value)->hello_us)
 			return true;
 	return false;
 }
 
-int64_t direct_peers_meeting_left_us(const struct direct_peers *peers)
+int64_t direct_peers_discovery_left_us(const struct direct_peers *peers)
 {
 	const struct dispatchers_meeting meeting = {
 		.started_us = peers->started_us,
-		.found_us = peers->found_us,
+		.found_us = peers->discovered_us,
 		.knows_silent = knows_silent(peers),
 	};
 
@@ -423,21 +429,21 @@
 
 	if (from)
 		return from->ip;
-	return peer == direct_peers_self(peers) ? peers->ip : "";
+	return peer == direct_peers_own_hash(peers) ? peers->ip : "";
 }
 
-void direct_peers_ask_sign(struct direct_peers *peers, uint64_t peer)
+void direct_peers_probe(struct direct_peers *peers, uint64_t peer)
 {
 	struct peer *to = g_hash_table_lookup(peers->by_hash, &peer);
 	int64_t now_us = lp_now_us(peers->options.clock);
 	g_autoptr(GVariant) body = NULL;
 
-	if (!to || now_us - to->signed_us < SIGN_EACH_US)
+	if (!to || now_us - to->probed_us < PROBE_INTERVAL_US)
 		return;
-	to->signed_us = now_us;
+	to->probed_us = now_us;
 	body = g_variant_ref_sink(
-		g_variant_new(SIGN_TYPE, (guint64)peers->start));
-	send_to(peers, to, KIND_SIGN, body);
+		g_variant_new(PROBE_TYPE, (guint64)peers->start_id));
+	send_datagram(peers, to, KIND_PROBE, body);
 }
 
 void direct_peers_suspect(struct direct_peers *peers, uint64_t peer)
@@ -451,41 +457,45 @@
 	if (!lp_event_begin(peers->options.log, "peer_suspect", NULL))
 		return;
 	lp_event_text(peers->options.log, "peer", silent->ip);
-	lp_event_int(peers->options.log, "silent_us", now_us - silent->word_us);
+	lp_event_int(peers->options.log, "silent_us",
+		     now_us - silent->received_us);
 	lp_event_end(peers->options.log);
 }
 
 void direct_peers_listen(struct direct_peers *peers, char kind,
-			 const char *type, direct_peers_word word,
+			 const char *type, direct_peers_datagram_fn handler,
 			 void *userdata)
 {
-	struct listener listener = { kind, type, word, userdata };
+	struct listener listener = { kind, type, handler, userdata };
 
 	g_array_append_val(peers->listeners, listener);
 }
 
-void direct_peers_listen_none(struct direct_peers *peers)
+void direct_peers_remove_listeners(struct direct_peers *peers)
 {
 	g_array_set_size(peers->listeners, 0);
-	peers->restarted = NULL;
-	g_array_set_size(peers->greeters, 0);
+	peers->on_restarted = NULL;
+	g_array_set_size(peers->discovery_listeners, 0);
 }
 
-void direct_peers_on_met(struct direct_peers *peers,
-			 void (*met)(void *userdata, uint64_t peer),
-			 void *userdata)
+void direct_peers_on_discovered(struct direct_peers *peers,
+				void (*on_discovered)(void *userdata,
+						      uint64_t peer),
+				void *userdata)
 {
-	struct greeter greeter = { met, userdata };
+	struct discovery_listener discovery_listener = { on_discovered,
+							 userdata };
 
-	g_array_append_val(peers->greeters, greeter);
+	g_array_append_val(peers->discovery_listeners, discovery_listener);
 }
 
 void direct_peers_on_restart(struct direct_peers *peers,
-			     void (*restarted)(void *userdata, uint64_t peer),
+			     void (*on_restarted)(void *userdata,
+						  uint64_t peer),
 			     void *userdata)
 {
-	peers->restarted = restarted;
-	peers->restarted_userdata = userdata;
+	peers->on_restarted = on_restarted;
+	peers->on_restarted_userdata = userdata;
 }
 
 uint32_t direct_peers_count(const struct direct_peers *peers)
@@ -496,12 +506,12 @@
 
 	g_hash_table_iter_init(&iter, peers->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (is_fresh(peers, value))
+		if (is_alive(peers, value))
 			count++;
 	return count;
 }
 
-uint32_t direct_peers_known(const struct direct_peers *peers)
+uint32_t direct_peers_known_count(const struct direct_peers *peers)
 {
 	GHashTableIter iter;
 	gpointer at_us;
@@ -513,14 +523,14 @@
 	return count;
 }
 
-uint64_t direct_peers_self(const struct direct_peers *peers)
+uint64_t direct_peers_own_hash(const struct direct_peers *peers)
 {
 	return lp_hash_str(peers->ip);
 }
 
 /* ---- hearing ---- */
 
-static void note_found(struct direct_peers *peers, const struct peer *from)
+static void log_discovered(struct direct_peers *peers, const struct peer *from)
 {
 	if (!lp_event_begin(peers->options.log, "peer_found", NULL))
 		return;
@@ -530,93 +540,95 @@
 }
 
 /* A start that we did not know. */
-static void note_start(struct direct_peers *peers, struct peer *from,
-		       uint64_t start)
+static void record_start(struct direct_peers *peers, struct peer *from,
+			 uint64_t start_id)
 {
-	bool again = from->start && from->start != start;
+	bool is_restart = from->start_id && from->start_id != start_id;
 
-	from->start = start;
-	if (again && peers->restarted)
-		peers->restarted(peers->restarted_userdata, from->hash);
+	from->start_id = start_id;
+	if (is_restart && peers->on_restarted)
+		peers->on_restarted(peers->on_restarted_userdata, from->hash);
 }
 
 /* Members that start together know each other after some round trips, not
  * after some rounds of hellos: each dispatches by itself until then. */
-static void greet(struct direct_peers *peers, const struct peer *peer)
+static void send_hello(struct direct_peers *peers, const struct peer *peer)
 {
-	g_autoptr(GVariant) hello = make_hello(peers);
+	g_autoptr(GVariant) hello = write_hello(peers);
 
-	send_to(peers, peer, KIND_HELLO, hello);
+	send_datagram(peers, peer, KIND_HELLO, hello);
 }
 
 /* A member that another one named. */
-static void meet(struct direct_peers *peers, const char *ip)
+static void discover(struct direct_peers *peers, const char *ip)
 {
 	const struct peer *peer;
 
 	if (g_hash_table_contains(peers->peers, ip))
 		return;
-	peer = peer_of(peers, ip);
+	peer = get_or_add_peer(peers, ip);
 	if (peer)
-		greet(peers, peer);
+		send_hello(peers, peer);
 }
 
-static void take_hello(struct direct_peers *peers, struct peer *from,
-		       GVariant *body)
+static void handle_hello(struct direct_peers *peers, struct peer *from,
+			 GVariant *body)
 {
 	g_autoptr(GVariantIter) names = NULL;
 	gint64 version;
-	guint64 start;
+	guint64 start_id;
 	const char *ip;
-	bool was_fresh = is_fresh(peers, from);
+	bool was_alive = is_alive(peers, from);
 	bool is_new;
 
-	from->heard_us = lp_now_us(peers->options.clock);
-	note_known(peers, from->ip);
+	from->hello_us = lp_now_us(peers->options.clock);
+	record_known(peers, from->ip);
 	g_variant_get(body, HELLO_TYPE, &version, &names, &from->capacity,
-		      &start);
-	is_new = !was_fresh || from->start != start;
-	if (!was_fresh) {
-		peers->found_us = from->heard_us;
-		note_found(peers, from);
+		      &start_id);
+	is_new = !was_alive || from->start_id != start_id;
+	if (!was_alive) {
+		peers->discovered_us = from->hello_us;
+		log_discovered(peers, from);
 	}
 	while (g_variant_iter_next(names, "&s", &ip))
-		meet(peers, ip);
-	note_start(peers, from, start);
+		discover(peers, ip);
+	record_start(peers, from, start_id);
 	if (is_new)
-		greet(peers, from);
-	for (guint i = 0; is_new && i < peers->greeters->len; i++) {
-		const struct greeter *greeter =
-			&g_array_index(peers->greeters, struct greeter, i);
-
-		greeter->met(greeter->userdata, from->hash);
+		send_hello(peers, from);
+	for (guint i = 0; is_new && i < peers->discovery_listeners->len; i++) {
+		const struct discovery_listener *discovery_listener =
+			&g_array_index(peers->discovery_listeners,
+				       struct discovery_listener, i);
+
+		discovery_listener->on_discovered(discovery_listener->userdata,
+						  from->hash);
 	}
 	peers->options.on_config_version(peers->options.userdata, from->ip,
 					 version);
 }
 
-static void take_sign(struct direct_peers *peers, const struct peer *from)
+static void handle_probe(struct direct_peers *peers, const struct peer *from)
 {
-	greet(peers, from);
+	send_hello(peers, from);
 }
 
-static void take_unreachable(struct direct_peers *peers, GVariant *body)
+static void handle_unreachable(struct direct_peers *peers, GVariant *body)
 {
 	guint64 upstream;
-	gint64 aside_us;
+	gint64 eject_us;
 
-	g_variant_get(body, UNREACHABLE_TYPE, &upstream, &aside_us);
+	g_variant_get(body, UNREACHABLE_TYPE, &upstream, &eject_us);
 	peers->options.on_unreachable(peers->options.userdata, upstream,
-				      aside_us);
+				      eject_us);
 }
 
-static void take_list(struct direct_peers *peers, const struct peer *from,
-		      GVariant *body)
+static void handle_upstream_list(struct direct_peers *peers,
+				 const struct peer *from, GVariant *body)
 {
 	guint64 hash;
 	gint64 age_us;
 
-	g_variant_get(body, LIST_TYPE, &hash, &age_us);
+	g_variant_get(body, UPSTREAM_LIST_TYPE, &hash, &age_us);
 	peers->options.on_upstream_list(peers->options.userdata, from->ip, hash,
 					age_us);
 }
@@ -635,19 +647,19 @@
 }
 
 /* The type of a kind's body, or NULL. */
-static const char *type_of(const struct direct_peers *peers, char kind)
+static const char *body_type(const struct direct_peers *peers, char kind)
 {
 	const struct listener *listener = listener_of(peers, kind);
 
 	switch (kind) {
 	case KIND_HELLO:
 		return HELLO_TYPE;
-	case KIND_SIGN:
-		return SIGN_TYPE;
+	case KIND_PROBE:
+		return PROBE_TYPE;
 	case KIND_UNREACHABLE:
 		return UNREACHABLE_TYPE;
-	case KIND_LIST:
-		return LIST_TYPE;
+	case KIND_UPSTREAM_LIST:
+		return UPSTREAM_LIST_TYPE;
 	default:
 		return listener ? listener->type : NULL;
 	}
@@ -664,24 +676,24 @@
 	return NULL;
 }
 
-static void pass_word(struct direct_peers *peers, const struct peer *from,
-		      char kind, GVariant *body)
+static void pass_to_listener(struct direct_peers *peers,
+			     const struct peer *from, char kind, GVariant *body)
 {
 	const struct listener *listener = listener_of(peers, kind);
 
 	if (listener)
-		listener->word(listener->userdata, from->hash, body);
+		listener->handler(listener->userdata, from->hash, body);
 }
 
-static void take_datagram(struct direct_peers *peers, GSocketAddress *source,
-			  const char *bytes, gsize size)
+static void handle_datagram(struct direct_peers *peers, GSocketAddress *source,
+			    const char *bytes, gsize size)
 {
 	GInetAddress *from = g_inet_socket_address_get_address(
 		G_INET_SOCKET_ADDRESS(source));
 	g_autofree char *ip = g_inet_address_to_string(from);
-	struct peer *peer = peer_of(peers, ip);
+	struct peer *peer = get_or_add_peer(peers, ip);
 	char kind = bytes[size - 1];
-	const char *type = type_of(peers, kind);
+	const char *type = body_type(peers, kind);
 	GVariant *body = type ? read_body(type, bytes, size - 1) : NULL;
 
 	if (!peer || !body) {
@@ -689,17 +701,17 @@
 			g_variant_unref(body);
 		return;
 	}
-	peer->word_us = lp_now_us(peers->options.clock);
+	peer->received_us = lp_now_us(peers->options.clock);
 	if (kind == KIND_HELLO)
-		take_hello(peers, peer, body);
-	else if (kind == KIND_SIGN)
-		take_sign(peers, peer);
+		handle_hello(peers, peer, body);
+	else if (kind == KIND_PROBE)
+		handle_probe(peers, peer);
 	else if (kind == KIND_UNREACHABLE)
-		take_unreachable(peers, body);
-	else if (kind == KIND_LIST)
-		take_list(peers, peer, body);
+		handle_unreachable(peers, body);
+	else if (kind == KIND_UPSTREAM_LIST)
+		handle_upstream_list(peers, peer, body);
 	else
-		pass_word(peers, peer, kind, body);
+		pass_to_listener(peers, peer, kind, body);
 	g_variant_unref(body);
 }
 
@@ -709,7 +721,7 @@
 	struct direct_peers *peers = userdata;
 	_Alignas(8) char datagram[DATAGRAM_MAX];
 
-	for (uint32_t i = 0; i < DATAGRAMS_A_TURN; i++) {
+	for (uint32_t i = 0; i < DATAGRAMS_PER_ITERATION; i++) {
 		g_autoptr(GSocketAddress) source = NULL;
 		gssize size =
 			g_socket_receive_from(socket, &source, datagram,
@@ -718,7 +730,7 @@
 		if (size <= 0)
 			break;
 		if (size > 1)
-			take_datagram(peers, source, datagram, (gsize)size);
+			handle_datagram(peers, source, datagram, (gsize)size);
 	}
 	return G_SOURCE_CONTINUE;
 }
@@ -759,20 +771,21 @@
 	peers->known =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	peers->listeners = g_array_new(FALSE, FALSE, sizeof(struct listener));
-	peers->greeters = g_array_new(FALSE, FALSE, sizeof(struct greeter));
-	peers->start = lp_random_u64();
+	peers->discovery_listeners =
+		g_array_new(FALSE, FALSE, sizeof(struct discovery_listener));
+	peers->start_id = lp_random_u64();
 	peers->started_us = lp_now_us(options->clock);
 	if (!peers->options.slow_start_us)
-		peers->options.slow_start_us = SETTLE_US;
+		peers->options.slow_start_us = SLOW_START_DEFAULT_US;
 	peers->source = g_socket_create_source(socket, G_IO_IN, NULL);
 	g_source_set_callback(peers->source, G_SOURCE_FUNC(on_datagram), peers,
 			      NULL);
 	g_source_attach(peers->source, NULL);
 	add_seeds(peers);
-	say_hello(peers);
+	send_hellos(peers);
 	peers->hello_timer = lp_timer_add(HELLO_MS, on_hello_timer, peers);
-	peers->first_timer =
-		lp_timer_add(FIRST_HELLO_MS, on_first_timer, peers);
+	peers->initial_timer =
+		lp_timer_add(INITIAL_HELLO_MS, on_initial_timer, peers);
 	return peers;
 }
 
@@ -781,8 +794,8 @@
 	if (!peers)
 		return;
 	g_source_remove(peers->hello_timer);
-	if (peers->first_timer)
-		g_source_remove(peers->first_timer);
+	if (peers->initial_timer)
+		g_source_remove(peers->initial_timer);
 	g_source_destroy(peers->source);
 	g_source_unref(peers->source);
 	g_object_unref(peers->socket);
@@ -790,7 +803,7 @@
 	g_hash_table_unref(peers->peers);
 	g_hash_table_unref(peers->known);
 	g_array_unref(peers->listeners);
-	g_array_unref(peers->greeters);
+	g_array_unref(peers->discovery_listeners);
 	g_strfreev(peers->seeds);
 	g_free(peers->ip);
 	g_free(peers);
--- a/direct/direct_placement.c
+++ b/direct/direct_placement.c
@@ -95,13 +95,14 @@
 	struct query *query = data;
 	struct direct_placement *placement = query->placement;
 	const struct direct_placement_result none = { 0 };
-	int64_t heard_us = direct_peers_heard_us(placement->peers, query->peer);
+	int64_t heard_us =
+		direct_peers_last_received_us(placement->peers, query->peer);
 
 	query->timer = 0;
 	if (time_now_us(placement) - heard_us > SUSPECT_AFTER_US)
 		direct_peers_suspect(placement->peers, query->peer);
 	else
-		direct_peers_ask_sign(placement->peers, query->peer);
+		direct_peers_probe(placement->peers, query->peer);
 	finish_query(query, NULL, &none);
 	return G_SOURCE_REMOVE;
 }
--- a/direct/direct_quarantine.c
+++ b/direct/direct_quarantine.c
@@ -613,7 +613,7 @@
 		return;
 	direct_peers_listen(peers, KIND_WORDS, WORDS_TYPE, on_words,
 			    quarantine);
-	direct_peers_on_met(peers, on_met, quarantine);
+	direct_peers_on_discovered(peers, on_met, quarantine);
 }
 
 struct direct_quarantine *direct_quarantine_create(struct direct *direct)
--- a/direct/direct_relay.c
+++ b/direct/direct_relay.c
@@ -144,7 +144,7 @@
 			       const struct outgoing_work *outgoing)
 {
 	int64_t received_us =
-		direct_peers_heard_us(relay->peers, outgoing->peer);
+		direct_peers_last_received_us(relay->peers, outgoing->peer);
 
 	if (!outgoing->is_accepted)
 		received_us = 0;
@@ -158,7 +158,7 @@
 {
 	int64_t now_us = time_now_us(relay);
 	int64_t received_us =
-		direct_peers_heard_us(relay->peers, outgoing->peer);
+		direct_peers_last_received_us(relay->peers, outgoing->peer);
 
 	if (is_dispatcher_gone(relay, outgoing))
 		return true;
@@ -166,7 +166,7 @@
 		resend_work(relay, outgoing);
 	else if (outgoing->is_accepted &&
 		 now_us - MAX(received_us, outgoing->sent_us) >= PROBE_AFTER_US)
-		direct_peers_ask_sign(relay->peers, outgoing->peer);
+		direct_peers_probe(relay->peers, outgoing->peer);
 	return false;
 }
 
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -90,7 +90,7 @@
 {
 	const struct direct *direct = stages->direct;
 
-	return direct->relay ? direct_peers_self(direct->peers) : 0;
+	return direct->relay ? direct_peers_own_hash(direct->peers) : 0;
 }
 
 static struct stage_service *get_or_create_service(struct direct_stages *stages,
@@ -283,7 +283,7 @@
 		stages->direct->relay ? stages->direct->peers : NULL;
 	struct rate_limit_fleet fleet = {
 		.heard = peers ? direct_peers_count(peers) : 1,
-		.known = peers ? direct_peers_known(peers) : 1,
+		.known = peers ? direct_peers_known_count(peers) : 1,
 	};
 	struct pool_limit_share share = {
 		.parts = 1,
@@ -593,7 +593,7 @@
 	struct direct_stages *stages = userdata;
 	g_autoptr(GList) waiting = NULL;
 
-	if (direct_peers_meeting_left_us(stages->direct->peers))
+	if (direct_peers_discovery_left_us(stages->direct->peers))
 		return G_SOURCE_CONTINUE;
 	stages->discovery_timer = 0;
 	waiting = g_hash_table_get_values(stages->submissions);
--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -270,8 +270,8 @@
 			auto *rig = static_cast<Rig *>(self);
 
 			if (rig->peers)
-				direct_peers_tell_list(rig->peers, hash,
-						       age_us);
+				direct_peers_report_upstream_list(rig->peers,
+								  hash, age_us);
 		};
 		options.userdata = this;
 		feed = plf_feed_create(&options);
