--- a/direct/direct_peers.c
+++ b/direct/direct_peers.c
@@ -5,61 +5,63 @@
 
 #include <string.h>
 
-/* Hellos cost a datagram a peer; a member that is silent for three of them
- * is taken as gone. */
+/* A hello costs one datagram for each peer. A peer that misses three of them is
+ * taken as gone: LIVENESS_TIMEOUT_US. */
 #define HELLO_MS 1000
-/* At first, members that have not been heard get one more often: they may have
- * started a little later. */
+/* After the start, peers that have not sent a hello yet get ours more often:
+ * they may have started a little later. */
 #define INITIAL_HELLO_MS 100
 #define INITIAL_HELLOS 10
 #define LIVENESS_TIMEOUT_US (3500 * LP_US_PER_MS)
-/* Work with many inputs or results; larger ones are not sent. */
+/* Enough for work with many inputs or results; larger bodies are not sent. */
 #define DATAGRAM_MAX 8192
-/* Members named in one hello; the next one goes on with those after them. */
+/* Peers named in one hello; the next hello names those after them. */
 #define NAMES_PER_HELLO 40
 #define DATAGRAMS_PER_ITERATION 32
-/* A member that did not do its work gets none for this long, and not before
- * it is heard again. */
+/* A suspected peer gets no work for this long, nor before a datagram of it has
+ * been received again. */
 #define SUSPECT_US (2 * LP_US_PER_S)
 
-/* Signs of life are asked for this often at the most. */
+/* Minimum time between two liveness probes of a peer. */
 #define PROBE_INTERVAL_US (50 * LP_US_PER_MS)
 
-/* A young member counts as this part of itself: one that was killed shall not
- * take its work back at once, and then be killed again. Where all are young
- * they are equal. Shorter than the time from a fleet's start to its traffic. */
+/* Slow start: an entry that has just started advertises its capacity divided by
+ * this. An entry that was killed must not take its work back at once, as it may
+ * be killed again. In a fleet that starts at once all are reduced alike. The
+ * period is shorter than the time from a fleet's start to its traffic. */
 #define SLOW_START_DIVISOR 4
 #define SLOW_START_DEFAULT_US (8 * LP_US_PER_S)
-/* One that has no configuration after this is not counted on. */
+/* An entry without a configuration after this time advertises no capacity. */
 #define CONFIG_GRACE_US (3 * LP_US_PER_S)
 
-/* One that was heard or first named in this time may be there, and work. */
+/* An entry that sent a hello, or was first named, within this time may be
+ * running although it is not heard. */
 #define KNOWN_RETENTION_US (60 * LP_US_PER_S)
 
 #define KIND_HELLO 'H'
-#define KIND_PROBE 'S' /* asks for a hello */
+#define KIND_PROBE 'S' /* liveness probe; answered by a hello */
 #define KIND_UNREACHABLE 'U'
 #define KIND_UPSTREAM_LIST 'L'
-#define UPSTREAM_LIST_TYPE "(tx)" /* hash, us since it was asked for */
-/* version in force, members' IPs, capacity, what sets this start apart */
+#define UPSTREAM_LIST_TYPE "(tx)" /* hash, us since the list was requested */
+/* configuration version, IPs of live peers, capacity, start id */
 #define HELLO_TYPE "(xasut)"
 #define PROBE_TYPE "(t)"
-#define UNREACHABLE_TYPE "(tx)" /* upstream's hash, us it is set aside */
+#define UNREACHABLE_TYPE "(tx)" /* upstream's incarnation, us to eject it */
 
 struct peer {
 	char *ip;
-	uint64_t hash; /* of the ip */
+	uint64_t hash; /* of the IP */
 	GSocketAddress *address;
-	int64_t added_us;    /* when we learnt of it */
-	int64_t hello_us;    /* its last hello; 0: only named so far */
-	int64_t received_us; /* any datagram of it */
-	int64_t probed_us;   /* when a sign of life was asked for last */
+	int64_t added_us; /* when it was seeded, named or first received from */
+	int64_t hello_us; /* last hello from it; 0: none yet */
+	int64_t received_us; /* last datagram of any kind from it */
+	int64_t probed_us;   /* last liveness probe sent to it */
 	int64_t suspect_until_us;
 	uint32_t capacity; /* in thousandths of a core */
-	uint64_t start_id; /* sets its starts apart */
+	uint64_t start_id; /* random, changes with each start */
 };
 
-/* Who takes datagrams of a kind. */
+/* Handler of the datagrams of a kind. */
 struct listener {
 	char kind;
 	const char *type;
@@ -67,7 +69,7 @@
 	void *userdata;
 };
 
-/* Who is told of members that are met. */
+/* Callback for peers that are discovered. */
 struct discovery_listener {
 	void (*on_discovered)(void *userdata, uint64_t peer);
 	void *userdata;
@@ -80,23 +82,22 @@
 	GSocket *socket;
 	GSource *source;
 	guint hello_timer;
-	guint initial_timer; /* 0: the first hellos are over */
+	guint initial_timer; /* 0: the initial hellos have been sent */
 	uint32_t initial_hellos;
-	uint32_t next_name;  /* where the next hello begins to name members */
+	uint32_t next_name;  /* first peer that the next hello names */
 	GHashTable *peers;   /* ip -> struct peer */
 	GHashTable *by_hash; /* hash -> struct peer */
-	GHashTable *known;   /* ip -> int64_t: heard, or first named, last */
-	GArray *listeners;   /* of struct listener */
+	GHashTable *known; /* ip -> int64_t: last hello, or when first named */
+	GArray *listeners; /* of struct listener */
 	void (*on_restarted)(void *userdata, uint64_t peer);
 	void *on_restarted_userdata;
-	GArray *discovery_listeners; /* of struct greeter */
+	GArray *discovery_listeners; /* of struct discovery_listener */
 	int64_t version;
-	bool is_ready; /* takes work of others */
+	bool is_ready; /* can take work of peers */
 	bool is_draining;
 	uint64_t start_id;
 	int64_t started_us;
-	int64_t discovered_us; /* a member that had not been heard; 0: none yet
-				*/
+	int64_t discovered_us; /* last new live peer; 0: none yet */
 };
 
 static void free_peer(gpointer data)
@@ -148,11 +149,11 @@
 
 /* ---- sending ---- */
 
-/* False: it is too large. */
+/* False: the body is too large. */
 static bool send_datagram(struct direct_peers *peers, const struct peer *peer,
 			  char kind, GVariant *body)
 {
-	/* GVariant wants its bytes aligned, so the kind comes last. */
+	/* GVariant needs aligned bytes, so the kind comes last. */
 	_Alignas(8) char datagram[DATAGRAM_MAX];
 	gsize size = g_variant_get_size(body);
 
@@ -160,15 +161,15 @@
 		return false;
 	g_variant_store(body, datagram);
 	datagram[size] = kind;
-	/* A datagram that cannot be sent is one that was lost. */
+	/* A datagram that cannot be sent counts as lost on the way. */
 	g_socket_send_to(peers->socket, peer->address, datagram, size + 1, NULL,
 			 NULL);
 	return true;
 }
 
-/* What others may count on. One that starts shall be configured in a moment,
- * and counts already: the work of a fleet that starts at once would be shared
- * out anew with each that is. */
+/* Capacity to advertise. An entry that has just started counts already before
+ * it has a configuration, which follows soon. Otherwise a fleet that starts at
+ * once would reassign its work with each entry that is configured. */
 static uint32_t own_capacity(const struct direct_peers *peers)
 {
 	uint32_t capacity = peers->options.capacity;
@@ -182,7 +183,7 @@
 		       : capacity;
 }
 
-/* Members heard lately, borrowed. */
+/* IPs of the live peers, borrowed. */
 static GPtrArray *live_ips(const struct direct_peers *peers)
 {
 	GPtrArray *ips = g_ptr_array_new();
@@ -196,8 +197,8 @@
 	return ips;
 }
 
-/* Each hello of ours that goes to all begins where the one before ended: all
- * are named in turn, however many there are. */
+/* The periodic hello begins to name peers where the one before ended, so that
+ * all are named in turn, however many there are. */
 static GVariant *write_hello(struct direct_peers *peers)
 {
 	g_autoptr(GPtrArray) ips = live_ips(peers);
@@ -279,7 +280,8 @@
 	return lp_now_us(peers->options.clock) - *at_us < KNOWN_RETENTION_US;
 }
 
-/* Seeds are named for as long as we live, and not known anew each time. */
+/* Entries that are still listed as peers are kept. Seeds are added with each
+ * hello, and would otherwise count as newly known each time. */
 static void expire_known(struct direct_peers *peers)
 {
 	GHashTableIter iter;
@@ -528,7 +530,7 @@
 	return lp_hash_str(peers->ip);
 }
 
-/* ---- hearing ---- */
+/* ---- receiving ---- */
 
 static void log_discovered(struct direct_peers *peers, const struct peer *from)
 {
@@ -539,7 +541,7 @@
 	lp_event_end(peers->options.log);
 }
 
-/* A start that we did not know. */
+/* Calls on_restarted if the start id of a known peer has changed. */
 static void record_start(struct direct_peers *peers, struct peer *from,
 			 uint64_t start_id)
 {
@@ -550,8 +552,9 @@
 		peers->on_restarted(peers->on_restarted_userdata, from->hash);
 }
 
-/* Members that start together know each other after some round trips, not
- * after some rounds of hellos: each dispatches by itself until then. */
+/* Sends a hello at once. Entries that start together thus know each other after
+ * some round trips, not after some hello intervals; until then each would
+ * dispatch by itself. */
 static void send_hello(struct direct_peers *peers, const struct peer *peer)
 {
 	g_autoptr(GVariant) hello = write_hello(peers);
@@ -559,7 +562,7 @@
 	send_datagram(peers, peer, KIND_HELLO, hello);
 }
 
-/* A member that another one named. */
+/* Adds a peer that another one named, and sends it a hello. */
 static void discover(struct direct_peers *peers, const char *ip)
 {
 	const struct peer *peer;
@@ -646,7 +649,7 @@
 	return NULL;
 }
 
-/* The type of a kind's body, or NULL. */
+/* GVariant type of a kind's body; NULL: the kind is unknown. */
 static const char *body_type(const struct direct_peers *peers, char kind)
 {
 	const struct listener *listener = listener_of(peers, kind);
