--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -116,11 +116,11 @@
 void direct_results_destroy(struct direct_results *results);
 /** Have a result of so many bytes dropped by its maker, by way of whoever
  * dispatches there. Takes the handle. */
-void direct_results_free(struct direct_results *results, uint64_t maker,
+void direct_results_free(struct direct_results *results, uint64_t producer,
 			 char *handle, int64_t bytes);
 /** A peer gives results up that we dispatched. Copies the handles. */
 void direct_results_free_for_peer(struct direct_results *results,
-				  uint64_t maker, GPtrArray *handles,
+				  uint64_t producer, GPtrArray *handles,
 				  int64_t bytes);
 
 /* ---- direct_stages.c: pieces of this entry's requests, dispatchers ---- */
--- a/direct/direct_results.c
+++ b/direct/direct_results.c
@@ -6,56 +6,56 @@
 
 /* Results are gathered this long, so that one call names many; once here and
  * once at the dispatcher. Room is scarce: short against a call of a stage. */
-#define GATHER_MS 20
+#define BATCH_DELAY_MS 20
 /* Results named to a dispatcher in one datagram. */
-#define HANDLES_MAX 64
+#define HANDLES_PER_DATAGRAM 64
 /* An upstream drops what nobody names by itself after a few seconds. */
 #define FREE_TIMEOUT_US (2 * LP_US_PER_S)
-#define DROPPED_US (4 * LP_US_PER_S)
+#define RESULT_TTL_US (4 * LP_US_PER_S)
 
 /* Results of one maker that are given up next. */
-struct gathered {
+struct batch {
 	GPtrArray *handles;
 	int64_t bytes;
-	int64_t since_us;
+	int64_t started_us;
 };
 
 struct direct_results {
 	struct direct *direct;
-	GHashTable *gathered; /* maker's life -> struct gathered: our own */
-	GHashTable *taken;    /* likewise: of peers, to be called here */
-	GHashTable *calls;    /* of struct free_call */
-	guint timer;
+	GHashTable *own_batches;  /* maker's life -> struct gathered: our own */
+	GHashTable *call_batches; /* likewise: of peers, to be called here */
+	GHashTable *calls;	  /* of struct free_call */
+	guint batch_timer;
 };
 
 struct free_call {
 	struct direct_results *results;
-	uint64_t maker;
+	uint64_t producer;
 	GPtrArray *handles;
 	int64_t each_bytes;
 	int64_t started_us;
 	struct direct_fetch *fetch;
 };
 
-static void free_gathered(gpointer data)
+static void free_batch(gpointer data)
 {
-	struct gathered *gathered = data;
+	struct batch *batch = data;
 
-	g_ptr_array_unref(gathered->handles);
-	g_free(gathered);
+	g_ptr_array_unref(batch->handles);
+	g_free(batch);
 }
 
-static GHashTable *create_frees(void)
+static GHashTable *create_batches(void)
 {
 	return g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-				     free_gathered);
+				     free_batch);
 }
 
 /* The maker has the room again, or will drop the results by itself. */
-static void end_free_call(struct free_call *call)
+static void finish_free_call(struct free_call *call)
 {
 	struct pool *pool = call->results->direct->pool;
-	struct pool_upstream *upstream = pool_find_life(pool, call->maker);
+	struct pool_upstream *upstream = pool_find_life(pool, call->producer);
 
 	for (guint i = 0; upstream && i < call->handles->len; i++)
 		room_given_up(upstream->room,
@@ -69,13 +69,13 @@
 static void log_free(const struct free_call *call, uint32_t status)
 {
 	struct direct *direct = call->results->direct;
-	const struct pool_upstream *maker =
-		pool_find_life(direct->pool, call->maker);
+	const struct pool_upstream *producer =
+		pool_find_life(direct->pool, call->producer);
 
 	if (!lp_event_begin(direct->options.log, "results_given_up", NULL))
 		return;
 	lp_event_text(direct->options.log, "upstream",
-		      maker ? maker->entry.id : "");
+		      producer ? producer->entry.id : "");
 	lp_event_int(direct->options.log, "results", call->handles->len);
 	lp_event_int(direct->options.log, "status", status);
 	lp_event_int(direct->options.log, "took_us",
@@ -94,23 +94,22 @@
 		    answer->error ? "outcome=\"failed\""
 				  : "outcome=\"done\"") += 1;
 	log_free(call, answer->status);
-	end_free_call(call);
+	finish_free_call(call);
 }
 
 static void send_free(struct direct_results *results,
-		      struct pool_upstream *upstream,
-		      const struct gathered *gathered)
+		      struct pool_upstream *upstream, const struct batch *batch)
 {
 	const struct direct_codec *codec = results->direct->options.codec;
 	g_autofree char *body = NULL;
 	struct free_call *call;
 
-	body = codec->write_free(gathered->handles);
+	body = codec->write_free(batch->handles);
 	call = g_new0(struct free_call, 1);
 	call->results = results;
-	call->maker = upstream->life;
-	call->handles = g_ptr_array_ref(gathered->handles);
-	call->each_bytes = gathered->bytes / gathered->handles->len;
+	call->producer = upstream->life;
+	call->handles = g_ptr_array_ref(batch->handles);
+	call->each_bytes = batch->bytes / batch->handles->len;
 	call->started_us = lp_now_us(results->direct->options.clock);
 	call->fetch = direct_fetch_start(&(struct direct_fetch_options){
 		.codec = codec,
@@ -125,71 +124,71 @@
 	});
 	g_hash_table_add(results->calls, call);
 	if (!call->fetch)
-		end_free_call(call);
+		finish_free_call(call);
 }
 
 /* The dispatcher counts the room, and calls for all entries at once. */
 static void send_to_dispatcher(struct direct_results *results,
 			       uint64_t dispatcher,
 			       const struct pool_upstream *upstream,
-			       const struct gathered *gathered)
+			       const struct batch *batch)
 {
-	uint32_t count = gathered->handles->len;
+	uint32_t count = batch->handles->len;
 
-	for (uint32_t i = 0; i < count; i += HANDLES_MAX) {
-		uint32_t part = MIN(count - i, HANDLES_MAX);
+	for (uint32_t i = 0; i < count; i += HANDLES_PER_DATAGRAM) {
+		uint32_t part = MIN(count - i, HANDLES_PER_DATAGRAM);
 		g_autoptr(GPtrArray) handles = g_ptr_array_new();
 
 		for (uint32_t j = i; j < i + part; j++)
-			g_ptr_array_add(handles, g_ptr_array_index(
-							 gathered->handles, j));
+			g_ptr_array_add(handles,
+					g_ptr_array_index(batch->handles, j));
 		direct_relay_free_results(results->direct->relay, dispatcher,
 					  upstream->life, handles,
-					  gathered->bytes * part / count);
+					  batch->bytes * part / count);
 	}
 }
 
-static gboolean on_free_gathered(gpointer userdata);
+static gboolean on_batch_timer(gpointer userdata);
 
-static struct gathered *gathered_of(struct direct_results *results,
-				    GHashTable *all, uint64_t maker)
+static struct batch *get_or_create_batch(struct direct_results *results,
+					 GHashTable *batches, uint64_t producer)
 {
-	struct gathered *gathered = g_hash_table_lookup(all, &maker);
-
-	if (!results->timer)
-		results->timer =
-			lp_timer_add(GATHER_MS, on_free_gathered, results);
-	if (gathered)
-		return gathered;
-	gathered = g_new0(struct gathered, 1);
-	gathered->handles = g_ptr_array_new_with_free_func(g_free);
-	gathered->since_us = lp_now_us(results->direct->options.clock);
-	g_hash_table_insert(all, g_memdup2(&maker, sizeof(maker)), gathered);
-	return gathered;
+	struct batch *batch = g_hash_table_lookup(batches, &producer);
+
+	if (!results->batch_timer)
+		results->batch_timer =
+			lp_timer_add(BATCH_DELAY_MS, on_batch_timer, results);
+	if (batch)
+		return batch;
+	batch = g_new0(struct batch, 1);
+	batch->handles = g_ptr_array_new_with_free_func(g_free);
+	batch->started_us = lp_now_us(results->direct->options.clock);
+	g_hash_table_insert(batches, g_memdup2(&producer, sizeof(producer)),
+			    batch);
+	return batch;
 }
 
 /* Until the maker's rest is over and its limit lets us call; together with what
  * comes meanwhile. */
-static void put_off(struct direct_results *results, uint64_t maker,
-		    const struct gathered *gathered)
+static void postpone(struct direct_results *results, uint64_t producer,
+		     const struct batch *batch)
 {
 	int64_t now_us = lp_now_us(results->direct->options.clock);
-	struct gathered *waiting;
+	struct batch *waiting;
 
-	if (now_us - gathered->since_us >= DROPPED_US)
+	if (now_us - batch->started_us >= RESULT_TTL_US)
 		return;
-	waiting = gathered_of(results, results->taken, maker);
-	waiting->since_us = MIN(waiting->since_us, gathered->since_us);
-	waiting->bytes += gathered->bytes;
-	for (guint i = 0; i < gathered->handles->len; i++)
-		g_ptr_array_add(
-			waiting->handles,
-			g_strdup(g_ptr_array_index(gathered->handles, i)));
+	waiting = get_or_create_batch(results, results->call_batches, producer);
+	waiting->started_us = MIN(waiting->started_us, batch->started_us);
+	waiting->bytes += batch->bytes;
+	for (guint i = 0; i < batch->handles->len; i++)
+		g_ptr_array_add(waiting->handles,
+				g_strdup(g_ptr_array_index(batch->handles, i)));
 }
 
-static void call_maker(struct direct_results *results,
-		       struct pool_upstream *upstream,
-		       const struct gathered *gathered)
+static void call_producer(struct direct_results *results,
+			  struct pool_upstream *upstream,
+			  const struct batch *batch)
 {
 	struct pool *pool = results->direct->pool;
 
@@ -198,75 +197,76 @@
 		return;
 	if (pool_is_resting(pool, upstream) ||
 	    pool_limit_wait_us(pool, upstream)) {
-		put_off(results, upstream->life, gathered);
+		postpone(results, upstream->life, batch);
 		return;
 	}
 	if (upstream->limit.named)
 		pool_sent(pool, upstream);
-	send_free(results, upstream, gathered);
+	send_free(results, upstream, batch);
 }
 
-static void send_all(struct direct_results *results, GHashTable *all,
-		     bool are_ours)
+static void send_batches(struct direct_results *results, GHashTable *batches,
+			 bool is_own)
 {
 	GHashTableIter iter;
-	gpointer maker;
-	gpointer gathered;
+	gpointer producer;
+	gpointer batch;
 
-	g_hash_table_iter_init(&iter, all);
-	while (g_hash_table_iter_next(&iter, &maker, &gathered)) {
+	g_hash_table_iter_init(&iter, batches);
+	while (g_hash_table_iter_next(&iter, &producer, &batch)) {
 		struct direct *direct = results->direct;
 		struct pool_upstream *upstream =
-			pool_find_life(direct->pool, *(uint64_t *)maker);
+			pool_find_life(direct->pool, *(uint64_t *)producer);
 		uint64_t dispatcher;
 
 		if (!upstream) /* its results went with it */
 			continue;
-		dispatcher = are_ours ? direct_stages_dispatcher(direct->stages,
-								 upstream)
-				      : 0;
+		dispatcher = is_own ? direct_stages_dispatcher(direct->stages,
+							       upstream)
+				    : 0;
 		if (dispatcher)
 			send_to_dispatcher(results, dispatcher, upstream,
-					   gathered);
+					   batch);
 		else
-			call_maker(results, upstream, gathered);
+			call_producer(results, upstream, batch);
 	}
 }
 
-static gboolean on_free_gathered(gpointer userdata)
+static gboolean on_batch_timer(gpointer userdata)
 {
 	struct direct_results *results = userdata;
-	g_autoptr(GHashTable) gathered = results->gathered;
-	g_autoptr(GHashTable) taken = results->taken;
-
-	results->timer = 0;
-	results->gathered = create_frees();
-	results->taken = create_frees();
-	send_all(results, gathered, true);
-	send_all(results, taken, false);
+	g_autoptr(GHashTable) own_batches = results->own_batches;
+	g_autoptr(GHashTable) call_batches = results->call_batches;
+
+	results->batch_timer = 0;
+	results->own_batches = create_batches();
+	results->call_batches = create_batches();
+	send_batches(results, own_batches, true);
+	send_batches(results, call_batches, false);
 	return G_SOURCE_REMOVE;
 }
 
-void direct_results_free(struct direct_results *results, uint64_t maker,
+void direct_results_free(struct direct_results *results, uint64_t producer,
 			 char *handle, int64_t bytes)
 {
-	struct gathered *gathered =
-		gathered_of(results, results->gathered, maker);
+	struct batch *batch =
+		get_or_create_batch(results, results->own_batches, producer);
 
-	g_ptr_array_add(gathered->handles, handle);
-	gathered->bytes += bytes;
+	g_ptr_array_add(batch->handles, handle);
+	batch->bytes += bytes;
 }
 
 void direct_results_free_for_peer(struct direct_results *results,
-				  uint64_t maker, GPtrArray *handles,
+				  uint64_t producer, GPtrArray *handles,
 				  int64_t bytes)
 {
-	struct gathered *gathered = gathered_of(results, results->taken, maker);
+	struct batch *batch =
+		get_or_create_batch(results, results->call_batches, producer);
 
 	for (guint i = 0; i < handles->len; i++)
-		g_ptr_array_add(gathered->handles,
+		g_ptr_array_add(batch->handles,
 				g_strdup(g_ptr_array_index(handles, i)));
-	gathered->bytes += bytes;
+	batch->bytes += bytes;
 }
 
 struct direct_results *direct_results_create(struct direct *direct)
@@ -274,8 +274,8 @@
 	struct direct_results *results = g_new0(struct direct_results, 1);
 
 	results->direct = direct;
-	results->gathered = create_frees();
-	results->taken = create_frees();
+	results->own_batches = create_batches();
+	results->call_batches = create_batches();
 	results->calls = g_hash_table_new(NULL, NULL);
 	return results;
 }
@@ -288,12 +288,12 @@
 		struct free_call *call = at->data;
 
 		direct_fetch_cancel(call->fetch);
-		end_free_call(call);
+		finish_free_call(call);
 	}
-	if (results->timer)
-		g_source_remove(results->timer);
-	g_hash_table_unref(results->gathered);
-	g_hash_table_unref(results->taken);
+	if (results->batch_timer)
+		g_source_remove(results->batch_timer);
+	g_hash_table_unref(results->own_batches);
+	g_hash_table_unref(results->call_batches);
 	g_hash_table_unref(results->calls);
 	g_free(results);
 }
