--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -109,16 +109,17 @@
 /** A piece cannot be made in time. */
 void direct_request_pieces_late(struct direct_request *request);
 
-/* ---- direct_results.c: results that nobody needs any more ---- */
+/* ---- direct_results.c: freeing results that nobody needs any more ---- */
 
 struct direct_results *direct_results_create(struct direct *direct);
-/** What is gathered is dropped. */
+/** Drops the results that are gathered. */
 void direct_results_destroy(struct direct_results *results);
-/** Have a result of so many bytes dropped by its maker, by way of whoever
- * dispatches there. Takes the handle. */
+/** Have a result of `bytes` freed at its producer, by way of the dispatcher of
+ * that upstream. Takes the handle. */
 void direct_results_free(struct direct_results *results, uint64_t producer,
 			 char *handle, int64_t bytes);
-/** A peer gives results up that we dispatched. Copies the handles. */
+/** Free results of a peer whose dispatcher this entry is. `bytes`: of all of
+ * them. Copies the handles. */
 void direct_results_free_for_peer(struct direct_results *results,
 				  uint64_t producer, GPtrArray *handles,
 				  int64_t bytes);
--- a/direct/direct_results.c
+++ b/direct/direct_results.c
@@ -1,19 +1,24 @@
-/** Results of stages that nobody needs any more: their makers are told. */
+/**
+ * Frees results of stages that nobody needs any more: gathers them in batches
+ * and has their producers drop them, by way of the dispatcher.
+ */
 #include "direct/direct_private.h"
 
 #include "base/lp_timer.h"
 #include "direct/direct_relay.h"
 
-/* Results are gathered this long, so that one call names many; once here and
- * once at the dispatcher. Room is scarce: short against a call of a stage. */
+/* Results are gathered this long, so that one call frees many: once here and
+ * once at the dispatcher. Short against a call of a stage, as result memory is
+ * scarce. */
 #define BATCH_DELAY_MS 20
-/* Results named to a dispatcher in one datagram. */
+/* Results that one datagram to a dispatcher names. */
 #define HANDLES_PER_DATAGRAM 64
-/* An upstream drops what nobody names by itself after a few seconds. */
+/* A lost call does no harm: upstreams drop results that nobody frees after a
+ * few seconds. */
 #define FREE_TIMEOUT_US (2 * LP_US_PER_S)
 #define RESULT_TTL_US (4 * LP_US_PER_S)
 
-/* Results of one maker that are given up next. */
+/* Results of one producer that are freed next. */
 struct batch {
 	GPtrArray *handles;
 	int64_t bytes;
@@ -22,8 +27,8 @@
 
 struct direct_results {
 	struct direct *direct;
-	GHashTable *own_batches;  /* maker's life -> struct gathered: our own */
-	GHashTable *call_batches; /* likewise: of peers, to be called here */
+	GHashTable *own_batches;  /* producer's incarnation -> struct batch */
+	GHashTable *call_batches; /* same: of peers, or postponed */
 	GHashTable *calls;	  /* of struct free_call */
 	guint batch_timer;
 };
@@ -51,7 +56,8 @@
 				     free_batch);
 }
 
-/* The maker has the room again, or will drop the results by itself. */
+/* Counts the results' memory as free, also after a failed call: the producer
+ * will drop them by itself. */
 static void finish_free_call(struct free_call *call)
 {
 	struct pool *pool = call->results->direct->pool;
@@ -83,7 +89,8 @@
 	lp_event_end(direct->options.log);
 }
 
-/* Lost or not: an upstream drops what nobody names after a few seconds. */
+/* A failed call is not repeated: the upstream drops results that nobody frees
+ * after a few seconds. */
 static void on_free_done(void *userdata, const struct http_fetch_answer *answer,
 			 const struct direct_reply *reply)
 {
@@ -127,7 +134,8 @@
 		finish_free_call(call);
 }
 
-/* The dispatcher counts the room, and calls for all entries at once. */
+/* The dispatcher counts the result memory, and calls for all entries at once.
+ */
 static void send_to_dispatcher(struct direct_results *results,
 			       uint64_t dispatcher,
 			       const struct pool_upstream *upstream,
@@ -168,8 +176,9 @@
 	return batch;
 }
 
-/* Until the maker's rest is over and its limit lets us call; together with what
- * comes meanwhile. */
+/* Adds a batch to the next one, while the producer is in pushback or its
+ * advertised rate allows no call. Drops results that it has dropped itself by
+ * now. */
 static void postpone(struct direct_results *results, uint64_t producer,
 		     const struct batch *batch)
 {
@@ -192,7 +201,8 @@
 {
 	struct pool *pool = results->direct->pool;
 
-	/* It takes no more calls of ours, and takes its results with it. */
+	/* A draining upstream takes no more calls, and its results are lost
+	 * when it terminates. */
 	if (upstream->said_leaving)
 		return;
 	if (pool_is_resting(pool, upstream) ||
@@ -219,7 +229,7 @@
 			pool_find_life(direct->pool, *(uint64_t *)producer);
 		uint64_t dispatcher;
 
-		if (!upstream) /* its results went with it */
+		if (!upstream) /* its results are lost with it */
 			continue;
 		dispatcher = is_own ? direct_stages_dispatcher(direct->stages,
 							       upstream)
