--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -9,14 +9,14 @@
 
 #include <memory>
 
-const int64_t ask_every_ms = 20;
+const int64_t request_interval_ms = 20;
 
 struct Fleet {
 	Rig first;
 	std::vector<std::unique_ptr<Rig>> others;
 	std::map<std::string, std::vector<pe_upstream *>> upstreams;
-	std::vector<std::unique_ptr<Ask>> asks;
-	int number = 0;
+	std::vector<std::unique_ptr<Ask>> requests;
+	int last_id = 0;
 
 	explicit Fleet(int size = 3)
 	{
@@ -34,7 +34,7 @@
 			entry(i).join(ips[i].c_str(), 500, ips);
 		for (int i = 0; i < size; i++)
 			entry(i).settle();
-		EXPECT_TRUE(turn_until([&] { return has_met(size); }));
+		EXPECT_TRUE(turn_until([&] { return all_entries_know(size); }));
 	}
 	void add(pe_kind kind, const char *service)
 	{
@@ -49,7 +49,7 @@
 	{
 		return i ? *others[i - 1] : first;
 	}
-	bool has_met(int count)
+	bool all_entries_know(int count)
 	{
 		for (int i = 0; i < size(); i++)
 			if ((int)direct_peers_count(entry(i).peers) < count)
@@ -57,7 +57,7 @@
 		return true;
 	}
 	/* One more, that has met the others before it is asked anything. */
-	std::unique_ptr<Rig> start_another()
+	std::unique_ptr<Rig> start_late_entry()
 	{
 		auto late = std::make_unique<Rig>(&first);
 
@@ -70,9 +70,9 @@
 		return late;
 	}
 	/* Of the next entry in turn. */
-	Ask &ask(const char *target)
+	Ask &request(const char *target)
 	{
-		std::string id = std::to_string(++number);
+		std::string id = std::to_string(++last_id);
 		Fields fields = { { "X-Token-Counts", "10,6" },
 				  { "X-Prompt-Prefix", "a:5,b" + id + ":5" } };
 
@@ -80,26 +80,26 @@
 			fields["X-Pieces"] = "1,1";
 			fields["X-Piece-Key"] = "k" + id;
 		}
-		asks.push_back(
-			std::make_unique<Ask>(entry(number % size()).address,
+		requests.push_back(
+			std::make_unique<Ask>(entry(last_id % size()).address,
 					      id.c_str(), target, fields));
-		return *asks.back();
+		return *requests.back();
 	}
-	void ask_for(const char *target, int64_t ms)
+	void request_for(const char *target, int64_t ms)
 	{
 		const int64_t end_us = g_get_monotonic_time() + ms * 1000;
 
 		while (g_get_monotonic_time() < end_us) {
-			ask(target);
-			turn_until([] { return false; }, ask_every_ms);
+			request(target);
+			turn_until([] { return false; }, request_interval_ms);
 		}
 	}
 	int count(uint32_t status)
 	{
 		int found = 0;
 
-		for (auto &ask : asks)
-			found += ask->wait().status == status;
+		for (auto &request : requests)
+			found += request->wait().status == status;
 		return found;
 	}
 };
--- a/tests/notices_test.cc
+++ b/tests/notices_test.cc
@@ -30,11 +30,11 @@
 
 		for (pe_upstream *upstream : fleet.upstreams[kind.service])
 			pe_set_work_ms(upstream, 60);
-		fleet.ask_for(kind.target, 300);
+		fleet.request_for(kind.target, 300);
 		pe_say_leaving(leaving);
-		fleet.ask_for(kind.target, drain_ms + judged_ms);
+		fleet.request_for(kind.target, drain_ms + judged_ms);
 		EXPECT_EQ(pe_late_arrivals(leaving), 0u) << kind.target;
-		EXPECT_EQ(fleet.count(200), (int)fleet.asks.size())
+		EXPECT_EQ(fleet.count(200), (int)fleet.requests.size())
 			<< kind.target;
 	}
 }
@@ -47,10 +47,10 @@
 	uint32_t before;
 
 	pe_say_leaving(leaving);
-	fleet.ask_for("/once/x", 300);
+	fleet.request_for("/once/x", 300);
 	before = pe_arrivals(leaving);
 	EXPECT_GT(before, 0u);
-	fleet.ask_for("/once/x", 1000);
+	fleet.request_for("/once/x", 1000);
 	EXPECT_EQ(pe_arrivals(leaving), before);
 }
 
@@ -62,8 +62,8 @@
 	uint32_t before;
 
 	pe_say_leaving(leaving);
-	fleet.ask_for("/look/x", 300);
-	std::unique_ptr<Rig> late = fleet.start_another();
+	fleet.request_for("/look/x", 300);
+	std::unique_ptr<Rig> late = fleet.start_late_entry();
 	before = pe_arrivals(leaving);
 	for (int i = 0; i < 10; i++)
 		EXPECT_EQ(Ask(late->address, ("l" + std::to_string(i)).c_str(),
@@ -195,12 +195,12 @@
 			pe_set_work_ms(upstream, 60);
 		pe_set_rest(resting, rest_ms);
 		/* Each entry is told. */
-		fleet.ask_for(kind.target, told_ms);
+		fleet.request_for(kind.target, told_ms);
 		before = pe_arrivals(resting);
 		EXPECT_GT(before, 0u) << kind.target;
-		fleet.ask_for(kind.target, rest_ms - told_ms - 200);
+		fleet.request_for(kind.target, rest_ms - told_ms - 200);
 		EXPECT_LE(pe_arrivals(resting) - before, 2u) << kind.target;
-		EXPECT_EQ(fleet.count(200), (int)fleet.asks.size())
+		EXPECT_EQ(fleet.count(200), (int)fleet.requests.size())
 			<< kind.target;
 	}
 }
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -17,8 +17,8 @@
 	Fleet fleet;
 
 	pe_set_limit(fleet.upstreams["engine"][0], 1);
-	fleet.ask_for("/once/x", until_judged_ms);
-	EXPECT_EQ(fleet.count(200), (int)fleet.asks.size());
+	fleet.request_for("/once/x", until_judged_ms);
+	EXPECT_EQ(fleet.count(200), (int)fleet.requests.size());
 }
 
 /* Nobody places for a plain service: each entry chooses for itself. */
@@ -27,8 +27,8 @@
 	Fleet fleet;
 
 	pe_set_limit(fleet.upstreams["plain"][0], 1);
-	fleet.ask_for("/look/x", until_judged_ms);
-	EXPECT_EQ(fleet.count(200), (int)fleet.asks.size());
+	fleet.request_for("/look/x", until_judged_ms);
+	EXPECT_EQ(fleet.count(200), (int)fleet.requests.size());
 }
 
 /* Calls of pieces, questions and results that are given up count, too. */
@@ -40,8 +40,8 @@
 	for (pe_upstream *upstream : fleet.upstreams["first"])
 		pe_set_work_ms(upstream, 150);
 	pe_set_limit(fleet.upstreams["first"][0], 1);
-	fleet.ask_for("/staged/x", until_judged_ms);
-	EXPECT_EQ(fleet.count(200), (int)fleet.asks.size());
+	fleet.request_for("/staged/x", until_judged_ms);
+	EXPECT_EQ(fleet.count(200), (int)fleet.requests.size());
 }
 
 /* What a limit leaves is used: those that call it may have to wait else. */
@@ -53,9 +53,9 @@
 
 	pe_set_limit(limited, 5);
 	pe_set_limit(fleet.upstreams["engine"][1], 5);
-	fleet.ask_for("/once/x", 1000);
+	fleet.request_for("/once/x", 1000);
 	before = pe_arrivals(limited);
-	fleet.ask_for("/once/x", 4000);
+	fleet.request_for("/once/x", 4000);
 	EXPECT_GE(pe_arrivals(limited) - before, 10u);
 	EXPECT_LE(pe_arrivals(limited) - before, 21u);
 }
@@ -72,8 +72,8 @@
 
 		for (pe_upstream *upstream : fleet.upstreams[service])
 			pe_set_limit(upstream, 1);
-		fleet.ask_for(target, 2000);
-		for (auto &ask : fleet.asks) {
+		fleet.request_for(target, 2000);
+		for (auto &ask : fleet.requests) {
 			if (ask->wait().status == 200)
 				continue;
 			double after = atof(ask->retry_after.c_str());
@@ -84,7 +84,7 @@
 			EXPECT_LT(after, 60);
 			EXPECT_LT(ask->took_us, 300 * LP_US_PER_MS);
 		}
-		EXPECT_GT(refused, (int)fleet.asks.size() / 2);
+		EXPECT_GT(refused, (int)fleet.requests.size() / 2);
 	}
 }
 
@@ -99,11 +99,11 @@
 		uint32_t before;
 
 		pe_set_limit(limited, 2);
-		fleet.ask_for(target, 1500);
+		fleet.request_for(target, 1500);
 		pe_set_limit(limited, -1);
-		fleet.ask_for(target, 4000);
+		fleet.request_for(target, 4000);
 		before = pe_arrivals(limited);
-		fleet.ask_for(target, 2000);
+		fleet.request_for(target, 2000);
 		EXPECT_GE(pe_arrivals(limited) - before, 15u) << service;
 	}
 }
@@ -116,8 +116,8 @@
 	uint32_t before;
 
 	pe_set_limit(limited, 0);
-	fleet.ask_for("/look/x", 1000);
-	std::unique_ptr<Rig> late = fleet.start_another();
+	fleet.request_for("/look/x", 1000);
+	std::unique_ptr<Rig> late = fleet.start_late_entry();
 	before = pe_arrivals(limited);
 	for (int i = 0; i < 40; i++)
 		EXPECT_EQ(Ask(late->address, ("l" + std::to_string(i)).c_str(),
--- a/tests/relay_test.cc
+++ b/tests/relay_test.cc
@@ -15,16 +15,16 @@
 const char fake_ip[] = "127.0.0.9";
 
 /* Speaks the entries' datagrams by hand: the kind is the last byte. */
-struct Fake {
+struct FakePeer {
 	GSocket *socket;
 	GSocketAddress *to;
-	std::map<char, int> seen;
-	GVariant *last = nullptr;    /* result */
-	GVariant *place = nullptr;   /* question */
-	uint32_t capacity = 0;	     /* of the last hello */
-	std::set<std::string> named; /* in any hello */
+	std::map<char, int> received;
+	GVariant *last_results = nullptr; /* result */
+	GVariant *last_query = nullptr;	  /* question */
+	uint32_t capacity = 0;		  /* of the last hello */
+	std::set<std::string> named_ips;  /* in any hello */
 
-	explicit Fake(const char *ip = fake_ip)
+	explicit FakePeer(const char *ip = fake_ip)
 	{
 		GSocketAddress *at =
 			g_inet_socket_address_new_from_string(ip, peers_port());
@@ -38,12 +38,12 @@
 		g_socket_set_blocking(socket, FALSE);
 		g_object_unref(at);
 	}
-	~Fake()
+	~FakePeer()
 	{
-		if (last)
-			g_variant_unref(last);
-		if (place)
-			g_variant_unref(place);
+		if (last_results)
+			g_variant_unref(last_results);
+		if (last_query)
+			g_variant_unref(last_query);
 		g_object_unref(socket);
 		g_object_unref(to);
 	}
@@ -67,7 +67,7 @@
 					g_variant_new_strv(names, name ? 1 : 0),
 					capacity, (guint64)start));
 	}
-	void ask(uint64_t number, const char *id)
+	void submit(uint64_t number, const char *id)
 	{
 		const guint32 index = 0;
 		const char *none[] = { nullptr };
@@ -82,7 +82,7 @@
 					(gint64)100, 0u, "", (gint64)0, "*"));
 	}
 	/* Take what has come, unanswered. */
-	void hear()
+	void receive()
 	{
 		alignas(8) char bytes[8192];
 
@@ -92,22 +92,22 @@
 
 			if (size <= 0)
 				return;
-			seen[bytes[size - 1]]++;
+			received[bytes[size - 1]]++;
 			if (bytes[size - 1] == 'R')
-				keep(bytes, size - 1);
+				keep_results(bytes, size - 1);
 			if (bytes[size - 1] == 'H')
 				read_hello(bytes, size - 1);
 			if (bytes[size - 1] == 'P')
-				keep_place(bytes, size - 1);
+				keep_query(bytes, size - 1);
 		}
 	}
-	void keep_place(const char *bytes, gsize size)
+	void keep_query(const char *bytes, gsize size)
 	{
 		GBytes *copy = g_bytes_new(bytes, size);
 
-		if (place)
-			g_variant_unref(place);
-		place = g_variant_ref_sink(g_variant_new_from_bytes(
+		if (last_query)
+			g_variant_unref(last_query);
+		last_query = g_variant_ref_sink(g_variant_new_from_bytes(
 			G_VARIANT_TYPE("(tsa(tx)atsxxs)"), copy, FALSE));
 		g_bytes_unref(copy);
 	}
@@ -123,27 +123,27 @@
 			const char *name;
 
 			g_variant_get_child(names, i, "&s", &name);
-			named.insert(name);
+			named_ips.insert(name);
 		}
 		g_variant_unref(names);
 		g_variant_get_child(hello, 2, "u", &capacity);
 		g_variant_unref(hello);
 	}
-	void keep(const char *bytes, gsize size)
+	void keep_results(const char *bytes, gsize size)
 	{
 		GBytes *copy = g_bytes_new(bytes, size);
 
-		if (last)
-			g_variant_unref(last);
-		last = g_variant_ref_sink(g_variant_new_from_bytes(
+		if (last_results)
+			g_variant_unref(last_results);
+		last_results = g_variant_ref_sink(g_variant_new_from_bytes(
 			G_VARIANT_TYPE("(tta(uuts)ax)"), copy, FALSE));
 		g_bytes_unref(copy);
 	}
-	void hear_for(int64_t ms)
+	void receive_for(int64_t ms)
 	{
 		turn_until(
 			[this] {
-				hear();
+				receive();
 				return false;
 			},
 			ms);
@@ -152,13 +152,13 @@
 
 /* A platform with one upstream of each stage, and two entries; the first one
  * dispatches. */
-struct Two {
+struct EntryPair {
 	Rig first;
 	std::unique_ptr<Rig> second = std::make_unique<Rig>(&first);
 	pe_upstream *stage = first.add(PE_STAGE, "first");
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<Ask>> requests;
 
-	Two()
+	EntryPair()
 	{
 		first.add(PE_STAGE, "second");
 		first.add(PE_ENGINE, "engine");
@@ -172,61 +172,61 @@
 		}));
 		turn_until([] { return false; }, 300);
 	}
-	Ask &ask(Rig &entry, const std::string &id)
+	Ask &request(Rig &entry, const std::string &id)
 	{
-		asks.push_back(std::make_unique<Ask>(
+		requests.push_back(std::make_unique<Ask>(
 			entry.address, id.c_str(), "/staged/x",
 			Fields{ { "X-Pieces", "1,1" },
 				{ "X-Piece-Key", "k" + id } }));
-		return *asks.back();
+		return *requests.back();
 	}
 };
 
 /* What comes while a call is under way goes along in the next, whoever has
  * it. */
-TEST(Relay, OneEntryGathersThePiecesOfAll)
+TEST(Relay, DispatcherBatchesPiecesOfAllEntries)
 {
-	Two two;
+	EntryPair pair;
 
-	pe_set_work_ms(two.stage, 300);
-	two.ask(two.first, "a0");
-	ASSERT_TRUE(turn_until([&] { return pe_calls(two.stage) == 1; }));
+	pe_set_work_ms(pair.stage, 300);
+	pair.request(pair.first, "a0");
+	ASSERT_TRUE(turn_until([&] { return pe_calls(pair.stage) == 1; }));
 	for (int i = 1; i < 4; i++) {
-		two.ask(two.first, "a" + std::to_string(i));
-		two.ask(*two.second, "b" + std::to_string(i));
+		pair.request(pair.first, "a" + std::to_string(i));
+		pair.request(*pair.second, "b" + std::to_string(i));
 	}
-	for (auto &ask : two.asks)
+	for (auto &ask : pair.requests)
 		EXPECT_EQ(ask->wait().body, whole_stream);
-	EXPECT_EQ(pe_calls(two.stage), 2u);
-	EXPECT_EQ(pe_pieces_made(two.first.platform), 14u);
+	EXPECT_EQ(pe_calls(pair.stage), 2u);
+	EXPECT_EQ(pe_pieces_made(pair.first.platform), 14u);
 	EXPECT_TRUE(turn_until(
-		[&] { return pe_pieces_kept(two.first.platform) == 0; }));
+		[&] { return pe_pieces_kept(pair.first.platform) == 0; }));
 }
 
 /* Killed with pieces of others under way. */
-TEST(Relay, WorkOutlivesItsDispatcher)
+TEST(Relay, WorkIsResubmittedAfterDispatcherIsKilled)
 {
-	Two two;
+	EntryPair pair;
 
-	pe_set_work_ms(two.stage, 400);
-	Ask &ask = two.ask(*two.second, "b1");
-	ASSERT_TRUE(turn_until([&] { return pe_calls(two.stage) == 1; }));
-	two.first.end();
+	pe_set_work_ms(pair.stage, 400);
+	Ask &ask = pair.request(*pair.second, "b1");
+	ASSERT_TRUE(turn_until([&] { return pe_calls(pair.stage) == 1; }));
+	pair.first.end();
 	EXPECT_EQ(ask.wait().body, whole_stream);
 	EXPECT_LT(ask.took_us, 3 * LP_US_PER_S);
 }
 
 /* A start anew is noticed by the hello, before any silence. */
-TEST(Relay, WorkOutlivesARestartOfItsDispatcher)
+TEST(Relay, WorkIsResubmittedAfterDispatcherRestart)
 {
-	Two two;
+	EntryPair pair;
 
-	pe_set_work_ms(two.stage, 1500);
-	Ask &ask = two.ask(*two.second, "b1");
-	ASSERT_TRUE(turn_until([&] { return pe_calls(two.stage) == 1; }));
-	two.first.end();
-	pe_set_work_ms(two.stage, 20);
-	Rig again(two.second.get());
+	pe_set_work_ms(pair.stage, 1500);
+	Ask &ask = pair.request(*pair.second, "b1");
+	ASSERT_TRUE(turn_until([&] { return pe_calls(pair.stage) == 1; }));
+	pair.first.end();
+	pe_set_work_ms(pair.stage, 20);
+	Rig again(pair.second.get());
 
 	again.join(first_ip, 4000, { second_ip });
 	again.settle();
@@ -234,102 +234,102 @@
 	again.end();
 }
 
-TEST(Relay, ADispatcherThatEndsGetsNoMoreWork)
+TEST(Relay, DrainingDispatcherGetsNoNewWork)
 {
-	Two two;
+	EntryPair pair;
 
-	pe_set_work_ms(two.stage, 400);
-	Ask &before = two.ask(*two.second, "b1");
-	ASSERT_TRUE(turn_until([&] { return pe_calls(two.stage) == 1; }));
-	direct_drain(two.first.entry);
+	pe_set_work_ms(pair.stage, 400);
+	Ask &before = pair.request(*pair.second, "b1");
+	ASSERT_TRUE(turn_until([&] { return pe_calls(pair.stage) == 1; }));
+	direct_drain(pair.first.entry);
 	turn_until([] { return false; }, 250);
-	pe_set_work_ms(two.stage, 20);
-	Ask &after = two.ask(*two.second, "b2");
+	pe_set_work_ms(pair.stage, 20);
+	Ask &after = pair.request(*pair.second, "b2");
 	/* What it has taken it ends. */
 	EXPECT_EQ(before.wait().body, whole_stream);
-	two.first.end();
+	pair.first.end();
 	EXPECT_EQ(after.wait().body, whole_stream);
 	EXPECT_LT(after.took_us, 450000);
 }
 
-TEST(Relay, ACallerThatLeavesTakesItsWorkAlong)
+TEST(Relay, DisconnectedClientCancelsItsPieces)
 {
-	Two two;
+	EntryPair pair;
 
-	pe_set_work_ms(two.stage, 300);
-	two.ask(two.first, "a0");
-	ASSERT_TRUE(turn_until([&] { return pe_calls(two.stage) == 1; }));
-	Ask &leaving = two.ask(*two.second, "b1");
+	pe_set_work_ms(pair.stage, 300);
+	pair.request(pair.first, "a0");
+	ASSERT_TRUE(turn_until([&] { return pe_calls(pair.stage) == 1; }));
+	Ask &disconnected = pair.request(*pair.second, "b1");
 	turn_until([] { return false; }, 100);
-	leaving.leave();
-	EXPECT_EQ(two.asks[0]->wait().body, whole_stream);
+	disconnected.leave();
+	EXPECT_EQ(pair.requests[0]->wait().body, whole_stream);
 	turn_until([] { return false; }, 400);
-	EXPECT_EQ(pe_calls(two.stage), 1u);
+	EXPECT_EQ(pe_calls(pair.stage), 1u);
 	EXPECT_TRUE(turn_until(
-		[&] { return pe_pieces_kept(two.first.platform) == 0; }));
+		[&] { return pe_pieces_kept(pair.first.platform) == 0; }));
 }
 
 /* ---- the list of upstreams ---- */
 
 /* Calls are paid for: two entries read no more often than one, ... */
-TEST(Relay, OneEntryReadsAListThatDoesNotChangeForAll)
+TEST(Relay, UnchangedUpstreamListIsReadByOneEntryForAll)
 {
-	Two two;
-	int64_t before = *two.first.calls() + *two.second->calls();
+	EntryPair pair;
+	int64_t before = *pair.first.calls() + *pair.second->calls();
 	int64_t alone = 2000 / 360; /* looks in two seconds */
 
 	turn_until([] { return false; }, 2000);
-	EXPECT_LE(*two.first.calls() + *two.second->calls() - before,
+	EXPECT_LE(*pair.first.calls() + *pair.second->calls() - before,
 		  alone + 2);
-	EXPECT_GE(*two.first.calls() + *two.second->calls() - before, 3);
+	EXPECT_GE(*pair.first.calls() + *pair.second->calls() - before, 3);
 }
 
 /* ... and one that has changed is handed on in time. */
-TEST(Relay, AChangedListIsReadOnceAndHandedOn)
+TEST(Relay, ChangedUpstreamListIsReadOnceAndForwarded)
 {
-	Two two;
-	pe_upstream *leaving = two.first.add(PE_PLAIN, "plain");
+	EntryPair pair;
+	pe_upstream *draining = pair.first.add(PE_PLAIN, "plain");
 	int64_t reads;
 	uint32_t before;
 
-	two.first.add(PE_PLAIN, "plain");
+	pair.first.add(PE_PLAIN, "plain");
 	turn_until([] { return false; }, 700);
-	reads = *two.first.calls() + *two.second->calls();
-	pe_drain(leaving);
+	reads = *pair.first.calls() + *pair.second->calls();
+	pe_drain(draining);
 	turn_until([] { return false; }, 700); /* of 800 that it may take */
-	EXPECT_LE(*two.first.calls() + *two.second->calls() - reads, 4);
-	before = pe_arrivals(leaving);
+	EXPECT_LE(*pair.first.calls() + *pair.second->calls() - reads, 4);
+	before = pe_arrivals(draining);
 	for (int i = 0; i < 4; i++) {
-		EXPECT_EQ(Ask(two.first.address, "a", "/look/x").wait().status,
+		EXPECT_EQ(Ask(pair.first.address, "a", "/look/x").wait().status,
 			  200u);
 		EXPECT_EQ(
-			Ask(two.second->address, "b", "/look/x").wait().status,
+			Ask(pair.second->address, "b", "/look/x").wait().status,
 			200u);
 	}
-	EXPECT_EQ(pe_arrivals(leaving), before);
+	EXPECT_EQ(pe_arrivals(draining), before);
 }
 
 /* Whoever told of a list may end before it is asked for it. */
-TEST(Relay, AListThatAPeerDoesNotHandOnIsRead)
+TEST(Relay, UpstreamListIsReadWhenPeerDoesNotServeIt)
 {
 	Rig rig;
-	Fake fake;
-	pe_upstream *leaving = rig.add(PE_PLAIN, "plain");
+	FakePeer fake;
+	pe_upstream *draining = rig.add(PE_PLAIN, "plain");
 	uint32_t before;
 
 	rig.add(PE_PLAIN, "plain");
 	rig.join(first_ip, 100, { fake_ip });
 	rig.settle();
-	pe_drain(leaving);
+	pe_drain(draining);
 	for (int i = 0; i < 3; i++) {
 		fake.send('L',
 			  g_variant_new("(tx)", (guint64)(99 + i), (gint64)0));
 		turn_until([] { return false; }, 250);
 	}
-	before = pe_arrivals(leaving);
+	before = pe_arrivals(draining);
 	for (int i = 0; i < 4; i++)
 		EXPECT_EQ(Ask(rig.address, "a", "/look/x").wait().status, 200u);
-	EXPECT_EQ(pe_arrivals(leaving), before);
+	EXPECT_EQ(pe_arrivals(draining), before);
 }
 
 /* ---- prompts ---- */
@@ -339,64 +339,64 @@
 			{ "X-Prompt-Prefix", "aa:2000,bb:1000" } };
 
 /* Alone, each entry takes the engine that is best with nothing on it. */
-TEST(Relay, PromptsOfAllEntriesShareTheEngines)
+TEST(Relay, PlacementBalancesPromptsOfAllEntries)
 {
-	Two two;
-	pe_upstream *other = two.first.add(PE_ENGINE, "engine");
+	EntryPair pair;
+	pe_upstream *other = pair.first.add(PE_ENGINE, "engine");
 	uint32_t before;
 
-	two.first.settle();
-	two.second->settle();
+	pair.first.settle();
+	pair.second->settle();
 	before = pe_arrivals(other);
 	for (int i = 0; i < 2; i++) {
-		Rig &entry = i ? *two.second : two.first;
+		Rig &entry = i ? *pair.second : pair.first;
 		Fields fields = { { "X-Model", "m" },
 				  { "X-Token-Counts", "9000,80" },
 				  { "X-Prompt-Prefix",
 				    i ? "cc:9000" : "dd:9000" } };
 
-		two.asks.push_back(std::make_unique<Ask>(
+		pair.requests.push_back(std::make_unique<Ask>(
 			entry.address, i ? "b1" : "a1", "/again/x", fields));
 		turn_until([] { return false; }, 5);
 	}
-	for (auto &ask : two.asks)
+	for (auto &ask : pair.requests)
 		EXPECT_EQ(ask->wait().body, whole_stream);
 	EXPECT_EQ(pe_arrivals(other) - before, 1u);
 }
 
 /* A prefix that one entry sent is known to all. */
-TEST(Relay, AllEntriesKnowWherePrefixesLie)
+TEST(Relay, PlacementReusesPrefixSentByAnotherEntry)
 {
-	Two two;
+	EntryPair pair;
 	int64_t sent = 0;
 
 	for (int i = 0; i < 3; i++)
-		two.first.add(PE_ENGINE, "engine");
-	two.first.settle();
-	two.second->settle();
-	EXPECT_EQ(Ask(two.first.address, "a1", "/again/x", prompt).wait().body,
+		pair.first.add(PE_ENGINE, "engine");
+	pair.first.settle();
+	pair.second->settle();
+	EXPECT_EQ(Ask(pair.first.address, "a1", "/again/x", prompt).wait().body,
 		  whole_stream);
 	Fields likewise = prompt;
 
 	likewise["X-Prompt-Prefix"] = "aa:2000,cc:1000";
-	EXPECT_EQ(Ask(two.second->address, "b1", "/again/x", likewise)
+	EXPECT_EQ(Ask(pair.second->address, "b1", "/again/x", likewise)
 			  .wait()
 			  .body,
 		  whole_stream);
-	sent = *lp_counter(two.second->counters, "linepier_prompt_tokens_total",
-			   "cached=\"no\"");
+	sent = *lp_counter(pair.second->counters,
+			   "linepier_prompt_tokens_total", "cached=\"no\"");
 	EXPECT_EQ(sent, 1000); /* its own part */
 }
 
 /* ---- against a member of our own making ---- */
 
 /* An entry with one upstream of each stage. */
-struct One {
+struct EntryWithFakePeer {
 	Rig rig;
 	pe_upstream *stage = rig.add(PE_STAGE, "first");
-	Fake fake;
+	FakePeer fake;
 
-	One()
+	EntryWithFakePeer()
 	{
 		rig.add(PE_STAGE, "second");
 		rig.add(PE_ENGINE, "engine");
@@ -406,112 +406,112 @@
 };
 
 /* Strong by its word, but it answers nothing: asked again, then left. */
-TEST(Relay, AnAskThatNobodyTakesIsServedElsewhere)
+TEST(Relay, WorkIsResubmittedWhenDispatcherNeverAnswers)
 {
-	One one;
+	EntryWithFakePeer setup;
 
-	one.fake.hello(9000);
+	setup.fake.hello(9000);
 	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/staged/x",
+	Ask ask(setup.rig.address, "a1", "/staged/x",
 		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	one.fake.hear_for(400);
-	EXPECT_GE(one.fake.seen['A'], 2);
+	setup.fake.receive_for(400);
+	EXPECT_GE(setup.fake.received['A'], 2);
 	EXPECT_EQ(ask.wait().body, whole_stream);
 	EXPECT_LT(ask.took_us, 2 * LP_US_PER_S);
 }
 
 /* It takes work and falls silent: asked for a sign of life, then left. */
-TEST(Relay, AnAskWhoseTakerFallsSilentIsServedElsewhere)
+TEST(Relay, WorkIsResubmittedWhenDispatcherFallsSilent)
 {
-	One one;
+	EntryWithFakePeer setup;
 	const gint64 waits[4] = {};
 
-	one.fake.hello(9000);
+	setup.fake.hello(9000);
 	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/staged/x",
+	Ask ask(setup.rig.address, "a1", "/staged/x",
 		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	ASSERT_TRUE(turn_until([&] {
-		one.fake.hear();
-		return one.fake.seen['A'] > 0;
+		setup.fake.receive();
+		return setup.fake.received['A'] > 0;
 	}));
 	/* Any word of it counts as a sign of life. */
-	one.fake.send('C', g_variant_new("(t)", (guint64)1));
-	one.fake.send('K', g_variant_new("(t@ax)", (guint64)1,
-					 g_variant_new_fixed_array(
-						 G_VARIANT_TYPE_INT64, waits, 4,
-						 sizeof(gint64))));
+	setup.fake.send('C', g_variant_new("(t)", (guint64)1));
+	setup.fake.send('K', g_variant_new("(t@ax)", (guint64)1,
+					   g_variant_new_fixed_array(
+						   G_VARIANT_TYPE_INT64, waits,
+						   4, sizeof(gint64))));
 	EXPECT_EQ(ask.wait().body, whole_stream);
 	EXPECT_LT(ask.took_us, 2 * LP_US_PER_S);
 }
 
 /* Datagrams are lost: results come again until they are confirmed, and an ask
  * that comes twice is served once. */
-TEST(Relay, ResultsComeUntilTheyAreConfirmedAndAsksAreServedOnce)
+TEST(Relay, ResultsAreResentUntilConfirmedAndDuplicateWorkRunsOnce)
 {
-	One one;
+	EntryWithFakePeer setup;
 	guint64 serial;
 	int before;
 
-	one.fake.hello(50);
+	setup.fake.hello(50);
 	turn_until([] { return false; }, 300);
-	pe_set_work_ms(one.stage, 100);
-	one.fake.ask(5, "f1");
-	one.fake.ask(5, "f1");
-	one.fake.hear_for(450);
-	EXPECT_EQ(one.fake.seen['K'], 2);
-	EXPECT_GE(one.fake.seen['R'], 3);
-	EXPECT_EQ(pe_pieces_made(one.rig.platform), 1u);
-	ASSERT_NE(one.fake.last, nullptr);
-	g_variant_get_child(one.fake.last, 1, "t", &serial);
-	one.fake.send('C', g_variant_new("(t)", serial));
+	pe_set_work_ms(setup.stage, 100);
+	setup.fake.submit(5, "f1");
+	setup.fake.submit(5, "f1");
+	setup.fake.receive_for(450);
+	EXPECT_EQ(setup.fake.received['K'], 2);
+	EXPECT_GE(setup.fake.received['R'], 3);
+	EXPECT_EQ(pe_pieces_made(setup.rig.platform), 1u);
+	ASSERT_NE(setup.fake.last_results, nullptr);
+	g_variant_get_child(setup.fake.last_results, 1, "t", &serial);
+	setup.fake.send('C', g_variant_new("(t)", serial));
 	turn_until([] { return false; }, 100);
-	one.fake.hear();
-	before = one.fake.seen['R'];
-	one.fake.hear_for(300);
-	EXPECT_EQ(one.fake.seen['R'], before);
+	setup.fake.receive();
+	before = setup.fake.received['R'];
+	setup.fake.receive_for(300);
+	EXPECT_EQ(setup.fake.received['R'], before);
 }
 
 /* Its receiver has ended: results are not sent for ever. */
-TEST(Relay, ResultsAreNotSentForEver)
+TEST(Relay, ResendsOfUnconfirmedResultsAreBounded)
 {
-	One one;
+	EntryWithFakePeer setup;
 	int before;
 
-	one.fake.hello(50);
+	setup.fake.hello(50);
 	turn_until([] { return false; }, 300);
-	one.fake.ask(5, "f1");
-	one.fake.hear_for(900);
-	before = one.fake.seen['R'];
+	setup.fake.submit(5, "f1");
+	setup.fake.receive_for(900);
+	before = setup.fake.received['R'];
 	EXPECT_GE(before, 3);
-	one.fake.hear_for(300);
-	EXPECT_EQ(one.fake.seen['R'], before);
+	setup.fake.receive_for(300);
+	EXPECT_EQ(setup.fake.received['R'], before);
 }
 
 /* Found on a day of restarts: asked by who knew its earlier life, it ended by
  * a fault of its own. */
-TEST(Relay, AnEntryWithoutAConfigurationTakesNoWork)
+TEST(Relay, UnconfiguredEntryTakesNoWork)
 {
 	Rig rig(false);
-	Fake fake;
+	FakePeer fake;
 
 	rig.join(first_ip, 4000, { fake_ip });
 	fake.hello(50);
-	fake.ask(5, "f1");
-	fake.hear_for(300);
-	EXPECT_GT(fake.seen['H'], 0);
-	EXPECT_EQ(fake.seen['K'], 0);
+	fake.submit(5, "f1");
+	fake.receive_for(300);
+	EXPECT_GT(fake.received['H'], 0);
+	EXPECT_EQ(fake.received['K'], 0);
 }
 
 /* Found by the soak: results that its earlier life had asked for made it count
  * a service in a configuration that it did not have yet; it ended by that. It
  * takes the list of upstreams first, the configuration over a slow link later.
  */
-TEST(Relay, AnEntryWithoutAConfigurationGivesUpResults)
+TEST(Relay, UnconfiguredEntryFreesResultsOfEarlierStart)
 {
 	Rig rig(false);
-	Fake fake;
+	FakePeer fake;
 	pe_upstream *maker = rig.add(PE_STAGE, "first");
 	const int64_t waits_us[3] = { 0, 0, 0 };
 	GVariantBuilder results;
@@ -529,64 +529,64 @@
 					     G_VARIANT_TYPE_INT64, waits_us, 3,
 					     sizeof(int64_t))));
 	/* Its looks at who dispatches come every quarter of a second. */
-	fake.hear_for(800);
-	EXPECT_EQ(fake.seen['C'], 1);
+	fake.receive_for(800);
+	EXPECT_EQ(fake.received['C'], 1);
 	rig.set_config(1);
 	rig.settle();
 }
 
 /* Found on days that end with all entries killed: each one dispatched by
  * itself until rounds of hellos had named the others. */
-TEST(Relay, MembersAreMetAtOnce)
+TEST(Relay, NewPeersGetHelloAtOnce)
 {
 	Rig rig;
-	Fake fake;
-	Fake named("127.0.0.8");
+	FakePeer fake;
+	FakePeer named_peer("127.0.0.8");
 
 	rig.join(first_ip, 100, { fake_ip });
 	/* The first hellos are over then, and the next round is some 0.9 s
 	 * away. */
 	turn_until([] { return false; }, 1100);
-	fake.hear();
-	fake.seen.clear();
+	fake.receive();
+	fake.received.clear();
 	fake.hello(50, "127.0.0.8");
-	fake.hear_for(150);
-	named.hear();
-	EXPECT_EQ(fake.seen['H'], 1);
-	EXPECT_EQ(named.seen['H'], 1);
+	fake.receive_for(150);
+	named_peer.receive();
+	EXPECT_EQ(fake.received['H'], 1);
+	EXPECT_EQ(named_peer.received['H'], 1);
 	/* It has started anew. */
-	fake.seen.clear();
+	fake.received.clear();
 	fake.hello(50, nullptr, 78);
-	fake.hear_for(150);
-	EXPECT_EQ(fake.seen['H'], 1);
+	fake.receive_for(150);
+	EXPECT_EQ(fake.received['H'], 1);
 	EXPECT_EQ(direct_peers_count(rig.peers), 2u);
 }
 
 /* Found in the same incident: a hello to who starts a little later is lost. */
-TEST(Relay, AMemberThatStartsLaterIsMetSoon)
+TEST(Relay, InitialHellosReachPeerThatStartsLater)
 {
 	Rig rig;
 
 	rig.join(first_ip, 100, { fake_ip });
 	turn_until([] { return false; }, 250);
-	Fake fake;
+	FakePeer fake;
 
-	fake.hear_for(250);
-	EXPECT_GE(fake.seen['H'], 2);
+	fake.receive_for(250);
+	EXPECT_GE(fake.received['H'], 2);
 	/* Once heard it gets no more of them. */
 	fake.hello(50);
-	fake.hear_for(50);
-	fake.seen.clear();
-	fake.hear_for(200);
-	EXPECT_EQ(fake.seen['H'], 0);
+	fake.receive_for(50);
+	fake.received.clear();
+	fake.receive_for(200);
+	EXPECT_EQ(fake.received['H'], 0);
 }
 
 /* Found in an incident of Brennan grown: after all were killed, seventeen
  * entries called the same upstreams by themselves for more than a second. */
-TEST(Relay, PiecesWaitUntilMembersAreMet)
+TEST(Relay, PiecesWaitForMemberDiscovery)
 {
 	Rig rig;
-	Fake fake;
+	FakePeer fake;
 
 	rig.add(PE_STAGE, "first");
 	rig.add(PE_STAGE, "second");
@@ -599,26 +599,27 @@
 	turn_until([] { return false; }, 300);
 	fake.hello(9000);
 	ASSERT_TRUE(turn_until([&] {
-		fake.hear();
-		return fake.seen['A'] > 0 || pe_pieces_made(rig.platform) > 0;
+		fake.receive();
+		return fake.received['A'] > 0 ||
+		       pe_pieces_made(rig.platform) > 0;
 	}));
 	EXPECT_EQ(pe_pieces_made(rig.platform), 0u);
 	EXPECT_EQ(ask.wait().body, whole_stream);
 }
 
 /* It hears and answers, but takes no work. */
-TEST(Relay, AnAskThatALivelyPeerDoesNotTakeIsServedElsewhere)
+TEST(Relay, WorkIsResubmittedWhenLiveDispatcherDoesNotAcceptIt)
 {
-	One one;
+	EntryWithFakePeer setup;
 
-	one.fake.hello(9000);
+	setup.fake.hello(9000);
 	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/staged/x",
+	Ask ask(setup.rig.address, "a1", "/staged/x",
 		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	EXPECT_TRUE(turn_until(
 		[&] {
-			one.fake.hello(9000);
+			setup.fake.hello(9000);
 			return ask.done;
 		},
 		2500));
@@ -627,86 +628,86 @@
 
 /* Found on a day of entries killed in turn: each took its work back as soon as
  * it stood again. */
-TEST(Relay, AYoungMemberIsGivenLessWork)
+TEST(Relay, StartedEntryAdvertisesReducedCapacity)
 {
 	Rig rig;
-	Fake fake;
+	FakePeer fake;
 
 	rig.join(first_ip, 4000, { fake_ip }, 1200000);
 	rig.settle();
 	fake.hello(50);
-	fake.hear_for(100);
+	fake.receive_for(100);
 	EXPECT_EQ(fake.capacity, 1000u);
 	ASSERT_TRUE(turn_until([&] {
-		fake.hear();
+		fake.receive();
 		return fake.capacity == 4000;
 	}));
 }
 
 /* Strong by its word, but it places nothing. */
-TEST(Relay, APlacerThatSaysNothingIsDoneWithout)
+TEST(Relay, EntryPlacesPromptWhenPlacerDoesNotAnswer)
 {
-	One one;
+	EntryWithFakePeer setup;
 
-	one.fake.hello(9000);
+	setup.fake.hello(9000);
 	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/again/x", prompt);
+	Ask ask(setup.rig.address, "a1", "/again/x", prompt);
 
 	EXPECT_EQ(ask.wait().body, whole_stream);
 	EXPECT_LT(ask.took_us, 400000);
-	one.fake.hear();
-	EXPECT_EQ(one.fake.seen['P'], 1);
+	setup.fake.receive();
+	EXPECT_EQ(setup.fake.received['P'], 1);
 }
 
 /* What was placed too late is not counted for good. */
-TEST(Relay, APlaceThatComesTooLateIsGivenBack)
+TEST(Relay, LatePlacementIsReleasedAtPlacer)
 {
-	One one;
+	EntryWithFakePeer setup;
 
-	one.fake.hello(9000);
+	setup.fake.hello(9000);
 	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/again/x", prompt);
+	Ask ask(setup.rig.address, "a1", "/again/x", prompt);
 
 	EXPECT_EQ(ask.wait().body, whole_stream);
-	one.fake.send('Q', g_variant_new("(tttxxxx)", (guint64)1, (guint64)2,
-					 (guint64)0, (gint64)0, (gint64)0,
-					 (gint64)0, (gint64)0));
-	one.fake.hear_for(150);
-	EXPECT_EQ(one.fake.seen['E'], 1);
+	setup.fake.send('Q', g_variant_new("(tttxxxx)", (guint64)1, (guint64)2,
+					   (guint64)0, (gint64)0, (gint64)0,
+					   (gint64)0, (gint64)0));
+	setup.fake.receive_for(150);
+	EXPECT_EQ(setup.fake.received['E'], 1);
 }
 
 /* It places at an engine that we do not know: we place by ourselves. */
-TEST(Relay, APlaceThatWeDoNotKnowIsNotTaken)
+TEST(Relay, PlacementAtUnknownEngineIsRejected)
 {
-	One one;
+	EntryWithFakePeer setup;
 	guint64 number = 0;
 
-	one.fake.hello(9000);
+	setup.fake.hello(9000);
 	turn_until([] { return false; }, 300);
-	Ask ask(one.rig.address, "a1", "/again/x", prompt);
+	Ask ask(setup.rig.address, "a1", "/again/x", prompt);
 
 	ASSERT_TRUE(turn_until([&] {
-		one.fake.hear();
-		return one.fake.seen['P'] > 0;
+		setup.fake.receive();
+		return setup.fake.received['P'] > 0;
 	}));
-	g_variant_get_child(one.fake.place, 0, "t", &number);
-	one.fake.send('Q', g_variant_new("(tttxxxx)", number, (guint64)2,
-					 (guint64)0, (gint64)0, (gint64)0,
-					 (gint64)0, (gint64)0));
+	g_variant_get_child(setup.fake.last_query, 0, "t", &number);
+	setup.fake.send('Q', g_variant_new("(tttxxxx)", number, (guint64)2,
+					   (guint64)0, (gint64)0, (gint64)0,
+					   (gint64)0, (gint64)0));
 	EXPECT_EQ(ask.wait().body, whole_stream);
-	one.fake.hear();
-	EXPECT_EQ(one.fake.seen['E'], 1);
+	setup.fake.receive();
+	EXPECT_EQ(setup.fake.received['E'], 1);
 }
 
 /* Found by a fleet of 68 that started on a busy host: two entries did not know
  * of each other, and never would have. A hello names forty members at the most,
  * and all entries named the same forty of those they knew, so that two others
  * whose first hellos had been lost were never named to each other. */
-TEST(Relay, AnEntryOfALargeFleetNamesAllMembersInTurn)
+TEST(Relay, HellosOfLargeFleetNameAllPeersInTurn)
 {
 	const int count = 90;
 	Rig rig;
-	std::vector<std::unique_ptr<Fake>> members;
+	std::vector<std::unique_ptr<FakePeer>> members;
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
@@ -714,39 +715,39 @@
 	for (int i = 0; i < count; i++) {
 		std::string ip = "127.0.3." + std::to_string(i + 1);
 
-		members.push_back(std::make_unique<Fake>(ip.c_str()));
+		members.push_back(std::make_unique<FakePeer>(ip.c_str()));
 	}
 	for (int second = 0; second < 5; second++) {
 		for (auto &member : members)
 			member->hello(100);
 		turn_until([] { return false; }, 1000);
-		members[0]->hear();
+		members[0]->receive();
 		/* Those that came while it was not heard are not counted. */
 		if (second == 0)
-			members[0]->named.clear();
+			members[0]->named_ips.clear();
 	}
-	EXPECT_EQ(members[0]->named.size(), (size_t)count);
+	EXPECT_EQ(members[0]->named_ips.size(), (size_t)count);
 }
 
 /* What cannot be read is not served, and ends nothing. */
-TEST(Relay, DatagramsOfOthersAreLeftOut)
+TEST(Relay, MalformedDatagramsAreIgnored)
 {
-	One one;
-
-	one.fake.hello(50);
-	one.fake.send('A', g_variant_new("(s)", "not an ask"));
-	one.fake.send('R', g_variant_new("(x)", (gint64)1));
-	one.fake.send('Z', g_variant_new("(s)", "?"));
-	one.fake.send('G',
-		      g_variant_new("(txas)", (guint64)3, (gint64)-5, nullptr));
-	one.fake.send('D', g_variant_new("(t)", (guint64)9));
+	EntryWithFakePeer setup;
+
+	setup.fake.hello(50);
+	setup.fake.send('A', g_variant_new("(s)", "not an ask"));
+	setup.fake.send('R', g_variant_new("(x)", (gint64)1));
+	setup.fake.send('Z', g_variant_new("(s)", "?"));
+	setup.fake.send(
+		'G', g_variant_new("(txas)", (guint64)3, (gint64)-5, nullptr));
+	setup.fake.send('D', g_variant_new("(t)", (guint64)9));
 	turn_until([] { return false; }, 200);
-	EXPECT_EQ(Ask(one.rig.address, "a1", "/staged/x",
+	EXPECT_EQ(Ask(setup.rig.address, "a1", "/staged/x",
 		      { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } })
 			  .wait()
 			  .body,
 		  whole_stream);
-	EXPECT_EQ(pe_pieces_made(one.rig.platform), 2u);
+	EXPECT_EQ(pe_pieces_made(setup.rig.platform), 2u);
 }
 
 } // namespace
