--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -1,6 +1,6 @@
 /**
- * Entries that know each other, on one emulated platform with two upstreams of
- * each service.
+ * Several entries that have discovered each other, on one emulated platform
+ * with two upstreams of each service.
  */
 #ifndef FLEET_RIG_H
 #define FLEET_RIG_H
@@ -56,7 +56,7 @@
 				return false;
 		return true;
 	}
-	/* One more, that has met the others before it is asked anything. */
+	/* Starts another entry and waits until it has discovered the others. */
 	std::unique_ptr<Rig> start_late_entry()
 	{
 		auto late = std::make_unique<Rig>(&first);
@@ -69,7 +69,7 @@
 		}));
 		return late;
 	}
-	/* Of the next entry in turn. */
+	/* Sends a request to the entries in turn. */
 	Ask &request(const char *target)
 	{
 		std::string id = std::to_string(++last_id);
--- a/tests/relay_test.cc
+++ b/tests/relay_test.cc
@@ -1,6 +1,7 @@
 /*
- * Entries that dispatch stages for each other, against the emulated platform.
- * Each test is a fault between entries and what must outlive it.
+ * Messages between entries, against the emulated platform: dispatch of stages,
+ * the list of upstreams, placement of prompts, discovery of peers. Most tests
+ * inject a fault between entries and check that requests survive it.
  */
 #include "direct_rig.h"
 
@@ -14,13 +15,14 @@
 const char second_ip[] = "127.0.0.2";
 const char fake_ip[] = "127.0.0.9";
 
-/* Speaks the entries' datagrams by hand: the kind is the last byte. */
+/* A peer that sends and receives single datagrams. Their last byte is the
+ * kind. */
 struct FakePeer {
 	GSocket *socket;
 	GSocketAddress *to;
 	std::map<char, int> received;
-	GVariant *last_results = nullptr; /* result */
-	GVariant *last_query = nullptr;	  /* question */
+	GVariant *last_results = nullptr; /* of results */
+	GVariant *last_query = nullptr;	  /* of a placement */
 	uint32_t capacity = 0;		  /* of the last hello */
 	std::set<std::string> named_ips;  /* in any hello */
 
@@ -81,7 +83,7 @@
 					(gint64)500000, (gint64)5000000, 0,
 					(gint64)100, 0u, "", (gint64)0, "*"));
 	}
-	/* Take what has come, unanswered. */
+	/* Receives the datagrams that have arrived, and answers none. */
 	void receive()
 	{
 		alignas(8) char bytes[8192];
@@ -150,8 +152,8 @@
 	}
 };
 
-/* A platform with one upstream of each stage, and two entries; the first one
- * dispatches. */
+/* A platform with one upstream of each stage, and two entries. The first has
+ * the larger capacity and dispatches. */
 struct EntryPair {
 	Rig first;
 	std::unique_ptr<Rig> second = std::make_unique<Rig>(&first);
@@ -182,8 +184,8 @@
 	}
 };
 
-/* What comes while a call is under way goes along in the next, whoever has
- * it. */
+/* Pieces of all entries that arrive during a call share the next one. If each
+ * entry called by itself, calls would carry few pieces. */
 TEST(Relay, DispatcherBatchesPiecesOfAllEntries)
 {
 	EntryPair pair;
@@ -203,7 +205,7 @@
 		[&] { return pe_pieces_kept(pair.first.platform) == 0; }));
 }
 
-/* Killed with pieces of others under way. */
+/* The dispatcher is killed while pieces of its peer are in flight. */
 TEST(Relay, WorkIsResubmittedAfterDispatcherIsKilled)
 {
 	EntryPair pair;
@@ -216,7 +218,8 @@
 	EXPECT_LT(ask.took_us, 3 * LP_US_PER_S);
 }
 
-/* A start anew is noticed by the hello, before any silence. */
+/* A restart is noticed by the hello, before the dispatcher has been silent for
+ * long. */
 TEST(Relay, WorkIsResubmittedAfterDispatcherRestart)
 {
 	EntryPair pair;
@@ -245,7 +248,7 @@
 	turn_until([] { return false; }, 250);
 	pe_set_work_ms(pair.stage, 20);
 	Ask &after = pair.request(*pair.second, "b2");
-	/* What it has taken it ends. */
+	/* Work that it accepted before is completed. */
 	EXPECT_EQ(before.wait().body, whole_stream);
 	pair.first.end();
 	EXPECT_EQ(after.wait().body, whole_stream);
@@ -271,12 +274,13 @@
 
 /* ---- the list of upstreams ---- */
 
-/* Calls are paid for: two entries read no more often than one, ... */
+/* Calls to the store are paid for: two entries must not read the list more
+ * often than one. */
 TEST(Relay, UnchangedUpstreamListIsReadByOneEntryForAll)
 {
 	EntryPair pair;
 	int64_t before = *pair.first.calls() + *pair.second->calls();
-	int64_t alone = 2000 / 360; /* looks in two seconds */
+	int64_t alone = 2000 / 360; /* reads in two seconds */
 
 	turn_until([] { return false; }, 2000);
 	EXPECT_LE(*pair.first.calls() + *pair.second->calls() - before,
@@ -284,7 +288,8 @@
 	EXPECT_GE(*pair.first.calls() + *pair.second->calls() - before, 3);
 }
 
-/* ... and one that has changed is handed on in time. */
+/* The entry that reads a changed list passes it to its peer in time, so that
+ * neither sends to an upstream that drains. */
 TEST(Relay, ChangedUpstreamListIsReadOnceAndForwarded)
 {
 	EntryPair pair;
@@ -296,7 +301,7 @@
 	turn_until([] { return false; }, 700);
 	reads = *pair.first.calls() + *pair.second->calls();
 	pe_drain(draining);
-	turn_until([] { return false; }, 700); /* of 800 that it may take */
+	turn_until([] { return false; }, 700); /* of 800 ms allowed */
 	EXPECT_LE(*pair.first.calls() + *pair.second->calls() - reads, 4);
 	before = pe_arrivals(draining);
 	for (int i = 0; i < 4; i++) {
@@ -309,7 +314,7 @@
 	EXPECT_EQ(pe_arrivals(draining), before);
 }
 
-/* Whoever told of a list may end before it is asked for it. */
+/* A peer that reported a newer list may terminate before it is asked for it. */
 TEST(Relay, UpstreamListIsReadWhenPeerDoesNotServeIt)
 {
 	Rig rig;
@@ -338,7 +343,8 @@
 			{ "X-Token-Counts", "3000,80" },
 			{ "X-Prompt-Prefix", "aa:2000,bb:1000" } };
 
-/* Alone, each entry takes the engine that is best with nothing on it. */
+/* Without a placer each entry would choose the engine that is best without
+ * load, and both prompts would go to the same one. */
 TEST(Relay, PlacementBalancesPromptsOfAllEntries)
 {
 	EntryPair pair;
@@ -364,7 +370,7 @@
 	EXPECT_EQ(pe_arrivals(other) - before, 1u);
 }
 
-/* A prefix that one entry sent is known to all. */
+/* Without a placer an entry would not know which prefixes others have sent. */
 TEST(Relay, PlacementReusesPrefixSentByAnotherEntry)
 {
 	EntryPair pair;
@@ -385,10 +391,10 @@
 		  whole_stream);
 	sent = *lp_counter(pair.second->counters,
 			   "linepier_prompt_tokens_total", "cached=\"no\"");
-	EXPECT_EQ(sent, 1000); /* its own part */
+	EXPECT_EQ(sent, 1000); /* the block that differs */
 }
 
-/* ---- against a member of our own making ---- */
+/* ---- one entry and a fake peer ---- */
 
 /* An entry with one upstream of each stage. */
 struct EntryWithFakePeer {
@@ -405,7 +411,8 @@
 	}
 };
 
-/* Strong by its word, but it answers nothing: asked again, then left. */
+/* A peer that advertises a large capacity is dispatcher but answers nothing.
+ * The entry resends the work, then gives up on the peer. */
 TEST(Relay, WorkIsResubmittedWhenDispatcherNeverAnswers)
 {
 	EntryWithFakePeer setup;
@@ -421,7 +428,8 @@
 	EXPECT_LT(ask.took_us, 2 * LP_US_PER_S);
 }
 
-/* It takes work and falls silent: asked for a sign of life, then left. */
+/* The dispatcher accepts work and falls silent. The entry probes it, then gives
+ * up on it. */
 TEST(Relay, WorkIsResubmittedWhenDispatcherFallsSilent)
 {
 	EntryWithFakePeer setup;
@@ -436,7 +444,7 @@
 		setup.fake.receive();
 		return setup.fake.received['A'] > 0;
 	}));
-	/* Any word of it counts as a sign of life. */
+	/* Any datagram shows that the peer is alive. */
 	setup.fake.send('C', g_variant_new("(t)", (guint64)1));
 	setup.fake.send('K', g_variant_new("(t@ax)", (guint64)1,
 					   g_variant_new_fixed_array(
@@ -446,8 +454,8 @@
 	EXPECT_LT(ask.took_us, 2 * LP_US_PER_S);
 }
 
-/* Datagrams are lost: results come again until they are confirmed, and an ask
- * that comes twice is served once. */
+/* Lost datagrams: results are resent until they are confirmed, and work that is
+ * received twice runs once. */
 TEST(Relay, ResultsAreResentUntilConfirmedAndDuplicateWorkRunsOnce)
 {
 	EntryWithFakePeer setup;
@@ -473,7 +481,7 @@
 	EXPECT_EQ(setup.fake.received['R'], before);
 }
 
-/* Its receiver has ended: results are not sent for ever. */
+/* The receiver has terminated, and never confirms its results. */
 TEST(Relay, ResendsOfUnconfirmedResultsAreBounded)
 {
 	EntryWithFakePeer setup;
@@ -489,8 +497,8 @@
 	EXPECT_EQ(setup.fake.received['R'], before);
 }
 
-/* Found on a day of restarts: asked by who knew its earlier life, it ended by
- * a fault of its own. */
+/* Peers that knew its earlier start may submit work to a restarted entry before
+ * it has a configuration. It crashed by that. */
 TEST(Relay, UnconfiguredEntryTakesNoWork)
 {
 	Rig rig(false);
@@ -504,10 +512,10 @@
 	EXPECT_EQ(fake.received['K'], 0);
 }
 
-/* Found by the soak: results that its earlier life had asked for made it count
- * a service in a configuration that it did not have yet; it ended by that. It
- * takes the list of upstreams first, the configuration over a slow link later.
- */
+/* A restarted entry may get results that its earlier start had submitted, and
+ * frees them. It has the list of upstreams by then, but the configuration may
+ * arrive later over a slow link. It crashed as it looked up the service in the
+ * configuration that it did not have. */
 TEST(Relay, UnconfiguredEntryFreesResultsOfEarlierStart)
 {
 	Rig rig(false);
@@ -528,15 +536,15 @@
 				     g_variant_new_fixed_array(
 					     G_VARIANT_TYPE_INT64, waits_us, 3,
 					     sizeof(int64_t))));
-	/* Its looks at who dispatches come every quarter of a second. */
+	/* Dispatchers are assigned at least every quarter of a second. */
 	fake.receive_for(800);
 	EXPECT_EQ(fake.received['C'], 1);
 	rig.set_config(1);
 	rig.settle();
 }
 
-/* Found on days that end with all entries killed: each one dispatched by
- * itself until rounds of hellos had named the others. */
+/* After all entries had been killed, each dispatched by itself until periodic
+ * hellos had named the others. A new or named peer must get a hello at once. */
 TEST(Relay, NewPeersGetHelloAtOnce)
 {
 	Rig rig;
@@ -544,8 +552,8 @@
 	FakePeer named_peer("127.0.0.8");
 
 	rig.join(first_ip, 100, { fake_ip });
-	/* The first hellos are over then, and the next round is some 0.9 s
-	 * away. */
+	/* The initial hellos are over then, and the next periodic one is some
+	 * 0.9 s away. */
 	turn_until([] { return false; }, 1100);
 	fake.receive();
 	fake.received.clear();
@@ -554,7 +562,7 @@
 	named_peer.receive();
 	EXPECT_EQ(fake.received['H'], 1);
 	EXPECT_EQ(named_peer.received['H'], 1);
-	/* It has started anew. */
+	/* The peer has restarted. */
 	fake.received.clear();
 	fake.hello(50, nullptr, 78);
 	fake.receive_for(150);
@@ -562,7 +570,7 @@
 	EXPECT_EQ(direct_peers_count(rig.peers), 2u);
 }
 
-/* Found in the same incident: a hello to who starts a little later is lost. */
+/* A hello to an entry that starts a little later is lost, so it is repeated. */
 TEST(Relay, InitialHellosReachPeerThatStartsLater)
 {
 	Rig rig;
@@ -573,7 +581,7 @@
 
 	fake.receive_for(250);
 	EXPECT_GE(fake.received['H'], 2);
-	/* Once heard it gets no more of them. */
+	/* The initial hellos end once the peer has sent one. */
 	fake.hello(50);
 	fake.receive_for(50);
 	fake.received.clear();
@@ -581,8 +589,8 @@
 	EXPECT_EQ(fake.received['H'], 0);
 }
 
-/* Found in an incident of Brennan grown: after all were killed, seventeen
- * entries called the same upstreams by themselves for more than a second. */
+/* After all entries had been killed, seventeen of them called the same
+ * upstreams by themselves for more than a second, as they knew no peers yet. */
 TEST(Relay, PiecesWaitForMemberDiscovery)
 {
 	Rig rig;
@@ -607,7 +615,7 @@
 	EXPECT_EQ(ask.wait().body, whole_stream);
 }
 
-/* It hears and answers, but takes no work. */
+/* The dispatcher is alive and sends hellos, but never accepts work. */
 TEST(Relay, WorkIsResubmittedWhenLiveDispatcherDoesNotAcceptIt)
 {
 	EntryWithFakePeer setup;
@@ -626,8 +634,8 @@
 	EXPECT_EQ(ask.body, whole_stream);
 }
 
-/* Found on a day of entries killed in turn: each took its work back as soon as
- * it stood again. */
+/* Entries that were killed in turn took their work back as soon as they had
+ * restarted, and lost it again. */
 TEST(Relay, StartedEntryAdvertisesReducedCapacity)
 {
 	Rig rig;
@@ -644,7 +652,7 @@
 	}));
 }
 
-/* Strong by its word, but it places nothing. */
+/* A peer that advertises a large capacity is placer but answers no query. */
 TEST(Relay, EntryPlacesPromptWhenPlacerDoesNotAnswer)
 {
 	EntryWithFakePeer setup;
@@ -659,7 +667,8 @@
 	EXPECT_EQ(setup.fake.received['P'], 1);
 }
 
-/* What was placed too late is not counted for good. */
+/* A placement that is answered too late must not count at the placer for
+ * good. */
 TEST(Relay, LatePlacementIsReleasedAtPlacer)
 {
 	EntryWithFakePeer setup;
@@ -676,7 +685,8 @@
 	EXPECT_EQ(setup.fake.received['E'], 1);
 }
 
-/* It places at an engine that we do not know: we place by ourselves. */
+/* The placer chooses an engine that the entry does not know. The entry places
+ * the prompt itself and releases the placement. */
 TEST(Relay, PlacementAtUnknownEngineIsRejected)
 {
 	EntryWithFakePeer setup;
@@ -699,10 +709,10 @@
 	EXPECT_EQ(setup.fake.received['E'], 1);
 }
 
-/* Found by a fleet of 68 that started on a busy host: two entries did not know
- * of each other, and never would have. A hello names forty members at the most,
- * and all entries named the same forty of those they knew, so that two others
- * whose first hellos had been lost were never named to each other. */
+/* In a fleet of 68 that started on a busy host, two entries never learnt of
+ * each other. A hello names forty peers at the most, and all entries named the
+ * same forty, so two others whose first hellos had been lost were never named
+ * to each other. */
 TEST(Relay, HellosOfLargeFleetNameAllPeersInTurn)
 {
 	const int count = 90;
@@ -722,14 +732,15 @@
 			member->hello(100);
 		turn_until([] { return false; }, 1000);
 		members[0]->receive();
-		/* Those that came while it was not heard are not counted. */
+		/* Hellos that arrived before the first receive are not
+		 * counted. */
 		if (second == 0)
 			members[0]->named_ips.clear();
 	}
 	EXPECT_EQ(members[0]->named_ips.size(), (size_t)count);
 }
 
-/* What cannot be read is not served, and ends nothing. */
+/* Datagrams that cannot be read must have no effect. */
 TEST(Relay, MalformedDatagramsAreIgnored)
 {
 	EntryWithFakePeer setup;
