--- a/direct/direct_placement.c
+++ b/direct/direct_placement.c
@@ -109,13 +109,14 @@
 
 static GVariant *write_prefix_blocks(const struct pool_ask *ask)
 {
-	GVariantBuilder parts;
+	GVariantBuilder blocks;
 
-	g_variant_builder_init(&parts, G_VARIANT_TYPE("a(tx)"));
+	g_variant_builder_init(&blocks, G_VARIANT_TYPE("a(tx)"));
 	for (uint32_t i = 0; i < ask->parts_count; i++)
-		g_variant_builder_add(&parts, "(tx)", (guint64)ask->parts[i].id,
+		g_variant_builder_add(&blocks, "(tx)",
+				      (guint64)ask->parts[i].id,
 				      (gint64)ask->parts[i].tokens);
-	return g_variant_builder_end(&parts);
+	return g_variant_builder_end(&blocks);
 }
 
 /* Upstreams tried before, and those in pushback towards this entry: to them
@@ -255,17 +256,17 @@
 
 static struct pool_part *read_prefix_blocks(GVariant *list, uint32_t *count)
 {
-	struct pool_part *parts;
+	struct pool_part *blocks;
 	GVariantIter iter;
 	guint64 id;
 	gint64 tokens;
 
-	parts = g_new0(struct pool_part, g_variant_n_children(list) + 1);
+	blocks = g_new0(struct pool_part, g_variant_n_children(list) + 1);
 	*count = 0;
 	g_variant_iter_init(&iter, list);
 	while (g_variant_iter_next(&iter, "(tx)", &id, &tokens))
-		parts[(*count)++] = (struct pool_part){ id, MAX(tokens, 0) };
-	return parts;
+		blocks[(*count)++] = (struct pool_part){ id, MAX(tokens, 0) };
+	return blocks;
 }
 
 static struct pool_upstream *find_by_hash(const GPtrArray *upstreams,
@@ -356,7 +357,7 @@
 	g_autoptr(GVariant) tried_list = NULL;
 	g_autoptr(GVariant) reply = NULL;
 	g_autoptr(GPtrArray) tried = NULL;
-	g_autofree struct pool_part *parts = NULL;
+	g_autofree struct pool_part *blocks = NULL;
 	struct pool_ask ask = { 0 };
 	const struct reservation *reservation;
 	const char *domain;
@@ -369,9 +370,9 @@
 		      &list, &tried_list, &domain, &ask.fetch_bytes,
 		      &ask.target_us, &homes);
 	ask.homes = homes_read(homes);
-	parts = read_prefix_blocks(list, &ask.parts_count);
+	blocks = read_prefix_blocks(list, &ask.parts_count);
 	tried = read_excluded(placement, ask.service, tried_list);
-	ask.parts = parts;
+	ask.parts = blocks;
 	ask.tried = (const char *const *)tried->pdata;
 	ask.tried_count = tried->len;
 	ask.domain = *domain ? domain : NULL;
--- a/direct/direct_results.c
+++ b/direct/direct_results.c
@@ -144,15 +144,15 @@
 	uint32_t count = batch->handles->len;
 
 	for (uint32_t i = 0; i < count; i += HANDLES_PER_DATAGRAM) {
-		uint32_t part = MIN(count - i, HANDLES_PER_DATAGRAM);
+		uint32_t chunk = MIN(count - i, HANDLES_PER_DATAGRAM);
 		g_autoptr(GPtrArray) handles = g_ptr_array_new();
 
-		for (uint32_t j = i; j < i + part; j++)
+		for (uint32_t j = i; j < i + chunk; j++)
 			g_ptr_array_add(handles,
 					g_ptr_array_index(batch->handles, j));
 		direct_relay_free_results(results->direct->relay, dispatcher,
 					  upstream->life, handles,
-					  batch->bytes * part / count);
+					  batch->bytes * chunk / count);
 	}
 }
 
--- a/tests/relay_test.cc
+++ b/tests/relay_test.cc
@@ -60,8 +60,8 @@
 				 nullptr, nullptr);
 		g_variant_unref(body);
 	}
-	void hello(uint32_t capacity, const char *name = nullptr,
-		   uint64_t start = 77)
+	void send_hello(uint32_t capacity, const char *name = nullptr,
+			uint64_t start = 77)
 	{
 		const char *names[] = { name, nullptr };
 
@@ -229,12 +229,12 @@
 	ASSERT_TRUE(turn_until([&] { return pe_calls(pair.stage) == 1; }));
 	pair.first.end();
 	pe_set_work_ms(pair.stage, 20);
-	Rig again(pair.second.get());
+	Rig restarted(pair.second.get());
 
-	again.join(first_ip, 4000, { second_ip });
-	again.settle();
+	restarted.join(first_ip, 4000, { second_ip });
+	restarted.settle();
 	EXPECT_EQ(ask.wait().body, whole_stream);
-	again.end();
+	restarted.end();
 }
 
 TEST(Relay, DrainingDispatcherGetsNoNewWork)
@@ -280,11 +280,11 @@
 {
 	EntryPair pair;
 	int64_t before = *pair.first.calls() + *pair.second->calls();
-	int64_t alone = 2000 / 360; /* reads in two seconds */
+	int64_t reads_by_one = 2000 / 360; /* reads in two seconds */
 
 	turn_until([] { return false; }, 2000);
 	EXPECT_LE(*pair.first.calls() + *pair.second->calls() - before,
-		  alone + 2);
+		  reads_by_one + 2);
 	EXPECT_GE(*pair.first.calls() + *pair.second->calls() - before, 3);
 }
 
@@ -417,7 +417,7 @@
 {
 	EntryWithFakePeer setup;
 
-	setup.fake.hello(9000);
+	setup.fake.send_hello(9000);
 	turn_until([] { return false; }, 300);
 	Ask ask(setup.rig.address, "a1", "/staged/x",
 		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
@@ -435,7 +435,7 @@
 	EntryWithFakePeer setup;
 	const gint64 waits[4] = {};
 
-	setup.fake.hello(9000);
+	setup.fake.send_hello(9000);
 	turn_until([] { return false; }, 300);
 	Ask ask(setup.rig.address, "a1", "/staged/x",
 		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
@@ -462,7 +462,7 @@
 	guint64 serial;
 	int before;
 
-	setup.fake.hello(50);
+	setup.fake.send_hello(50);
 	turn_until([] { return false; }, 300);
 	pe_set_work_ms(setup.stage, 100);
 	setup.fake.submit(5, "f1");
@@ -487,7 +487,7 @@
 	EntryWithFakePeer setup;
 	int before;
 
-	setup.fake.hello(50);
+	setup.fake.send_hello(50);
 	turn_until([] { return false; }, 300);
 	setup.fake.submit(5, "f1");
 	setup.fake.receive_for(900);
@@ -505,7 +505,7 @@
 	FakePeer fake;
 
 	rig.join(first_ip, 4000, { fake_ip });
-	fake.hello(50);
+	fake.send_hello(50);
 	fake.submit(5, "f1");
 	fake.receive_for(300);
 	EXPECT_GT(fake.received['H'], 0);
@@ -520,16 +520,16 @@
 {
 	Rig rig(false);
 	FakePeer fake;
-	pe_upstream *maker = rig.add(PE_STAGE, "first");
+	pe_upstream *producer = rig.add(PE_STAGE, "first");
 	const int64_t waits_us[3] = { 0, 0, 0 };
 	GVariantBuilder results;
 
 	rig.join(first_ip, 4000, { fake_ip });
 	ASSERT_TRUE(turn_until([&] { return plf_feed_in_touch(rig.feed); }));
-	fake.hello(50);
+	fake.send_hello(50);
 	g_variant_builder_init(&results, G_VARIANT_TYPE("a(uuts)"));
 	g_variant_builder_add(&results, "(uuts)", 0u, 0u,
-			      (guint64)lp_hash_str(pe_name(maker)),
+			      (guint64)lp_hash_str(pe_name(producer)),
 			      "10.0.0.1:1/1");
 	fake.send('R', g_variant_new("(tta(uuts)@ax)", (guint64)5, (guint64)6,
 				     &results,
@@ -557,14 +557,14 @@
 	turn_until([] { return false; }, 1100);
 	fake.receive();
 	fake.received.clear();
-	fake.hello(50, "127.0.0.8");
+	fake.send_hello(50, "127.0.0.8");
 	fake.receive_for(150);
 	named_peer.receive();
 	EXPECT_EQ(fake.received['H'], 1);
 	EXPECT_EQ(named_peer.received['H'], 1);
 	/* The peer has restarted. */
 	fake.received.clear();
-	fake.hello(50, nullptr, 78);
+	fake.send_hello(50, nullptr, 78);
 	fake.receive_for(150);
 	EXPECT_EQ(fake.received['H'], 1);
 	EXPECT_EQ(direct_peers_count(rig.peers), 2u);
@@ -582,7 +582,7 @@
 	fake.receive_for(250);
 	EXPECT_GE(fake.received['H'], 2);
 	/* The initial hellos end once the peer has sent one. */
-	fake.hello(50);
+	fake.send_hello(50);
 	fake.receive_for(50);
 	fake.received.clear();
 	fake.receive_for(200);
@@ -605,7 +605,7 @@
 		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	turn_until([] { return false; }, 300);
-	fake.hello(9000);
+	fake.send_hello(9000);
 	ASSERT_TRUE(turn_until([&] {
 		fake.receive();
 		return fake.received['A'] > 0 ||
@@ -620,14 +620,14 @@
 {
 	EntryWithFakePeer setup;
 
-	setup.fake.hello(9000);
+	setup.fake.send_hello(9000);
 	turn_until([] { return false; }, 300);
 	Ask ask(setup.rig.address, "a1", "/staged/x",
 		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	EXPECT_TRUE(turn_until(
 		[&] {
-			setup.fake.hello(9000);
+			setup.fake.send_hello(9000);
 			return ask.done;
 		},
 		2500));
@@ -643,7 +643,7 @@
 
 	rig.join(first_ip, 4000, { fake_ip }, 1200000);
 	rig.settle();
-	fake.hello(50);
+	fake.send_hello(50);
 	fake.receive_for(100);
 	EXPECT_EQ(fake.capacity, 1000u);
 	ASSERT_TRUE(turn_until([&] {
@@ -657,7 +657,7 @@
 {
 	EntryWithFakePeer setup;
 
-	setup.fake.hello(9000);
+	setup.fake.send_hello(9000);
 	turn_until([] { return false; }, 300);
 	Ask ask(setup.rig.address, "a1", "/again/x", prompt);
 
@@ -673,7 +673,7 @@
 {
 	EntryWithFakePeer setup;
 
-	setup.fake.hello(9000);
+	setup.fake.send_hello(9000);
 	turn_until([] { return false; }, 300);
 	Ask ask(setup.rig.address, "a1", "/again/x", prompt);
 
@@ -692,7 +692,7 @@
 	EntryWithFakePeer setup;
 	guint64 number = 0;
 
-	setup.fake.hello(9000);
+	setup.fake.send_hello(9000);
 	turn_until([] { return false; }, 300);
 	Ask ask(setup.rig.address, "a1", "/again/x", prompt);
 
@@ -729,7 +729,7 @@
 	}
 	for (int second = 0; second < 5; second++) {
 		for (auto &member : members)
-			member->hello(100);
+			member->send_hello(100);
 		turn_until([] { return false; }, 1000);
 		members[0]->receive();
 		/* Hellos that arrived before the first receive are not
@@ -745,7 +745,7 @@
 {
 	EntryWithFakePeer setup;
 
-	setup.fake.hello(50);
+	setup.fake.send_hello(50);
 	setup.fake.send('A', g_variant_new("(s)", "not an ask"));
 	setup.fake.send('R', g_variant_new("(x)", (gint64)1));
 	setup.fake.send('Z', g_variant_new("(s)", "?"));
