--- a/direct/direct_peers.c
+++ b/direct/direct_peers.c
@@ -7,10 +7,10 @@
 
 /* A hello costs one datagram for each peer. A peer that misses three of them is
  * taken as gone: LIVENESS_TIMEOUT_US. */
-#define HELLO_MS 1000
+#define HELLO_INTERVAL_MS 1000
 /* After the start, peers that have not sent a hello yet get ours more often:
  * they may have started a little later. */
-#define INITIAL_HELLO_MS 100
+#define INITIAL_HELLO_INTERVAL_MS 100
 #define INITIAL_HELLOS 10
 #define LIVENESS_TIMEOUT_US (3500 * LP_US_PER_MS)
 /* Enough for work with many inputs or results; larger bodies are not sent. */
@@ -92,7 +92,7 @@
 	void (*on_restarted)(void *userdata, uint64_t peer);
 	void *on_restarted_userdata;
 	GArray *discovery_listeners; /* of struct discovery_listener */
-	int64_t version;
+	int64_t config_version;
 	bool is_ready; /* can take work of peers */
 	bool is_draining;
 	uint64_t start_id;
@@ -211,7 +211,7 @@
 				      g_ptr_array_index(ips, (peers->next_name +
 							      i) % ips->len));
 	return g_variant_ref_sink(
-		g_variant_new(HELLO_TYPE, (gint64)peers->version, &names,
+		g_variant_new(HELLO_TYPE, (gint64)peers->config_version, &names,
 			      own_capacity(peers), (guint64)peers->start_id));
 }
 
@@ -310,7 +310,7 @@
 void direct_peers_set_config_version(struct direct_peers *peers,
 				     int64_t version)
 {
-	peers->version = version;
+	peers->config_version = version;
 	send_hellos(peers);
 }
 
@@ -767,7 +767,7 @@
 	peers->ip = g_strdup(options->ip);
 	peers->seeds = g_strdupv((char **)options->seeds);
 	peers->socket = socket;
-	peers->version = -1;
+	peers->config_version = -1;
 	peers->peers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_peer);
 	peers->by_hash = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -786,9 +786,10 @@
 	g_source_attach(peers->source, NULL);
 	add_seeds(peers);
 	send_hellos(peers);
-	peers->hello_timer = lp_timer_add(HELLO_MS, on_hello_timer, peers);
-	peers->initial_timer =
-		lp_timer_add(INITIAL_HELLO_MS, on_initial_timer, peers);
+	peers->hello_timer =
+		lp_timer_add(HELLO_INTERVAL_MS, on_hello_timer, peers);
+	peers->initial_timer = lp_timer_add(INITIAL_HELLO_INTERVAL_MS,
+					    on_initial_timer, peers);
 	return peers;
 }
 
--- a/direct/direct_results.c
+++ b/direct/direct_results.c
@@ -13,9 +13,9 @@
 #define BATCH_DELAY_MS 20
 /* Results that one datagram to a dispatcher names. */
 #define HANDLES_PER_DATAGRAM 64
-/* A lost call does no harm: upstreams drop results that nobody frees after a
- * few seconds. */
 #define FREE_TIMEOUT_US (2 * LP_US_PER_S)
+/* Upstreams drop results that nobody frees after a few seconds, so older ones
+ * need no call. */
 #define RESULT_TTL_US (4 * LP_US_PER_S)
 
 /* Results of one producer that are freed next. */
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -35,11 +35,10 @@
 	bool is_engines;     /* takes prompts that are placed, not pieces */
 	bool is_placed_here; /* this entry is placer of some shard */
 	uint32_t shards;
-	uint64_t dispatchers[SHARDS_MAX]; /* peer hash of each shard's */
+	uint64_t dispatchers[SHARDS_MAX]; /* member hash of each shard */
 	int64_t acquired_us; /* when this entry last took over a shard */
 	struct admission_memory latencies[DIRECT_PRIORITY_RANKS];
-	int64_t queue_waits_us[DIRECT_PRIORITY_RANKS]; /* reported by the
-							  dispatcher */
+	int64_t queue_waits_us[DIRECT_PRIORITY_RANKS]; /* at dispatcher */
 	int64_t queue_waits_received_us;
 };
 
@@ -475,10 +474,10 @@
 }
 
 static bool any_has_outcome(const struct direct_result *results, uint32_t count,
-			    enum direct_item_result kind)
+			    enum direct_item_result outcome)
 {
 	for (uint32_t i = 0; i < count; i++)
-		if (results[i].outcome == kind)
+		if (results[i].outcome == outcome)
 			return true;
 	return false;
 }
@@ -489,7 +488,7 @@
 				 uint32_t count)
 {
 	struct direct_request *request = submission->request;
-	const struct pool_upstream *before = NULL;
+	const struct pool_upstream *previous = NULL;
 
 	for (uint32_t i = 0; i < count; i++) {
 		const struct pool_upstream *upstream;
@@ -498,11 +497,11 @@
 			continue;
 		upstream = pool_find_life(request->direct->pool,
 					  results[i].producer);
-		if (upstream && upstream != before)
+		if (upstream && upstream != previous)
 			direct_request_lost(request, upstream,
 					    submission->round,
 					    submission->submitted_us);
-		before = upstream;
+		previous = upstream;
 	}
 }
 
