--- a/cli/cli_platform.c
+++ b/cli/cli_platform.c
@@ -29,7 +29,7 @@
 		printf("%s: %s\n", path, gerror->message);
 		return 1;
 	}
-	config = plf_read_config(text, &problem);
+	config = plf_config_read(text, &problem);
 	if (!config) {
 		printf("%s: %s\n", path, problem);
 		return 1;
--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -149,7 +149,7 @@
 	plf_share *share = nullptr;
 	store_kv *kv = nullptr;
 	plf_feed *feed = nullptr;
-	plf_kept *kept = nullptr;
+	plf_quarantine *kept = nullptr;
 	std::string address;
 	int64_t drain_us = 800000;
 
@@ -208,7 +208,7 @@
 		kv->ops->destroy(kv);
 		plf_share_destroy(share);
 		plf_feed_destroy(feed);
-		plf_kept_destroy(kept);
+		plf_quarantine_destroy(kept);
 		direct_destroy(entry);
 		direct_peers_destroy(peers);
 		lp_counters_destroy(counters);
@@ -237,7 +237,8 @@
 		options.retry_ratio = 0.2;
 		options.retry_slack = 20;
 		options.kept_out = [](void *self, uint64_t content) {
-			plf_kept_write(static_cast<Rig *>(self)->kept, content);
+			plf_quarantine_write(static_cast<Rig *>(self)->kept,
+					     content);
 		};
 		options.userdata = this;
 		for (int port = 21400; !entry && port < 21900; port++) {
@@ -279,13 +280,13 @@
 	}
 	void start_kept()
 	{
-		plf_kept_options options = {};
+		plf_quarantine_options options = {};
 
 		options.clock = clock;
 		options.log = log;
 		options.kv = kv;
 		options.direct = entry;
-		kept = plf_kept_create(&options);
+		kept = plf_quarantine_create(&options);
 	}
 	/* Serve lists and configurations to peers and fetch theirs. */
 	void share_with(const char *ip)
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -112,7 +112,7 @@
 {
 	g_autofree char *json = pe_sample_config(9);
 	g_autofree char *problem = nullptr;
-	direct_config *config = plf_read_config(json, &problem);
+	direct_config *config = plf_config_read(json, &problem);
 	const direct_route *route;
 
 	ASSERT_NE(config, nullptr) << problem;
@@ -155,7 +155,7 @@
 		"\"kind\":\"idempotent\",\"traffic_split\":[{\"service\":\"s\","
 		"\"weight\":9},{\"service\":\"t\",\"weight\":1}]}]}";
 	g_autofree char *problem = nullptr;
-	direct_config *config = plf_read_config(json, &problem);
+	direct_config *config = plf_config_read(json, &problem);
 	const direct_route *route;
 	int others = 0;
 
@@ -182,7 +182,7 @@
 TEST(PlfRecords, RanksGoByOrganisationAndThenByRoute)
 {
 	g_autofree char *problem = nullptr;
-	direct_config *config = plf_read_config(
+	direct_config *config = plf_config_read(
 		"{\"version\":1,\"routes\":["
 		"{\"name\":\"a\",\"prefix\":\"/a/\",\"kind\":\"idempotent\","
 		"\"service\":\"s\",\"priority\":2},"
@@ -241,7 +241,7 @@
 	for (const auto &row : cases) {
 		g_autofree char *problem = nullptr;
 
-		EXPECT_EQ(plf_read_config(row.json, &problem), nullptr);
+		EXPECT_EQ(plf_config_read(row.json, &problem), nullptr);
 		EXPECT_STREQ(problem, row.problem) << row.json;
 	}
 }
--- a/tests/poison_test.cc
+++ b/tests/poison_test.cc
@@ -480,10 +480,11 @@
 	for (const std::string &text : texts) {
 		char key[64];
 
-		g_snprintf(key, sizeof(key), PLF_KEPT_PREFIX "%016x", ++number);
+		g_snprintf(key, sizeof(key), PLF_QUARANTINE_PREFIX "%016x",
+			   ++number);
 		pe_put(platform, key, text.data(), text.size());
 	}
-	pe_put(platform, PLF_KEPT_PREFIX "short", "{}", 2);
+	pe_put(platform, PLF_QUARANTINE_PREFIX "short", "{}", 2);
 	{
 		Rig rig(platform);
 
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -29,12 +29,12 @@
 {
 	pool_entry entry;
 	const char *field = nullptr;
-	int error = plf_read_upstream(key, value.data(), value.size(), &entry,
+	int error = plf_upstream_read(key, value.data(), value.size(), &entry,
 				      &field);
 
 	EXPECT_EQ(error == LP_OK, field == nullptr);
 	EXPECT_EQ(error == LP_OK, entry.id != nullptr);
-	plf_clear_upstream(&entry);
+	plf_upstream_clear(&entry);
 	return error == LP_OK;
 }
 
@@ -47,7 +47,7 @@
 	pool_entry entry;
 	const char *field;
 
-	ASSERT_EQ(plf_read_upstream("servers/i-1", whole, strlen(whole), &entry,
+	ASSERT_EQ(plf_upstream_read("servers/i-1", whole, strlen(whole), &entry,
 				    &field),
 		  LP_OK);
 	EXPECT_STREQ(entry.id, "i-1");
@@ -57,7 +57,7 @@
 	EXPECT_EQ(entry.slots, 6u);
 	EXPECT_FALSE(entry.leaving);
 	EXPECT_EQ(entry.born_ms, 1764720000123);
-	plf_clear_upstream(&entry);
+	plf_upstream_clear(&entry);
 	EXPECT_TRUE(names_one(engine));
 	EXPECT_TRUE(names_one(with(",\"born\":1764720000123", "")));
 	EXPECT_TRUE(names_one(with("\"ready\"", "\"draining\"")));
@@ -162,7 +162,7 @@
 struct List {
 	lp_event_log *log;
 	lp_counters *counters = lp_counters_create();
-	plf_unreadable *unreadable;
+	plf_decode_errors *unreadable;
 	std::vector<std::pair<std::string, std::string>> items;
 	plf_list *it = nullptr;
 
@@ -174,12 +174,12 @@
 		options.clock = lp_clock_boot();
 		options.fd = -1;
 		log = lp_event_log_create(&options);
-		unreadable = plf_unreadable_create(log, counters);
+		unreadable = plf_decode_errors_create(log, counters);
 	}
 	~List()
 	{
 		plf_list_destroy(it);
-		plf_unreadable_destroy(unreadable);
+		plf_decode_errors_destroy(unreadable);
 		lp_counters_destroy(counters);
 		lp_event_log_destroy(log);
 	}
