--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -83,12 +83,12 @@
 					   "quarantine.let_in=ff\n");
 
 	EXPECT_EQ(said.error, LP_OK);
-	EXPECT_FALSE(said.it.quarantine);
-	ASSERT_EQ(said.it.let_in->len, 2u);
-	EXPECT_EQ(g_array_index(said.it.let_in, uint64_t, 1),
+	EXPECT_FALSE(said.it.quarantine_enabled);
+	ASSERT_EQ(said.it.unblocked->len, 2u);
+	EXPECT_EQ(g_array_index(said.it.unblocked, uint64_t, 1),
 		  0x0123456789abcdefu);
-	EXPECT_TRUE(silent.it.quarantine);
-	EXPECT_EQ(silent.it.let_in->len, 0u);
+	EXPECT_TRUE(silent.it.quarantine_enabled);
+	EXPECT_EQ(silent.it.unblocked->len, 0u);
 	EXPECT_EQ(wrong.errors,
 		  (std::vector<std::string>{
 			  ":13: quarantine.enabled: \"no\" is not true or "
