--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -1,4 +1,5 @@
-/* platform/: settings, records and wire of the users' platform. */
+/* Tests of the platform adapter: the settings file, the stored configuration
+ * and the codec of the wire; and of the event log. */
 #include "cwrap.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +13,7 @@
 /* ---- settings ---- */
 
 struct Settings {
-	plf_settings it;
+	plf_settings values;
 	int error;
 	std::vector<std::string> errors;
 
@@ -26,7 +27,7 @@
 		g_close(fd, nullptr);
 		g_file_set_contents(path, text.data(), (gssize)text.size(),
 				    nullptr);
-		error = plf_settings_read(&it, path, list);
+		error = plf_settings_read(&values, path, list);
 		for (guint i = 0; i < list->len; i++) {
 			std::string line =
 				(const char *)g_ptr_array_index(list, i);
@@ -37,32 +38,33 @@
 	}
 	~Settings()
 	{
-		plf_settings_clear(&it);
+		plf_settings_clear(&values);
 	}
 };
 
-const char good[] = "node_name=front-1\nzone=a\nip=10.0.0.1\n"
-		    "listen.front=10.0.0.1:80\nlisten.ready=10.0.0.1:81\n"
-		    "platform.address=10.0.0.9:90\nport_range=7740,7755\n"
-		    "seeds=10.0.0.1:82,10.0.0.2:82\nbounds.drain_ms=1500\n"
-		    "bounds.retry_ratio=0.25\nsomething.new=1\n\n";
+const char valid_settings[] =
+	"node_name=front-1\nzone=a\nip=10.0.0.1\n"
+	"listen.front=10.0.0.1:80\nlisten.ready=10.0.0.1:81\n"
+	"platform.address=10.0.0.9:90\nport_range=7740,7755\n"
+	"seeds=10.0.0.1:82,10.0.0.2:82\nbounds.drain_ms=1500\n"
+	"bounds.retry_ratio=0.25\nsomething.new=1\n\n";
 
-TEST(PlfSettings, AreReadIntoTypedFields)
+TEST(PlfSettings, DecodesTypedFields)
 {
-	Settings settings(good);
+	Settings settings(valid_settings);
 
 	EXPECT_EQ(settings.error, LP_OK);
-	EXPECT_STREQ(settings.it.host, "front-1");
-	EXPECT_STREQ(settings.it.domain, "a");
-	EXPECT_EQ(settings.it.drain_us, 1500000);
-	EXPECT_DOUBLE_EQ(settings.it.retry_ratio, 0.25);
-	EXPECT_EQ(settings.it.peers_port, 7740);
-	EXPECT_EQ(g_strv_length(settings.it.seeds), 2u);
+	EXPECT_STREQ(settings.values.host, "front-1");
+	EXPECT_STREQ(settings.values.domain, "a");
+	EXPECT_EQ(settings.values.drain_us, 1500000);
+	EXPECT_DOUBLE_EQ(settings.values.retry_ratio, 0.25);
+	EXPECT_EQ(settings.values.peers_port, 7740);
+	EXPECT_EQ(g_strv_length(settings.values.seeds), 2u);
 }
 
-TEST(PlfSettings, ErrorsNameLineAndField)
+TEST(PlfSettings, ErrorsNameLineAndSetting)
 {
-	Settings settings(std::string(good) +
+	Settings settings(std::string(valid_settings) +
 			  "bounds.grace_s=soon\nnonsense\n");
 
 	EXPECT_EQ(settings.error, LP_ERROR_BAD_CONFIG);
@@ -73,23 +75,25 @@
 			  "or more" }));
 }
 
-TEST(PlfSettings, SayWhichRequestsAreLetInAgain)
+TEST(PlfSettings, DecodesQuarantineSettings)
 {
-	Settings said(std::string(good) + "quarantine.enabled=false\n"
-					  "quarantine.let_in=00000000000000ff,"
-					  "0123456789abcdef\n");
-	Settings silent(good);
-	Settings wrong(std::string(good) + "quarantine.enabled=no\n"
-					   "quarantine.let_in=ff\n");
-
-	EXPECT_EQ(said.error, LP_OK);
-	EXPECT_FALSE(said.it.quarantine_enabled);
-	ASSERT_EQ(said.it.unblocked->len, 2u);
-	EXPECT_EQ(g_array_index(said.it.unblocked, uint64_t, 1),
+	Settings explicit_values(std::string(valid_settings) +
+				 "quarantine.enabled=false\n"
+				 "quarantine.let_in=00000000000000ff,"
+				 "0123456789abcdef\n");
+	Settings absent(valid_settings);
+	Settings invalid(std::string(valid_settings) +
+			 "quarantine.enabled=no\n"
+			 "quarantine.let_in=ff\n");
+
+	EXPECT_EQ(explicit_values.error, LP_OK);
+	EXPECT_FALSE(explicit_values.values.quarantine_enabled);
+	ASSERT_EQ(explicit_values.values.unblocked->len, 2u);
+	EXPECT_EQ(g_array_index(explicit_values.values.unblocked, uint64_t, 1),
 		  0x0123456789abcdefu);
-	EXPECT_TRUE(silent.it.quarantine_enabled);
-	EXPECT_EQ(silent.it.unblocked->len, 0u);
-	EXPECT_EQ(wrong.errors,
+	EXPECT_TRUE(absent.values.quarantine_enabled);
+	EXPECT_EQ(absent.values.unblocked->len, 0u);
+	EXPECT_EQ(invalid.errors,
 		  (std::vector<std::string>{
 			  ":13: quarantine.enabled: \"no\" is not true or "
 			  "false",
@@ -97,7 +101,7 @@
 			  "hexadecimal digits each" }));
 }
 
-TEST(PlfSettings, ErrorsNameWhatIsMissing)
+TEST(PlfSettings, ReportsMissingSettings)
 {
 	Settings settings("zone=a\n");
 
@@ -108,7 +112,7 @@
 
 /* ---- records ---- */
 
-TEST(PlfRecords, AConfigurationIsReadIntoTypedValues)
+TEST(PlfRecords, DecodesConfiguration)
 {
 	g_autofree char *json = pe_sample_config(9);
 	g_autofree char *problem = nullptr;
@@ -129,8 +133,8 @@
 	direct_config_unref(config);
 }
 
-/* Of routes of one place the first counts. */
-TEST(PlfRecords, APlaceHasOneRoute)
+/* Of several routes with the same host and prefix, the first is used. */
+TEST(PlfRecords, FirstRouteWinsForEqualHostAndPrefix)
 {
 	direct_config *config = direct_config_create();
 
@@ -146,7 +150,7 @@
 	direct_config_unref(config);
 }
 
-TEST(PlfRecords, TheLongestPrefixIsTheRoute)
+TEST(PlfRecords, SelectsRouteWithLongestPrefix)
 {
 	const char json[] =
 		"{\"version\":1,\"routes\":[{\"name\":\"short\",\"host\":\"h\","
@@ -177,9 +181,10 @@
 	direct_config_unref(config);
 }
 
-/* An organisation's priority is compared first; where it is the same for all,
- * the route's decides, and not nothing. */
-TEST(PlfRecords, RanksGoByOrganisationAndThenByRoute)
+/* Ranks order requests by the organisation's priority first, then by the
+ * route's. Guards against losing the route's priority where all organisations
+ * have the same one. */
+TEST(PlfRecords, RanksByOrganisationThenRoute)
 {
 	g_autofree char *problem = nullptr;
 	direct_config *config = plf_config_read(
@@ -208,7 +213,7 @@
 				config->keys, key));
 	};
 
-	EXPECT_EQ(rank(1, "n"), 0); /* (0, 0): its route's alone */
+	EXPECT_EQ(rank(1, "n"), 0); /* (0, 0): only the route's */
 	EXPECT_EQ(rank(1, "k"), 1); /* (1, 0) */
 	EXPECT_EQ(rank(1, "l"), 1);
 	EXPECT_EQ(direct_config_rank(config, route(2), nullptr),
@@ -220,7 +225,7 @@
 	direct_config_unref(config);
 }
 
-TEST(PlfRecords, WhatIsWrongIsNamed)
+TEST(PlfRecords, ErrorsNameInvalidField)
 {
 	const struct {
 		const char *json;
@@ -249,27 +254,27 @@
 /* ---- the wire ---- */
 
 struct Fields {
-	http_fields it;
+	http_fields list;
 
-	Fields(std::vector<std::pair<const char *, const char *>> list = {})
+	Fields(std::vector<std::pair<const char *, const char *>> pairs = {})
 	{
-		http_fields_init(&it);
-		for (const auto &field : list)
-			http_fields_add(&it, field.first, field.second);
+		http_fields_init(&list);
+		for (const auto &field : pairs)
+			http_fields_add(&list, field.first, field.second);
 	}
 	~Fields()
 	{
-		http_fields_clear(&it);
+		http_fields_clear(&list);
 	}
 	std::string get(const char *name)
 	{
-		const char *value = http_fields_get(&it, name);
+		const char *value = http_fields_get(&list, name);
 
 		return value ? value : "-";
 	}
 };
 
-TEST(PlfCodec, OnlyTheSystemSaysWhatConcernsUpstreams)
+TEST(PlfCodec, DropsSystemFieldsOfCallers)
 {
 	Fields from({ { "Host", "h" },
 		      { "X-Attempt-Id", "a" },
@@ -284,12 +289,12 @@
 	Fields out;
 	direct_offer offer = {};
 
-	offer.from = &from.it;
+	offer.from = &from.list;
 	offer.upstream = "i-1";
 	offer.organisation = "acme";
 	offer.left_us = 1234567;
 	offer.priority = 1;
-	plf_codec()->write_offer(&offer, &out.it);
+	plf_codec()->write_offer(&offer, &out.list);
 	EXPECT_EQ(out.get("X-Tenant"), "acme");
 	EXPECT_EQ(out.get("X-Expect-Instance"), "i-1");
 	EXPECT_EQ(out.get("X-Deadline-Ms"), "1234");
@@ -297,12 +302,12 @@
 	EXPECT_EQ(out.get("X-Attempt-Id"), "a");
 	EXPECT_EQ(out.get("X-Other"), "kept");
 	EXPECT_EQ(out.get("Host"), "h");
-	for (const char *gone :
+	for (const char *dropped :
 	     { "Authorization", "X-Inputs", "X-Private", "Connection" })
-		EXPECT_EQ(out.get(gone), "-") << gone;
+		EXPECT_EQ(out.get(dropped), "-") << dropped;
 }
 
-TEST(PlfCodec, AnAnswerIsJudgedByItsMarks)
+TEST(PlfCodec, ClassifiesAnswersByStatusAndFields)
 {
 	const struct {
 		uint32_t status;
@@ -331,7 +336,7 @@
 		Fields fields(row.fields);
 		direct_reply reply = {};
 
-		plf_codec()->read_reply(row.status, &fields.it, "a", &reply);
+		plf_codec()->read_reply(row.status, &fields.list, "a", &reply);
 		EXPECT_EQ(reply.is_ours, row.is_ours) << row.status;
 		EXPECT_EQ(reply.is_genuine, row.is_genuine) << row.status;
 		EXPECT_EQ(reply.not_run, row.not_run) << row.status;
@@ -339,11 +344,11 @@
 	}
 }
 
-TEST(PlfCodec, AnAnswerSaysThatItsUpstreamLeaves)
+TEST(PlfCodec, ReadsDrainNotice)
 {
 	const struct {
 		const char *value;
-		bool leaving;
+		bool draining;
 	} cases[] = { { "1", true }, { "0", false }, { "", false } };
 
 	for (const auto &row : cases) {
@@ -352,17 +357,17 @@
 		Fields fields(field);
 		direct_reply reply = {};
 
-		plf_codec()->read_reply(503, &fields.it, "a", &reply);
-		EXPECT_EQ(reply.leaving, row.leaving) << row.value;
+		plf_codec()->read_reply(503, &fields.list, "a", &reply);
+		EXPECT_EQ(reply.leaving, row.draining) << row.value;
 	}
 }
 
-TEST(PlfCodec, ARefusalMayAskForRest)
+TEST(PlfCodec, ReadsPushbackOfRefusals)
 {
 	const struct {
 		uint32_t status;
 		const char *value;
-		int64_t rest_us;
+		int64_t pushback_us;
 	} cases[] = {
 		{ 503, "3", 3000000 },
 		{ 503, "0.25", 250000 },
@@ -381,12 +386,12 @@
 		Fields fields(field);
 		direct_reply reply = {};
 
-		plf_codec()->read_reply(row.status, &fields.it, "a", &reply);
-		EXPECT_EQ(reply.rest_us, row.rest_us) << row.value;
+		plf_codec()->read_reply(row.status, &fields.list, "a", &reply);
+		EXPECT_EQ(reply.rest_us, row.pushback_us) << row.value;
 	}
 }
 
-TEST(PlfCodec, ALimitIsADecimalNumber)
+TEST(PlfCodec, AdvertisedRateLimitIsDecimal)
 {
 	const struct {
 		const char *value;
@@ -408,7 +413,7 @@
 	Fields none;
 	direct_reply reply = {};
 
-	plf_codec()->read_reply(200, &none.it, "a", &reply);
+	plf_codec()->read_reply(200, &none.list, "a", &reply);
 	EXPECT_EQ(reply.limit, DIRECT_LIMIT_NONE);
 	for (const auto &row : cases) {
 		const std::vector<std::pair<const char *, const char *>>
@@ -416,7 +421,7 @@
 		Fields fields(field);
 
 		reply = {};
-		plf_codec()->read_reply(503, &fields.it, "a", &reply);
+		plf_codec()->read_reply(503, &fields.list, "a", &reply);
 		EXPECT_EQ(reply.limit, row.limit) << row.value;
 		if (row.limit == DIRECT_LIMIT_NAMED) {
 			EXPECT_EQ(reply.limit_per_s, row.per_s) << row.value;
@@ -424,12 +429,12 @@
 	}
 }
 
-TEST(PlfCodec, ACallersFieldsAreReadOrRefused)
+TEST(PlfCodec, RejectsInvalidCallerFields)
 {
 	const struct {
 		const char *name;
 		const char *value;
-		bool good;
+		bool valid;
 	} cases[] = {
 		{ "X-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410", true },
 		{ "X-Prompt-Prefix", "5c1e07a2", false },
@@ -449,14 +454,14 @@
 
 		ask.parts = g_array_new(FALSE, FALSE, sizeof(pool_part));
 		ask.pieces = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-		EXPECT_EQ(plf_codec()->read_ask(&fields.it, &ask), row.good)
+		EXPECT_EQ(plf_codec()->read_ask(&fields.list, &ask), row.valid)
 			<< row.name << " " << row.value;
 		g_array_unref(ask.parts);
 		g_array_unref(ask.pieces);
 	}
 }
 
-TEST(PlfCodec, AnswersOfACallMustMatchItsPieces)
+TEST(PlfCodec, CallAnswerMustMatchPieces)
 {
 	direct_made made[2] = {};
 	int64_t born_ms = -1;
@@ -464,19 +469,19 @@
 		return plf_codec()->read_items(body.data(), body.size(), made,
 					       count, &born_ms);
 	};
-	const char good_answer[] = "{\"items\":[{\"handle\":\"1:2/3\"},"
-				   "{\"reason\":\"gone\"}]}";
+	const char valid_answer[] = "{\"items\":[{\"handle\":\"1:2/3\"},"
+				    "{\"reason\":\"gone\"}]}";
 
-	ASSERT_TRUE(read(good_answer, 2));
+	ASSERT_TRUE(read(valid_answer, 2));
 	EXPECT_EQ(born_ms, 0);
 	EXPECT_EQ(made[0].result, DIRECT_ITEM_MADE);
 	EXPECT_STREQ(made[0].handle, "1:2/3");
 	EXPECT_EQ(made[1].result, DIRECT_ITEM_INPUT_GONE);
 	g_free(made[0].handle);
-	EXPECT_FALSE(read(good_answer, 1));
+	EXPECT_FALSE(read(valid_answer, 1));
 	EXPECT_FALSE(read("no", 2));
 	EXPECT_FALSE(read("{\"items\":7}", 2));
-	/* One that cannot be read: none is. */
+	/* One item that cannot be decoded invalidates the whole answer. */
 	for (const char *item :
 	     { "7", "{}", "{\"handle\":7}", "{\"handle\":\"\"}",
 	       "{\"handle\":\"1:2/3,1:2/4\"}",
@@ -494,7 +499,7 @@
 			<< born;
 }
 
-TEST(PlfCodec, RoomIsToldInWholeMegabytesRoundedDown)
+TEST(PlfCodec, ResultMemoryIsInWholeMegabytes)
 {
 	direct_room room = {};
 	auto read = [&](const char *body) {
@@ -512,14 +517,14 @@
 	     { "", "no", "{}", "{\"free_mb\":\"17\"}", "{\"free_mb\":[17]}",
 	       "{\"free_mb\":null}", "{\"free_mb\":17,\"born\":\"5\"}" })
 		EXPECT_FALSE(read(bad)) << bad;
-	/* Larger than any upstream: not out of range. */
+	/* A value larger than any upstream's memory does not overflow. */
 	ASSERT_TRUE(read("{\"free_mb\":9000000000000000000}"));
 	EXPECT_GT(room.most_bytes, room.least_bytes);
 }
 
 /* ---- the log ---- */
 
-TEST(EventLog, WritesLinesAndCountsWhatItCannot)
+TEST(EventLog, CountsLostLines)
 {
 	TestClock clock;
 	int pipe[2];
@@ -555,8 +560,8 @@
 	close(pipe[1]);
 }
 
-/* A reader that does not read costs lines, never time. */
-TEST(EventLog, NeverWaitsForItsReader)
+/* A reader that does not read causes lost lines, never a blocked writer. */
+TEST(EventLog, DoesNotBlockOnSlowReader)
 {
 	TestClock clock;
 	int pipe[2];
--- a/tests/suspend_test.cc
+++ b/tests/suspend_test.cc
@@ -1,16 +1,17 @@
 /*
- * A host that is suspended: its steady clock stands still, the time since its
- * boot and the time of day go on.
+ * Behaviour after a suspension of the host, during which its monotonic clock
+ * stands still while the time since boot and the time of day go on.
  *
- * What the tests suspend is the clock that is passed in, by a jump; all timers
- * of the loop stand still over it, as they do over a suspension.
+ * The tests simulate a suspension by a jump of the clock that is passed in.
+ * The timers of the event loop stand still during the jump, as they do during
+ * a suspension.
  */
 #include "direct_rig.h"
 
 namespace
 {
 
-/* The time since boot, with suspensions. */
+/* The time since boot, which includes suspensions. */
 struct BootClock {
 	int64_t suspended_us = 0;
 	lp_clock clock = { read, this };
@@ -39,8 +40,9 @@
 	}
 };
 
-/* How long it takes until something holds, after a suspension. */
-int64_t took_ms(const std::function<bool()> &done, int64_t limit_ms)
+/* Runs the event loop until `done` holds, at most `limit_ms`, and returns how
+ * long that took. */
+int64_t wait_duration_ms(const std::function<bool()> &done, int64_t limit_ms)
 {
 	gint64 begun_us = g_get_monotonic_time();
 
@@ -48,7 +50,7 @@
 	return (g_get_monotonic_time() - begun_us) / LP_US_PER_MS;
 }
 
-TEST_F(Suspend, TheClockCountsIt)
+TEST_F(Suspend, BootClockCountsSuspension)
 {
 	struct timespec boottime;
 	int64_t difference_us;
@@ -60,12 +62,12 @@
 	EXPECT_LT(difference_us, LP_US_PER_S);
 }
 
-TEST_F(Suspend, TimersAreDueByIt)
+TEST_F(Suspend, TimersExpireDuringSuspension)
 {
 	const struct {
 		int64_t suspended_ms;
 		guint wait_ms;
-		bool due;
+		bool expired;
 	} rows[] = {
 		{ 500, 400, true },    { 500, 900, false },
 		{ 5000, 4000, true },  { 5000, 9000, false },
@@ -85,13 +87,13 @@
 		turn_until([] { return false; }, 20);
 		boot.suspend(row.suspended_ms);
 		turn_until([&] { return done; }, 100);
-		EXPECT_EQ(done, row.due)
+		EXPECT_EQ(done, row.expired)
 			<< row.suspended_ms << " " << row.wait_ms;
 		g_source_remove(id);
 	}
 }
 
-TEST_F(Suspend, TimersThatComeAgainGoOnAfterIt)
+TEST_F(Suspend, PeriodicTimersContinueAfterSuspension)
 {
 	int times = 0;
 	guint id = lp_timer_add(
@@ -109,8 +111,9 @@
 	g_source_remove(id);
 }
 
-/* A caller's time is over while its entry is suspended: it is told at once. */
-TEST_F(Suspend, DeadlinesThatPassedAreMetAtOnce)
+/* The deadline of a caller passes during a suspension of its entry: the caller
+ * gets a 504 at once. */
+TEST_F(Suspend, ExpiredDeadlinesAreAnsweredAtOnce)
 {
 	Rig rig(&boot.clock);
 	pe_upstream *slow = rig.add(PE_PLAIN, "plain");
@@ -122,12 +125,12 @@
 	ASSERT_TRUE(
 		turn_until([&] { return pe_runs(rig.platform, "a1") == 1; }));
 	boot.suspend(5000);
-	EXPECT_LT(took_ms([&] { return order.done; }, 3000), 400);
+	EXPECT_LT(wait_duration_ms([&] { return order.done; }, 3000), 400);
 	EXPECT_EQ(order.status, 504u);
 }
 
-/* ... and what is shorter than the rest of its time changes nothing. */
-TEST_F(Suspend, ShortOnesCutNothing)
+/* A suspension that is shorter than the remaining time changes nothing. */
+TEST_F(Suspend, ShortSuspensionsKeepRequests)
 {
 	Rig rig(&boot.clock);
 	pe_upstream *slow = rig.add(PE_PLAIN, "plain");
@@ -142,9 +145,9 @@
 	EXPECT_EQ(order.wait().status, 200u);
 }
 
-/* The answer has come while its entry was suspended, the deadline has passed.
- */
-TEST_F(Suspend, AnAnswerThatIsThereGoesBeforeTheDeadline)
+/* The upstream's answer arrived during the suspension, and the deadline
+ * passed: the caller gets the answer, not a 504. */
+TEST_F(Suspend, ReceivedAnswerPrecedesExpiredDeadline)
 {
 	for (int i = 0; i < 8; i++) {
 		Rig rig(&boot.clock);
@@ -156,26 +159,30 @@
 
 		ASSERT_TRUE(turn_until(
 			[&] { return pe_runs(rig.platform, "a1") == 1; }));
-		/* The upstream has written it; the entry is yet to read. */
+		/* The upstream has written its answer; the entry has not read
+		 * it yet. */
 		ASSERT_TRUE(turn_until([&] { return !pe_connections(slow); }));
 		boot.suspend(5000);
 		EXPECT_EQ(order.wait().status, 200u);
 	}
 }
 
-/* An upstream that began to leave meanwhile is known within one look. */
-TEST_F(Suspend, TheListIsReadAtOnce)
+/* An upstream that began to drain during the suspension is noticed at
+ * once: the entry reads the list again. */
+TEST_F(Suspend, UpstreamListIsReadAtOnce)
 {
 	Rig rig(&boot.clock, 60 * LP_US_PER_S);
-	pe_upstream *leaving = rig.add(PE_PLAIN, "plain");
-	int64_t polls;
+	pe_upstream *draining = rig.add(PE_PLAIN, "plain");
+	int64_t calls_before;
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
-	pe_drain(leaving);
-	polls = *rig.calls();
+	pe_drain(draining);
+	calls_before = *rig.calls();
 	boot.suspend(5000);
-	EXPECT_LT(took_ms([&] { return *rig.calls() > polls; }, 2000), 300);
+	EXPECT_LT(wait_duration_ms([&] { return *rig.calls() > calls_before; },
+				   2000),
+		  300);
 }
 
 } // namespace
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -1,6 +1,7 @@
 /*
- * What upstreams say of themselves, and what another writer puts in their
- * place: only whole entries name an upstream, and the others hold.
+ * Decoding of upstreams' records, which any writer may have overwritten: an
+ * invalid record adds no upstream and leaves the other records valid. Also the
+ * list of upstreams and its text among peers.
  */
 #include "direct_rig.h"
 
@@ -10,22 +11,23 @@
 namespace
 {
 
-const char whole[] = "{\"service\":\"s\",\"address\":\"10.0.0.1:80\","
-		     "\"zone\":\"a\",\"version\":\"v1\",\"slots\":6,"
-		     "\"state\":\"ready\",\"cold_left_ms\":0,\"seq_no\":4,"
-		     "\"born\":1764720000123}";
+const char valid_record[] =
+	"{\"service\":\"s\",\"address\":\"10.0.0.1:80\","
+	"\"zone\":\"a\",\"version\":\"v1\",\"slots\":6,"
+	"\"state\":\"ready\",\"cold_left_ms\":0,\"seq_no\":4,"
+	"\"born\":1764720000123}";
 
-/* The whole entry with something else in the place of one part. */
-std::string with(const std::string &part, const std::string &other)
+/* Returns the valid record with one part replaced. */
+std::string replaced(const std::string &old_text, const std::string &new_text)
 {
-	std::string text = whole;
-	size_t at = text.find(part);
+	std::string text = valid_record;
+	size_t at = text.find(old_text);
 
-	EXPECT_NE(at, std::string::npos) << part;
-	return text.replace(at, part.size(), other);
+	EXPECT_NE(at, std::string::npos) << old_text;
+	return text.replace(at, old_text.size(), new_text);
 }
 
-bool names_one(const std::string &value, const char *key = "servers/i-1")
+bool is_decoded(const std::string &value, const char *key = "servers/i-1")
 {
 	pool_entry entry;
 	const char *field = nullptr;
@@ -38,17 +40,17 @@
 	return error == LP_OK;
 }
 
-TEST(Upstream, AWholeEntryIsRead)
+TEST(Upstream, DecodesValidRecord)
 {
 	const std::string engine =
-		with("\"seq_no\":4", "\"seq_no\":4,\"stage\":\"both\","
-				     "\"models\":[{\"name\":\"m\"}],"
-				     "\"later\":{}");
+		replaced("\"seq_no\":4", "\"seq_no\":4,\"stage\":\"both\","
+					 "\"models\":[{\"name\":\"m\"}],"
+					 "\"later\":{}");
 	pool_entry entry;
 	const char *field;
 
-	ASSERT_EQ(plf_upstream_read("servers/i-1", whole, strlen(whole), &entry,
-				    &field),
+	ASSERT_EQ(plf_upstream_read("servers/i-1", valid_record,
+				    strlen(valid_record), &entry, &field),
 		  LP_OK);
 	EXPECT_STREQ(entry.id, "i-1");
 	EXPECT_STREQ(entry.service, "s");
@@ -58,13 +60,13 @@
 	EXPECT_FALSE(entry.leaving);
 	EXPECT_EQ(entry.born_ms, 1764720000123);
 	plf_upstream_clear(&entry);
-	EXPECT_TRUE(names_one(engine));
-	EXPECT_TRUE(names_one(with(",\"born\":1764720000123", "")));
-	EXPECT_TRUE(names_one(with("\"ready\"", "\"draining\"")));
+	EXPECT_TRUE(is_decoded(engine));
+	EXPECT_TRUE(is_decoded(replaced(",\"born\":1764720000123", "")));
+	EXPECT_TRUE(is_decoded(replaced("\"ready\"", "\"draining\"")));
 }
 
-/* Each field: missing, of each other type, out of its range. */
-TEST(Upstream, OnlyAWholeEntryNamesOne)
+/* Each field is tried as missing, with each other type, and out of range. */
+TEST(Upstream, RejectsInvalidFields)
 {
 	const struct {
 		const char *field;
@@ -100,22 +102,22 @@
 		bad.insert(bad.end(), std::begin(types), std::end(types));
 		bad.push_back(*row.good == '"' ? "7" : "\"7\"");
 		for (const char *value : bad)
-			EXPECT_FALSE(names_one(with(good, name + value)))
+			EXPECT_FALSE(is_decoded(replaced(good, name + value)))
 				<< name << value;
-		EXPECT_EQ(names_one(with(good, "\"other\":1")),
+		EXPECT_EQ(is_decoded(replaced(good, "\"other\":1")),
 			  !strcmp(row.field, "born"))
 			<< "no " << row.field;
 	}
-	EXPECT_FALSE(
-		names_one(with("\"seq_no\":4", "\"seq_no\":4,\"stage\":[]")));
-	EXPECT_FALSE(names_one(
-		with("\"seq_no\":4", "\"seq_no\":4,\"models\":\"m\"")));
+	EXPECT_FALSE(is_decoded(
+		replaced("\"seq_no\":4", "\"seq_no\":4,\"stage\":[]")));
+	EXPECT_FALSE(is_decoded(
+		replaced("\"seq_no\":4", "\"seq_no\":4,\"models\":\"m\"")));
 }
 
-/* Bytes that are no entry. */
-TEST(Upstream, WhatIsNoJsonNamesNone)
+/* Bytes that are not a JSON object of the required form. */
+TEST(Upstream, RejectsInvalidJson)
 {
-	const std::string text = whole;
+	const std::string text = valid_record;
 	const std::string deep(100000, '[');
 	const std::string rows[] = {
 		"",
@@ -128,43 +130,44 @@
 		text + text,
 		text + std::string("\0more", 5),
 		std::string("\0", 1) + text,
-		with("\"s\"", std::string("\"s\0\"", 4)),
-		with("\"s\"", "\"s\\u0000\""),
-		with("\"s\"", "\"\xff\xfe\""),
-		with("\"s\"", "\"s\n\""),
-		with("{", "{/* a note */"),
-		with("}", ",}"),
-		with("\"service\"", "service"),
-		with("\"seq_no\":4", "\"seq_no\":4,\"slots\":6"),
-		with("\"seq_no\":4", "\"seq_no\":4,\"more\":" + deep),
+		replaced("\"s\"", std::string("\"s\0\"", 4)),
+		replaced("\"s\"", "\"s\\u0000\""),
+		replaced("\"s\"", "\"\xff\xfe\""),
+		replaced("\"s\"", "\"s\n\""),
+		replaced("{", "{/* a note */"),
+		replaced("}", ",}"),
+		replaced("\"service\"", "service"),
+		replaced("\"seq_no\":4", "\"seq_no\":4,\"slots\":6"),
+		replaced("\"seq_no\":4", "\"seq_no\":4,\"more\":" + deep),
 		deep,
-		with("\"s\"", "\"" + std::string(1 << 20, 's') + "\""),
-		with("\"seq_no\":4", "\"seq_no\":4,\"more\":\"" +
-					     std::string(1 << 20, 's') + "\""),
+		replaced("\"s\"", "\"" + std::string(1 << 20, 's') + "\""),
+		replaced("\"seq_no\":4", "\"seq_no\":4,\"more\":\"" +
+						 std::string(1 << 20, 's') +
+						 "\""),
 	};
 
 	for (const std::string &row : rows)
-		EXPECT_FALSE(names_one(row)) << row.substr(0, 200);
+		EXPECT_FALSE(is_decoded(row)) << row.substr(0, 200);
 }
 
-/* An id goes into a field of each call. */
-TEST(Upstream, AnIdStandsInAFieldByItself)
+/* An upstream's id is sent in a header field of each call. */
+TEST(Upstream, IdMustFitInHeaderField)
 {
 	for (const char *key :
 	     { "servers/", "servers/i 1", "servers/i\r\na: b",
 	       "servers/\xc3\xa9", "servers/i\x7f", "other/i", "i-1" })
-		EXPECT_FALSE(names_one(whole, key)) << key;
-	EXPECT_TRUE(names_one(whole, "servers/i-1"));
+		EXPECT_FALSE(is_decoded(valid_record, key)) << key;
+	EXPECT_TRUE(is_decoded(valid_record, "servers/i-1"));
 }
 
-/* ---- the list, and what it is among peers ---- */
+/* ---- the list of upstreams, and its text among peers ---- */
 
 struct List {
 	lp_event_log *log;
 	lp_counters *counters = lp_counters_create();
-	plf_decode_errors *unreadable;
+	plf_decode_errors *errors;
 	std::vector<std::pair<std::string, std::string>> items;
-	plf_list *it = nullptr;
+	plf_list *list = nullptr;
 
 	List()
 	{
@@ -174,12 +177,12 @@
 		options.clock = lp_clock_boot();
 		options.fd = -1;
 		log = lp_event_log_create(&options);
-		unreadable = plf_decode_errors_create(log, counters);
+		errors = plf_decode_errors_create(log, counters);
 	}
 	~List()
 	{
-		plf_list_destroy(it);
-		plf_decode_errors_destroy(unreadable);
+		plf_list_destroy(list);
+		plf_decode_errors_destroy(errors);
 		lp_counters_destroy(counters);
 		lp_event_log_destroy(log);
 	}
@@ -187,95 +190,98 @@
 	{
 		items.emplace_back("servers/" + id, value);
 	}
-	uint32_t take()
+	uint32_t decode()
 	{
 		std::vector<store_pair> pairs;
 
 		for (auto &item : items)
 			pairs.push_back({ item.first.data(), item.second.data(),
 					  item.second.size(), 1, 1 });
-		plf_list_destroy(it);
-		it = plf_list_take(pairs.data(), pairs.size(), unreadable);
-		return plf_list_size(it);
+		plf_list_destroy(list);
+		list = plf_list_take(pairs.data(), pairs.size(), errors);
+		return plf_list_size(list);
 	}
-	int64_t refused()
+	int64_t invalid_count()
 	{
 		return *lp_counter(counters, "linepier_unreadable_upstreams",
 				   nullptr);
 	}
 };
 
-TEST(UpstreamList, WhatCannotBeReadLeavesTheOthersAlone)
+TEST(UpstreamList, InvalidRecordDoesNotAffectOthers)
 {
 	List list;
 
-	list.add("i-1", whole);
+	list.add("i-1", valid_record);
 	list.add("i-2", "\xff");
-	list.add("i-3", with("6", "-6"));
-	list.add("i-4", whole);
-	EXPECT_EQ(list.take(), 2u);
-	EXPECT_EQ(list.refused(), 2);
-	list.items[1].second = whole;
-	EXPECT_EQ(list.take(), 3u);
-	EXPECT_EQ(list.refused(), 1);
+	list.add("i-3", replaced("6", "-6"));
+	list.add("i-4", valid_record);
+	EXPECT_EQ(list.decode(), 2u);
+	EXPECT_EQ(list.invalid_count(), 2);
+	list.items[1].second = valid_record;
+	EXPECT_EQ(list.decode(), 3u);
+	EXPECT_EQ(list.invalid_count(), 1);
 }
 
-/* Kept over an outage is what is missing, not what another one overwrote. */
-TEST(UpstreamList, WhatBecameUnreadableIsNotKept)
+/* After an outage, missing upstreams are kept, but not those whose record was
+ * overwritten by an invalid one. */
+TEST(UpstreamList, DoesNotKeepRecordThatBecameInvalid)
 {
 	List before;
 	List now;
 
 	for (const char *id : { "i-1", "i-2", "i-3" })
-		before.add(id, whole);
-	before.take();
-	now.add("i-1", whole);
+		before.add(id, valid_record);
+	before.decode();
+	now.add("i-1", valid_record);
 	now.add("i-2", "rubbish");
-	now.take();
-	EXPECT_EQ(plf_list_keep(now.it, before.it), 1u);
-	EXPECT_EQ(plf_list_size(now.it), 2u);
+	now.decode();
+	EXPECT_EQ(plf_list_keep(now.list, before.list), 1u);
+	EXPECT_EQ(plf_list_size(now.list), 2u);
 }
 
-/* Where all others say when they started, one that does not is not whole. */
-TEST(UpstreamList, AStartIsMissingWhereNearlyAllSayIt)
+/* A record without a start time is invalid if nearly all others have one. */
+TEST(UpstreamList, RequiresStartTimeWhereNearlyAllHaveIt)
 {
-	const std::string without = with(",\"born\":1764720000123", "");
+	const std::string no_start = replaced(",\"born\":1764720000123", "");
 	List list;
 
 	for (int i = 0; i < 9; i++)
-		list.add("i-" + std::to_string(i), whole);
-	list.add("i-x", without);
-	EXPECT_EQ(list.take(), 9u);
-	EXPECT_EQ(list.refused(), 1);
-	/* A release that brings it is half done: all of them serve. */
+		list.add("i-" + std::to_string(i), valid_record);
+	list.add("i-x", no_start);
+	EXPECT_EQ(list.decode(), 9u);
+	EXPECT_EQ(list.invalid_count(), 1);
+	/* During the rollout of a release that writes start times, records
+	 * without one are valid. */
 	for (int i = 0; i < 5; i++)
-		list.items[i].second = without;
-	EXPECT_EQ(list.take(), 10u);
-	EXPECT_EQ(list.refused(), 0);
+		list.items[i].second = no_start;
+	EXPECT_EQ(list.decode(), 10u);
+	EXPECT_EQ(list.invalid_count(), 0);
 }
 
-TEST(UpstreamList, AnyBytesSurviveAmongPeers)
+TEST(UpstreamList, PeerTextRoundTripsAnyBytes)
 {
 	List list;
 	plf_list *read;
 	char *text;
 
-	list.add("i-1", with("\"s\"", "\"a b\\nc %20 \xc3\xa9 \\t\""));
-	list.add("i-2", with("\"a\"", "\" \\n\\r \""));
-	list.add("i-%", with("ready", "draining"));
-	ASSERT_EQ(list.take(), 3u);
-	text = plf_list_write(list.it);
+	list.add("i-1", replaced("\"s\"", "\"a b\\nc %20 \xc3\xa9 \\t\""));
+	list.add("i-2", replaced("\"a\"", "\" \\n\\r \""));
+	list.add("i-%", replaced("ready", "draining"));
+	ASSERT_EQ(list.decode(), 3u);
+	text = plf_list_write(list.list);
 	read = plf_list_read(text);
 	ASSERT_NE(read, nullptr);
 	EXPECT_EQ(plf_list_size(read), 3u);
-	EXPECT_EQ(plf_list_hash(read), plf_list_hash(list.it));
+	EXPECT_EQ(plf_list_hash(read), plf_list_hash(list.list));
 	EXPECT_NE(plf_list_hash(read), 0u);
 	plf_list_destroy(read);
 	g_free(text);
 }
 
-/* Another form, or a part of one: nothing is taken rather than a part. */
-TEST(UpstreamList, ATextOfPeersIsTakenWholeOrNotAtAll)
+/* Text of another format version, or truncated text, is rejected as a
+ * whole. */
+TEST(UpstreamList, RejectsInvalidPeerText)
 {
 	const char *const rows[] = {
 		"",
@@ -283,7 +289,7 @@
 		"linepier-upstreams 3",
 		"linepier-upstreams 2\n",
 		"linepier-upstreams 2\ni-1 s 10.0.0.1:80 a 6 0 5\n",
-		"i-1 s 10.0.0.1:80 a 6 0\n", /* without a line for the form */
+		"i-1 s 10.0.0.1:80 a 6 0\n", /* no format line */
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 0 5\n",
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 0 5 0 9\n",
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 2 5 0\n",
@@ -296,17 +302,18 @@
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 0 5 0",
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 0 5 0\n\nmore",
 	};
-	plf_list *none = plf_list_read("linepier-upstreams 3\n");
+	plf_list *empty = plf_list_read("linepier-upstreams 3\n");
 
 	for (const char *row : rows)
 		EXPECT_EQ(plf_list_read(row), nullptr) << row;
-	ASSERT_NE(none, nullptr);
-	EXPECT_EQ(plf_list_size(none), 0u);
-	plf_list_destroy(none);
+	ASSERT_NE(empty, nullptr);
+	EXPECT_EQ(plf_list_size(empty), 0u);
+	plf_list_destroy(empty);
 }
 
-/* How long it is cold yet is told; whether it is cold tells lists apart. */
-TEST(UpstreamList, TellsWhoIsCold)
+/* The text contains the rest of the cold period; the hash only whether there
+ * is one. */
+TEST(UpstreamList, HashIncludesWhetherUpstreamIsCold)
 {
 	const std::string before =
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 "
