--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -322,8 +322,9 @@
 		options.unreachable = [](void *, uint64_t, int64_t) {};
 		options.list = [](void *self, const char *from, uint64_t hash,
 				  int64_t age_us) {
-			plf_share_heard_list(static_cast<Rig *>(self)->share,
-					     from, hash, age_us);
+			plf_share_handle_peer_hash(
+				static_cast<Rig *>(self)->share, from, hash,
+				age_us);
 		};
 		options.userdata = this;
 		options.config = [](void *, const char *, int64_t) {};
--- a/tests/direct_test.cc
+++ b/tests/direct_test.cc
@@ -467,10 +467,12 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_SILENT);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(turn_until(
+		[&] { return !plf_feed_kv_is_available(rig.feed); }));
 	EXPECT_EQ(Ask(rig.address, "a1", "/look/x").wait().status, 200u);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	EXPECT_TRUE(turn_until([&] { return plf_feed_in_touch(rig.feed); }));
+	EXPECT_TRUE(
+		turn_until([&] { return plf_feed_kv_is_available(rig.feed); }));
 }
 
 /* Refused calls are paid for, and keep a service down that is short. */
@@ -482,7 +484,8 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(turn_until(
+		[&] { return !plf_feed_kv_is_available(rig.feed); }));
 	before = *lp_counter(rig.counters, "linepier_kv_failures_total",
 			     nullptr);
 	turn_until([] { return false; }, 4000);
@@ -492,8 +495,8 @@
 		  5);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
 	rig.set_config(2);
-	EXPECT_TRUE(
-		turn_until([&] { return plf_feed_in_touch(rig.feed); }, 2000));
+	EXPECT_TRUE(turn_until(
+		[&] { return plf_feed_kv_is_available(rig.feed); }, 2000));
 	EXPECT_TRUE(turn_until(
 		[&] { return direct_config_version(rig.entry) == 2; }, 500));
 }
@@ -506,12 +509,13 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(turn_until(
+		[&] { return !plf_feed_kv_is_available(rig.feed); }));
 	turn_until([] { return false; }, 3500); /* its wait is 1.2 s or more */
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	EXPECT_FALSE(plf_feed_hear_list(rig.feed, 7, 0));
-	EXPECT_TRUE(
-		turn_until([&] { return plf_feed_in_touch(rig.feed); }, 300));
+	EXPECT_FALSE(plf_feed_handle_peer_hash(rig.feed, 7, 0));
+	EXPECT_TRUE(turn_until(
+		[&] { return plf_feed_kv_is_available(rig.feed); }, 300));
 }
 
 /* ---- the configuration ---- */
@@ -574,7 +578,7 @@
 	served.set_config(4);
 	ASSERT_TRUE(turn_until([&] {
 		return direct_config_version(served.entry) == 4 &&
-		       !plf_feed_in_touch(refused.feed);
+		       !plf_feed_kv_is_available(refused.feed);
 	}));
 	options.clock = lp_clock_boot();
 	options.log = served.log;
@@ -587,8 +591,8 @@
 	options.address = "127.0.0.2:21512";
 	two = plf_share_create(&options);
 	ASSERT_TRUE(one && two);
-	plf_share_heard_version(two, "127.0.0.1", 4);
-	plf_share_heard_version(two, "127.0.0.9", 1);
+	plf_share_handle_peer_version(two, "127.0.0.1", 4);
+	plf_share_handle_peer_version(two, "127.0.0.9", 1);
 	EXPECT_TRUE(turn_until(
 		[&] { return direct_config_version(refused.entry) == 4; },
 		1500));
@@ -618,8 +622,8 @@
 	pe_store_fault(refused.platform, PE_STORE_BUSY);
 	pe_store_fault(also_refused.platform, PE_STORE_BUSY);
 	ASSERT_TRUE(turn_until([&] {
-		return !plf_feed_in_touch(refused.feed) &&
-		       !plf_feed_in_touch(also_refused.feed);
+		return !plf_feed_kv_is_available(refused.feed) &&
+		       !plf_feed_kv_is_available(also_refused.feed);
 	}));
 	for (int i = 0; i < 3; i++) {
 		const std::string at =
@@ -639,8 +643,10 @@
 			g_autofree char *list =
 				plf_feed_list_text(refused.feed);
 
-			plf_share_heard_version(shares[1], "127.0.0.1", 1);
-			plf_share_heard_version(shares[1], "127.0.0.3", 1);
+			plf_share_handle_peer_version(shares[1], "127.0.0.1",
+						      1);
+			plf_share_handle_peer_version(shares[1], "127.0.0.3",
+						      1);
 			return *list != '\0';
 		},
 		3000));
@@ -665,10 +671,12 @@
 	rig.add(PE_PLAIN, "plain");
 	ASSERT_TRUE(turn_until(is_kept));
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(turn_until(
+		[&] { return !plf_feed_kv_is_available(rig.feed); }));
 	pe_remove(leaving);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	ASSERT_TRUE(turn_until([&] { return plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(
+		turn_until([&] { return plf_feed_kv_is_available(rig.feed); }));
 	turn_until([] { return false; }, 2000);
 	EXPECT_TRUE(is_kept());
 	EXPECT_TRUE(turn_until([&] { return !is_kept(); }, 300));
--- a/tests/evacuation_test.cc
+++ b/tests/evacuation_test.cc
@@ -173,7 +173,7 @@
 	cut.join("127.0.0.2", 500, { "127.0.0.1" });
 	pe_store_fault(cut.platform, PE_STORE_BUSY);
 	ASSERT_TRUE(turn_until([&] {
-		return !plf_feed_in_touch(cut.feed) &&
+		return !plf_feed_kv_is_available(cut.feed) &&
 		       direct_peers_count(cut.peers) == 2;
 	}));
 	pe_evacuate(two.rig.platform, "a");
@@ -207,15 +207,15 @@
 	pe_evacuate(two.rig.platform, "a");
 	wait_ms(300);
 	pe_store_fault(two.rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(
-		turn_until([&] { return !plf_feed_in_touch(two.rig.feed); }));
+	ASSERT_TRUE(turn_until(
+		[&] { return !plf_feed_kv_is_available(two.rig.feed); }));
 	before = arrivals(two.a);
 	ask_each(two.rig, 2);
 	EXPECT_EQ(arrivals(two.a), before);
 	pe_take_back(two.rig.platform, "a");
 	pe_store_fault(two.rig.platform, PE_STORE_FINE);
-	ASSERT_TRUE(
-		turn_until([&] { return plf_feed_in_touch(two.rig.feed); }));
+	ASSERT_TRUE(turn_until(
+		[&] { return plf_feed_kv_is_available(two.rig.feed); }));
 	EXPECT_TRUE(turn_until([&] {
 		ask(two.rig);
 		return arrivals(two.a) > before;
--- a/tests/relay_test.cc
+++ b/tests/relay_test.cc
@@ -517,7 +517,8 @@
 	GVariantBuilder results;
 
 	rig.join(first_ip, 4000, { fake_ip });
-	ASSERT_TRUE(turn_until([&] { return plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(
+		turn_until([&] { return plf_feed_kv_is_available(rig.feed); }));
 	fake.hello(50);
 	g_variant_builder_init(&results, G_VARIANT_TYPE("a(uuts)"));
 	g_variant_builder_add(&results, "(uuts)", 0u, 0u,
--- a/tests/slow_link_test.cc
+++ b/tests/slow_link_test.cc
@@ -56,7 +56,8 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(turn_until(
+		[&] { return !plf_feed_kv_is_available(rig.feed); }));
 	pe_store_set_rate(rig.platform, slow_bytes_per_s);
 	pe_set_config(rig.platform, grown_config(2).c_str());
 	pe_store_fault(rig.platform, PE_STORE_FINE);
@@ -87,7 +88,8 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(turn_until(
+		[&] { return !plf_feed_kv_is_available(rig.feed); }));
 	turn_until([] { return false; }, 1500); /* the watch has ended, too */
 	write_large_entry(rig);
 	pe_store_set_rate(rig.platform, 20000);
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -195,7 +195,8 @@
 			pairs.push_back({ item.first.data(), item.second.data(),
 					  item.second.size(), 1, 1 });
 		plf_list_destroy(it);
-		it = plf_list_take(pairs.data(), pairs.size(), unreadable);
+		it = plf_list_from_range(pairs.data(), pairs.size(),
+					 unreadable);
 		return plf_list_size(it);
 	}
 	int64_t refused()
@@ -232,7 +233,7 @@
 	now.add("i-1", whole);
 	now.add("i-2", "rubbish");
 	now.take();
-	EXPECT_EQ(plf_list_keep(now.it, before.it), 1u);
+	EXPECT_EQ(plf_list_retain_missing(now.it, before.it), 1u);
 	EXPECT_EQ(plf_list_size(now.it), 2u);
 }
 
@@ -264,8 +265,8 @@
 	list.add("i-2", with("\"a\"", "\" \\n\\r \""));
 	list.add("i-%", with("ready", "draining"));
 	ASSERT_EQ(list.take(), 3u);
-	text = plf_list_write(list.it);
-	read = plf_list_read(text);
+	text = plf_list_serialize(list.it);
+	read = plf_list_parse(text);
 	ASSERT_NE(read, nullptr);
 	EXPECT_EQ(plf_list_size(read), 3u);
 	EXPECT_EQ(plf_list_hash(read), plf_list_hash(list.it));
@@ -296,10 +297,10 @@
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 0 5 0",
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 0 5 0\n\nmore",
 	};
-	plf_list *none = plf_list_read("linepier-upstreams 3\n");
+	plf_list *none = plf_list_parse("linepier-upstreams 3\n");
 
 	for (const char *row : rows)
-		EXPECT_EQ(plf_list_read(row), nullptr) << row;
+		EXPECT_EQ(plf_list_parse(row), nullptr) << row;
 	ASSERT_NE(none, nullptr);
 	EXPECT_EQ(plf_list_size(none), 0u);
 	plf_list_destroy(none);
@@ -311,9 +312,9 @@
 	const std::string before =
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 "
 		"0 5 ";
-	plf_list *warm = plf_list_read((before + "0\n").c_str());
-	plf_list *cold = plf_list_read((before + "900\n").c_str());
-	plf_list *later = plf_list_read((before + "300\n").c_str());
+	plf_list *warm = plf_list_parse((before + "0\n").c_str());
+	plf_list *cold = plf_list_parse((before + "900\n").c_str());
+	plf_list *later = plf_list_parse((before + "300\n").c_str());
 
 	ASSERT_TRUE(warm && cold && later);
 	EXPECT_EQ(plf_list_entries(cold)->cold_us, 900000);
