--- a/base/lp_lines.c
+++ b/base/lp_lines.c
@@ -3,9 +3,9 @@
 #include <stdbool.h>
 #include <string.h>
 
-#define READ_SIZE 16384
+#define READ_BYTES_MAX 16384
 /* Of one stream in one turn; then others have theirs. */
-#define TURN_SIZE ((gsize)16 * READ_SIZE)
+#define TURN_SIZE ((gsize)16 * READ_BYTES_MAX)
 
 struct lp_lines {
 	struct lp_lines_options options;
@@ -59,7 +59,7 @@
 	GPollableInputStream *stream =
 		G_POLLABLE_INPUT_STREAM(lines->options.stream);
 	g_autoptr(GError) error = NULL;
-	char buffer[READ_SIZE];
+	char buffer[READ_BYTES_MAX];
 
 	for (gsize had = 0; had < TURN_SIZE && !lines->destroyed;) {
 		gssize size = g_pollable_input_stream_read_nonblocking(
--- a/direct/direct.c
+++ b/direct/direct.c
@@ -372,5 +372,5 @@
 
 uint32_t direct_busy(const struct direct *direct)
 {
-	return http_server_busy(direct->server);
+	return http_server_busy_count(direct->server);
 }
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -142,7 +142,7 @@
 	if (request->begun)
 		direct_request_cut(request, "deadline");
 	else if (request->state == DIRECT_STATE_SENT && request->exchange &&
-		 http_exchange_sent(request->exchange))
+		 http_exchange_has_sent(request->exchange))
 		direct_request_answer_own(request, 504, 0, "deadline");
 	else
 		direct_request_refuse(request, DIRECT_WAIT_FULL_US, "deadline");
@@ -413,7 +413,8 @@
 							: "no_route");
 		return;
 	}
-	http_call_on_gone(request->call, on_caller_gone, request);
+	http_call_set_disconnect_handler(request->call, on_caller_gone,
+					 request);
 	set_give_up(request);
 	if (direct->end_us && !ends_in_time(request)) {
 		direct_request_refuse(request, DIRECT_WAIT_ELSEWHERE_US,
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -347,7 +347,7 @@
 	if (is_stream(request))
 		pass_events(request);
 	if (request->body->len > ANSWER_MAX ||
-	    http_call_unsent(request->call) > UNSENT_MAX) {
+	    http_call_unsent_bytes(request->call) > UNSENT_MAX) {
 		if (request->begun)
 			direct_request_cut(request, "too_large");
 		else
--- a/http/http_client.c
+++ b/http/http_client.c
@@ -33,7 +33,7 @@
 
 static void finish(struct http_exchange *exchange, int error)
 {
-	bool sent = http_sock_sent_any(exchange->sock);
+	bool sent = http_sock_has_sent(exchange->sock);
 
 	close_exchange(exchange);
 	exchange->events->done(exchange->userdata, error, sent);
@@ -168,7 +168,7 @@
 		free_exchange(exchange);
 }
 
-bool http_exchange_sent(const struct http_exchange *exchange)
+bool http_exchange_has_sent(const struct http_exchange *exchange)
 {
-	return http_sock_sent_any(exchange->sock);
+	return http_sock_has_sent(exchange->sock);
 }
--- a/http/http_client.h
+++ b/http/http_client.h
@@ -47,6 +47,6 @@
 /** Close the connection at once; done() is not called. */
 void http_exchange_cancel(struct http_exchange *exchange);
 /** Whether a byte of the request has left. */
-bool http_exchange_sent(const struct http_exchange *exchange);
+bool http_exchange_has_sent(const struct http_exchange *exchange);
 
 #endif
--- a/http/http_fetch.c
+++ b/http/http_fetch.c
@@ -44,7 +44,7 @@
 static gboolean on_timeout(gpointer userdata)
 {
 	struct http_fetch *fetch = userdata;
-	bool sent = http_exchange_sent(fetch->exchange);
+	bool sent = http_exchange_has_sent(fetch->exchange);
 
 	fetch->timer = 0;
 	http_exchange_cancel(fetch->exchange);
--- a/http/http_server.c
+++ b/http/http_server.c
@@ -8,13 +8,13 @@
 #include <string.h>
 
 /* How often connections are looked through for silence. */
-#define SWEEP_MS 250
+#define TIMEOUT_SWEEP_MS 250
 /* Bytes of a next request that are read ahead of its turn. */
-#define AHEAD_MAX 65536
+#define READ_AHEAD_MAX 65536
 /* Connections that wait to be taken. */
 #define BACKLOG 512
 /* New connections taken at one wake-up. */
-#define ACCEPTS_MAX 64
+#define ACCEPTS_PER_WAKEUP 64
 
 struct conn;
 
@@ -94,7 +94,7 @@
 	set_owed(conn, false);
 	set_reading(conn, false);
 	g_hash_table_remove(conn->server->conns, conn);
-	if (!reset && http_sock_unsent(conn->sock)) {
+	if (!reset && http_sock_unsent_bytes(conn->sock)) {
 		g_hash_table_add(conn->server->delivering, conn);
 		http_sock_close(conn->sock);
 		return;
@@ -245,7 +245,7 @@
 		return;
 	}
 	g_byte_array_append(conn->ahead, (const guint8 *)bytes, (guint)size);
-	if (conn->ahead->len > AHEAD_MAX)
+	if (conn->ahead->len > READ_AHEAD_MAX)
 		http_sock_pause(conn->sock, true);
 }
 
@@ -289,7 +289,7 @@
 	conn->parse.userdata = conn;
 	g_hash_table_add(server->conns, conn);
 	begin_request(conn);
-	conn->sock = http_sock_accepted(socket, &sock_events, conn);
+	conn->sock = http_sock_from_accepted(socket, &sock_events, conn);
 }
 
 static void take(struct http_server *server, uint32_t most)
@@ -307,7 +307,7 @@
 static gboolean on_accept(GSocket *socket, GIOCondition condition,
 			  gpointer userdata)
 {
-	take(userdata, ACCEPTS_MAX);
+	take(userdata, ACCEPTS_PER_WAKEUP);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -380,7 +380,7 @@
 	g_source_set_callback(server->source, G_SOURCE_FUNC(on_accept), server,
 			      NULL);
 	g_source_attach(server->source, NULL);
-	server->sweep = lp_timer_add(SWEEP_MS, on_sweep, server);
+	server->sweep = lp_timer_add(TIMEOUT_SWEEP_MS, on_sweep, server);
 	return server;
 }
 
@@ -450,12 +450,12 @@
 		const struct conn *conn = key;
 
 		count += !conn->owed && !conn->reading &&
-			 http_sock_unsent(conn->sock);
+			 http_sock_unsent_bytes(conn->sock);
 	}
 	return count;
 }
 
-uint32_t http_server_busy(const struct http_server *server)
+uint32_t http_server_busy_count(const struct http_server *server)
 {
 	return server->busy + g_hash_table_size(server->delivering) +
 	       count_unsent(server);
@@ -485,9 +485,9 @@
 	return (const char *)call->conn->body->data;
 }
 
-char *http_call_peer(const struct http_call *call)
+char *http_call_client_ip(const struct http_call *call)
 {
-	return http_sock_peer(call->conn->sock);
+	return http_sock_peer_ip(call->conn->sock);
 }
 
 int64_t http_call_arrived_us(const struct http_call *call)
@@ -495,8 +495,9 @@
 	return call->conn->since_us;
 }
 
-void http_call_on_gone(struct http_call *call, void (*gone)(void *userdata),
-		       void *userdata)
+void http_call_set_disconnect_handler(struct http_call *call,
+				      void (*gone)(void *userdata),
+				      void *userdata)
 {
 	call->gone = gone;
 	call->gone_userdata = userdata;
@@ -544,9 +545,9 @@
 	http_sock_write(call->conn->sock, chunk->str, chunk->len);
 }
 
-size_t http_call_unsent(const struct http_call *call)
+size_t http_call_unsent_bytes(const struct http_call *call)
 {
-	return http_sock_unsent(call->conn->sock);
+	return http_sock_unsent_bytes(call->conn->sock);
 }
 
 void http_call_finish(struct http_call *call)
--- a/http/http_server.h
+++ b/http/http_server.h
@@ -50,7 +50,7 @@
 /** Take what has connected, and no new connections after that. */
 void http_server_stop_listening(struct http_server *server);
 /** Requests that are being read, or whose answer is owed or being delivered. */
-uint32_t http_server_busy(const struct http_server *server);
+uint32_t http_server_busy_count(const struct http_server *server);
 
 const char *http_call_method(const struct http_call *call);
 const char *http_call_target(const struct http_call *call);
@@ -58,15 +58,16 @@
 /** The body, NUL-terminated. */
 const char *http_call_body(const struct http_call *call, size_t *size);
 /** The client's IP address, "" if it has gone; g_free(). */
-char *http_call_peer(const struct http_call *call);
+char *http_call_client_ip(const struct http_call *call);
 /** When the first byte of the request was read. */
 int64_t http_call_arrived_us(const struct http_call *call);
 /**
  * Hear of a client that leaves. gone() is called once; the call is over then
  * and no other function of it may be called.
  */
-void http_call_on_gone(struct http_call *call, void (*gone)(void *userdata),
-		       void *userdata);
+void http_call_set_disconnect_handler(struct http_call *call,
+				      void (*gone)(void *userdata),
+				      void *userdata);
 /**
  * Answer whole. `fields` hold nothing of framing or of the connection. The
  * call is over.
@@ -79,7 +80,7 @@
 		     const struct http_fields *fields);
 void http_call_write(struct http_call *call, const char *bytes, size_t size);
 /** Bytes that the client has not taken yet. */
-size_t http_call_unsent(const struct http_call *call);
+size_t http_call_unsent_bytes(const struct http_call *call);
 /** End a started answer as complete. The call is over. */
 void http_call_finish(struct http_call *call);
 /** Cut: whatever was begun is seen to be incomplete. The call is over. */
--- a/http/http_sock.c
+++ b/http/http_sock.c
@@ -13,12 +13,12 @@
 #include <unistd.h>
 
 /* Bytes taken by one read: an answer of a plain service fits in one. */
-#define READ_SIZE 16384
+#define READ_BYTES_MAX 16384
 /* Unacknowledged bytes for this long end a connection: three times a round
  * trip with one retransmission after the usual second. */
-#define PEER_SILENT_MS 3000
+#define UNACKED_TIMEOUT_MS 3000
 /* A closed connection whose peer takes nothing for so long is given up. */
-#define LINGER_MS 2000
+#define CLOSE_STALL_MS 2000
 
 struct http_sock {
 	GSocket *socket;
@@ -61,17 +61,17 @@
 	g_rc_box_release_full(sock, clear_sock);
 }
 
-size_t http_sock_unsent(const struct http_sock *sock)
+size_t http_sock_unsent_bytes(const struct http_sock *sock)
 {
 	return sock->out->len - sock->out_start;
 }
 
-bool http_sock_sent_any(const struct http_sock *sock)
+bool http_sock_has_sent(const struct http_sock *sock)
 {
 	return sock->sent_any;
 }
 
-char *http_sock_peer(const struct http_sock *sock)
+char *http_sock_peer_ip(const struct http_sock *sock)
 {
 	g_autoptr(GSocketAddress) address =
 		g_socket_get_remote_address(sock->socket, NULL);
@@ -90,7 +90,7 @@
 		return;
 	if (!sock->paused && !sock->connecting && !sock->closed)
 		condition |= G_IO_IN;
-	if (sock->connecting || http_sock_unsent(sock))
+	if (sock->connecting || http_sock_unsent_bytes(sock))
 		condition |= G_IO_OUT;
 	g_source_modify_unix_fd(sock->source, sock->tag, condition);
 }
@@ -115,9 +115,9 @@
 {
 	int fd = g_socket_get_fd(sock->socket);
 
-	while (http_sock_unsent(sock)) {
+	while (http_sock_unsent_bytes(sock)) {
 		ssize_t size = send(fd, sock->out->data + sock->out_start,
-				    http_sock_unsent(sock),
+				    http_sock_unsent_bytes(sock),
 				    MSG_NOSIGNAL | MSG_DONTWAIT);
 
 		if (size < 0 && errno == EINTR)
@@ -156,7 +156,7 @@
 
 static void read_some(struct http_sock *sock)
 {
-	char buffer[READ_SIZE];
+	char buffer[READ_BYTES_MAX];
 	ssize_t size = recv(g_socket_get_fd(sock->socket), buffer,
 			    sizeof(buffer), MSG_DONTWAIT);
 
@@ -185,7 +185,7 @@
 		    (ready & (G_IO_IN | G_IO_HUP | G_IO_ERR)))
 			read_some(sock);
 	}
-	if (sock->closed && !sock->over && !http_sock_unsent(sock))
+	if (sock->closed && !sock->over && !http_sock_unsent_bytes(sock))
 		end(sock, LP_OK);
 	if (!sock->over)
 		update_interest(sock);
@@ -208,7 +208,7 @@
 	g_socket_set_blocking(socket, FALSE);
 	g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
 	g_socket_set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
-			    PEER_SILENT_MS, NULL);
+			    UNACKED_TIMEOUT_MS, NULL);
 	return sock;
 }
 
@@ -222,9 +222,9 @@
 	g_source_attach(sock->source, NULL);
 }
 
-struct http_sock *http_sock_accepted(GSocket *socket,
-				     const struct http_sock_events *events,
-				     void *userdata)
+struct http_sock *http_sock_from_accepted(GSocket *socket,
+					  const struct http_sock_events *events,
+					  void *userdata)
 {
 	struct http_sock *sock = create(g_object_ref(socket), events, userdata);
 
@@ -295,7 +295,7 @@
 	int queued = 0;
 
 	ioctl(g_socket_get_fd(sock->socket), SIOCOUTQ, &queued);
-	return (int64_t)http_sock_unsent(sock) + queued;
+	return (int64_t)http_sock_unsent_bytes(sock) + queued;
 }
 
 static gboolean on_linger(gpointer userdata)
@@ -314,9 +314,9 @@
 void http_sock_close(struct http_sock *sock)
 {
 	sock->closed = true;
-	if (!sock->over && !sock->connecting && http_sock_unsent(sock)) {
+	if (!sock->over && !sock->connecting && http_sock_unsent_bytes(sock)) {
 		sock->undelivered = undelivered(sock);
-		sock->linger = lp_timer_add(LINGER_MS, on_linger, sock);
+		sock->linger = lp_timer_add(CLOSE_STALL_MS, on_linger, sock);
 		update_interest(sock);
 		return;
 	}
--- a/http/http_sock.h
+++ b/http/http_sock.h
@@ -34,9 +34,9 @@
 };
 
 /** Take over an accepted socket. */
-struct http_sock *http_sock_accepted(GSocket *socket,
-				     const struct http_sock_events *events,
-				     void *userdata);
+struct http_sock *http_sock_from_accepted(GSocket *socket,
+					  const struct http_sock_events *events,
+					  void *userdata);
 /**
  * Begin to connect to "IP:PORT". Returns NULL when the address is not one or
  * no socket can be had.
@@ -47,11 +47,11 @@
 /** Bytes that wait beyond the socket's own buffer are kept here. */
 void http_sock_write(struct http_sock *sock, const char *bytes, size_t size);
 /** Bytes written and not yet taken by the socket. */
-size_t http_sock_unsent(const struct http_sock *sock);
+size_t http_sock_unsent_bytes(const struct http_sock *sock);
 /** Whether any byte has left: before that, nothing can have been read. */
-bool http_sock_sent_any(const struct http_sock *sock);
+bool http_sock_has_sent(const struct http_sock *sock);
 /** The peer's IP address, "" if it has gone; g_free(). */
-char *http_sock_peer(const struct http_sock *sock);
+char *http_sock_peer_ip(const struct http_sock *sock);
 /** Stop or go on reading. */
 void http_sock_pause(struct http_sock *sock, bool pause);
 /**
--- a/node/node_listener.c
+++ b/node/node_listener.c
@@ -11,7 +11,7 @@
  * 600 a second; what is beyond is reset, and its request lost. */
 #define BACKLOG 1024
 /* In one turn; then what has been taken has its own. */
-#define ACCEPTS_MAX 256
+#define ACCEPTS_PER_WAKEUP 256
 /* libsoup does not tell the socket of a connection that it was handed; the
  * address of its peer goes with it. */
 #define SOCKET_KEY "node-listener-socket"
@@ -111,7 +111,7 @@
 static gboolean on_accept(GSocket *socket, GIOCondition condition,
 			  gpointer userdata)
 {
-	take(userdata, ACCEPTS_MAX);
+	take(userdata, ACCEPTS_PER_WAKEUP);
 	return G_SOURCE_CONTINUE;
 }
 
--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -146,7 +146,7 @@
 	lp_counters *counters = lp_counters_create();
 	direct *entry = nullptr;
 	direct_peers *peers = nullptr;
-	plf_share *share = nullptr;
+	plf_peer_sync *share = nullptr;
 	store_kv *kv = nullptr;
 	plf_feed *feed = nullptr;
 	plf_kept *kept = nullptr;
@@ -206,7 +206,7 @@
 	void end()
 	{
 		kv->ops->destroy(kv);
-		plf_share_destroy(share);
+		plf_peer_sync_destroy(share);
 		plf_feed_destroy(feed);
 		plf_kept_destroy(kept);
 		direct_destroy(entry);
@@ -290,7 +290,7 @@
 	/* Serve lists and configurations to peers and fetch theirs. */
 	void share_with(const char *ip)
 	{
-		plf_share_options options = {};
+		plf_peer_sync_options options = {};
 		std::string at = std::string(ip) + ":" +
 				 std::to_string(peers_port() + 60);
 
@@ -299,7 +299,7 @@
 		options.direct = entry;
 		options.feed = feed;
 		options.address = at.c_str();
-		share = plf_share_create(&options);
+		share = plf_peer_sync_create(&options);
 		ASSERT_NE(share, nullptr);
 	}
 	/* Share stages with the entries of these IPs. */
@@ -322,7 +322,7 @@
 		options.unreachable = [](void *, uint64_t, int64_t) {};
 		options.list = [](void *self, const char *from, uint64_t hash,
 				  int64_t age_us) {
-			plf_share_handle_peer_hash(
+			plf_peer_sync_handle_list_hash(
 				static_cast<Rig *>(self)->share, from, hash,
 				age_us);
 		};
--- a/tests/direct_test.cc
+++ b/tests/direct_test.cc
@@ -567,9 +567,9 @@
 {
 	Rig served;
 	Rig refused;
-	plf_share_options options = {};
-	plf_share *one;
-	plf_share *two;
+	plf_peer_sync_options options = {};
+	plf_peer_sync *one;
+	plf_peer_sync *two;
 
 	served.add(PE_PLAIN, "plain");
 	served.settle();
@@ -585,14 +585,14 @@
 	options.direct = served.entry;
 	options.feed = served.feed;
 	options.address = "127.0.0.1:21512";
-	one = plf_share_create(&options);
+	one = plf_peer_sync_create(&options);
 	options.direct = refused.entry;
 	options.feed = refused.feed;
 	options.address = "127.0.0.2:21512";
-	two = plf_share_create(&options);
+	two = plf_peer_sync_create(&options);
 	ASSERT_TRUE(one && two);
-	plf_share_handle_peer_version(two, "127.0.0.1", 4);
-	plf_share_handle_peer_version(two, "127.0.0.9", 1);
+	plf_peer_sync_handle_version(two, "127.0.0.1", 4);
+	plf_peer_sync_handle_version(two, "127.0.0.9", 1);
 	EXPECT_TRUE(turn_until(
 		[&] { return direct_config_version(refused.entry) == 4; },
 		1500));
@@ -600,8 +600,8 @@
 		return Ask(refused.address, "a1", "/look/x").wait().status ==
 		       200;
 	}));
-	plf_share_destroy(one);
-	plf_share_destroy(two);
+	plf_peer_sync_destroy(one);
+	plf_peer_sync_destroy(two);
 }
 
 /* Found on a day of cuts: of two entries that the store refuses, one heard the
@@ -613,7 +613,7 @@
 	Rig served;
 	Rig refused;
 	Rig also_refused;
-	plf_share *shares[3];
+	plf_peer_sync *shares[3];
 	Rig *const rigs[] = { &served, &refused, &also_refused };
 
 	for (Rig *rig : rigs)
@@ -628,14 +628,14 @@
 	for (int i = 0; i < 3; i++) {
 		const std::string at =
 			"127.0.0." + std::to_string(i + 1) + ":" + port;
-		plf_share_options options = {};
+		plf_peer_sync_options options = {};
 
 		options.clock = lp_clock_boot();
 		options.log = rigs[i]->log;
 		options.direct = rigs[i]->entry;
 		options.feed = rigs[i]->feed;
 		options.address = at.c_str();
-		shares[i] = plf_share_create(&options);
+		shares[i] = plf_peer_sync_create(&options);
 		ASSERT_NE(shares[i], nullptr);
 	}
 	EXPECT_TRUE(turn_until(
@@ -643,15 +643,13 @@
 			g_autofree char *list =
 				plf_feed_list_text(refused.feed);
 
-			plf_share_handle_peer_version(shares[1], "127.0.0.1",
-						      1);
-			plf_share_handle_peer_version(shares[1], "127.0.0.3",
-						      1);
+			plf_peer_sync_handle_version(shares[1], "127.0.0.1", 1);
+			plf_peer_sync_handle_version(shares[1], "127.0.0.3", 1);
 			return *list != '\0';
 		},
 		3000));
-	for (plf_share *share : shares)
-		plf_share_destroy(share);
+	for (plf_peer_sync *share : shares)
+		plf_peer_sync_destroy(share);
 }
 
 /* Found on a day of cuts: an upstream that left while the service was away was
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -203,7 +203,7 @@
 	ASSERT_TRUE(raw.hears("/2"));
 	EXPECT_LT(raw.heard.find("/1"), raw.heard.find("/2"));
 	EXPECT_FALSE(raw.ended);
-	EXPECT_EQ(http_server_busy(served.server), 0u);
+	EXPECT_EQ(http_server_busy_count(served.server), 0u);
 }
 
 TEST(HttpServer, RefusesWhatItCannotTake)
@@ -254,15 +254,15 @@
 
 	served.answer = [&](http_call *call) {
 		asked = true;
-		http_call_on_gone(
+		http_call_set_disconnect_handler(
 			call, [](void *flag) { *(bool *)flag = true; }, &gone);
 	};
 	raw.say("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
 	ASSERT_TRUE(turn_until([&] { return asked; }));
-	EXPECT_EQ(http_server_busy(served.server), 1u);
+	EXPECT_EQ(http_server_busy_count(served.server), 1u);
 	raw.leave();
 	EXPECT_TRUE(turn_until([&] { return gone; }));
-	EXPECT_EQ(http_server_busy(served.server), 0u);
+	EXPECT_EQ(http_server_busy_count(served.server), 0u);
 }
 
 TEST(HttpServer, AnAnswerThatIsCutDoesNotLookComplete)
@@ -318,7 +318,7 @@
 		http_sock_pause(raw.sock, false);
 		turn_until([&] { return raw.heard.size() > before + 100000; });
 		http_sock_pause(raw.sock, true);
-		EXPECT_EQ(http_server_busy(served.server), 1u);
+		EXPECT_EQ(http_server_busy_count(served.server), 1u);
 		turn_until([&] {
 			return g_get_monotonic_time() - since_us > 50000;
 		});
@@ -327,7 +327,7 @@
 	EXPECT_TRUE(turn_until([&] { return raw.ended; }));
 	EXPECT_EQ(raw.error, LP_OK);
 	EXPECT_GT(raw.heard.size(), body.size());
-	EXPECT_EQ(http_server_busy(served.server), 0u);
+	EXPECT_EQ(http_server_busy_count(served.server), 0u);
 }
 
 /* What it has, connected and sent, before the server had a turn. */
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -164,7 +164,7 @@
 	lp_counters *counters = lp_counters_create();
 	plf_unreadable *unreadable;
 	std::vector<std::pair<std::string, std::string>> items;
-	plf_list *it = nullptr;
+	plf_upstream_list *it = nullptr;
 
 	List()
 	{
@@ -178,7 +178,7 @@
 	}
 	~List()
 	{
-		plf_list_destroy(it);
+		plf_upstream_list_destroy(it);
 		plf_unreadable_destroy(unreadable);
 		lp_counters_destroy(counters);
 		lp_event_log_destroy(log);
@@ -194,10 +194,10 @@
 		for (auto &item : items)
 			pairs.push_back({ item.first.data(), item.second.data(),
 					  item.second.size(), 1, 1 });
-		plf_list_destroy(it);
-		it = plf_list_from_range(pairs.data(), pairs.size(),
-					 unreadable);
-		return plf_list_size(it);
+		plf_upstream_list_destroy(it);
+		it = plf_upstream_list_from_range(pairs.data(), pairs.size(),
+						  unreadable);
+		return plf_upstream_list_size(it);
 	}
 	int64_t refused()
 	{
@@ -233,8 +233,8 @@
 	now.add("i-1", whole);
 	now.add("i-2", "rubbish");
 	now.take();
-	EXPECT_EQ(plf_list_retain_missing(now.it, before.it), 1u);
-	EXPECT_EQ(plf_list_size(now.it), 2u);
+	EXPECT_EQ(plf_upstream_list_retain_missing(now.it, before.it), 1u);
+	EXPECT_EQ(plf_upstream_list_size(now.it), 2u);
 }
 
 /* Where all others say when they started, one that does not is not whole. */
@@ -258,20 +258,21 @@
 TEST(UpstreamList, AnyBytesSurviveAmongPeers)
 {
 	List list;
-	plf_list *read;
+	plf_upstream_list *read;
 	char *text;
 
 	list.add("i-1", with("\"s\"", "\"a b\\nc %20 \xc3\xa9 \\t\""));
 	list.add("i-2", with("\"a\"", "\" \\n\\r \""));
 	list.add("i-%", with("ready", "draining"));
 	ASSERT_EQ(list.take(), 3u);
-	text = plf_list_serialize(list.it);
-	read = plf_list_parse(text);
+	text = plf_upstream_list_serialize(list.it);
+	read = plf_upstream_list_parse(text);
 	ASSERT_NE(read, nullptr);
-	EXPECT_EQ(plf_list_size(read), 3u);
-	EXPECT_EQ(plf_list_hash(read), plf_list_hash(list.it));
-	EXPECT_NE(plf_list_hash(read), 0u);
-	plf_list_destroy(read);
+	EXPECT_EQ(plf_upstream_list_size(read), 3u);
+	EXPECT_EQ(plf_upstream_list_hash(read),
+		  plf_upstream_list_hash(list.it));
+	EXPECT_NE(plf_upstream_list_hash(read), 0u);
+	plf_upstream_list_destroy(read);
 	g_free(text);
 }
 
@@ -297,13 +298,14 @@
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 0 5 0",
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 0 5 0\n\nmore",
 	};
-	plf_list *none = plf_list_parse("linepier-upstreams 3\n");
+	plf_upstream_list *none =
+		plf_upstream_list_parse("linepier-upstreams 3\n");
 
 	for (const char *row : rows)
-		EXPECT_EQ(plf_list_parse(row), nullptr) << row;
+		EXPECT_EQ(plf_upstream_list_parse(row), nullptr) << row;
 	ASSERT_NE(none, nullptr);
-	EXPECT_EQ(plf_list_size(none), 0u);
-	plf_list_destroy(none);
+	EXPECT_EQ(plf_upstream_list_size(none), 0u);
+	plf_upstream_list_destroy(none);
 }
 
 /* How long it is cold yet is told; whether it is cold tells lists apart. */
@@ -312,17 +314,20 @@
 	const std::string before =
 		"linepier-upstreams 3\ni-1 s 10.0.0.1:80 a 6 "
 		"0 5 ";
-	plf_list *warm = plf_list_parse((before + "0\n").c_str());
-	plf_list *cold = plf_list_parse((before + "900\n").c_str());
-	plf_list *later = plf_list_parse((before + "300\n").c_str());
+	plf_upstream_list *warm =
+		plf_upstream_list_parse((before + "0\n").c_str());
+	plf_upstream_list *cold =
+		plf_upstream_list_parse((before + "900\n").c_str());
+	plf_upstream_list *later =
+		plf_upstream_list_parse((before + "300\n").c_str());
 
 	ASSERT_TRUE(warm && cold && later);
-	EXPECT_EQ(plf_list_entries(cold)->cold_us, 900000);
-	EXPECT_EQ(plf_list_hash(cold), plf_list_hash(later));
-	EXPECT_NE(plf_list_hash(cold), plf_list_hash(warm));
-	plf_list_destroy(warm);
-	plf_list_destroy(cold);
-	plf_list_destroy(later);
+	EXPECT_EQ(plf_upstream_list_entries(cold)->cold_us, 900000);
+	EXPECT_EQ(plf_upstream_list_hash(cold), plf_upstream_list_hash(later));
+	EXPECT_NE(plf_upstream_list_hash(cold), plf_upstream_list_hash(warm));
+	plf_upstream_list_destroy(warm);
+	plf_upstream_list_destroy(cold);
+	plf_upstream_list_destroy(later);
 }
 
 } // namespace
--- a/tools/pe_listener.c
+++ b/tools/pe_listener.c
@@ -110,7 +110,7 @@
 	conn->body = g_string_new(NULL);
 	begin_parse(conn);
 	g_ptr_array_add(listener->conns, conn);
-	conn->sock = http_sock_accepted(accepted, &events, conn);
+	conn->sock = http_sock_from_accepted(accepted, &events, conn);
 	return G_SOURCE_CONTINUE;
 }
 
