--- a/http/http_client.c
+++ b/http/http_client.c
@@ -13,8 +13,8 @@
 	const struct http_exchange_events *events;
 	void *userdata;
 	guint connect_timer;
-	bool feeding;	/* the parser is at work: it may not be freed */
-	bool cancelled; /* free after feeding */
+	bool parsing;	/* the parser is running, so it must not be freed */
+	bool cancelled; /* free after parsing */
 };
 
 static void free_exchange(struct http_exchange *exchange)
@@ -31,7 +31,7 @@
 	http_sock_abort(exchange->sock);
 }
 
-static void finish(struct http_exchange *exchange, int error)
+static void finish_exchange(struct http_exchange *exchange, int error)
 {
 	bool sent = http_sock_has_sent(exchange->sock);
 
@@ -45,7 +45,7 @@
 	struct http_exchange *exchange = userdata;
 
 	exchange->connect_timer = 0;
-	finish(exchange, LP_ERROR_UPSTREAM_GONE);
+	finish_exchange(exchange, LP_ERROR_UPSTREAM_GONE);
 	return G_SOURCE_REMOVE;
 }
 
@@ -75,22 +75,22 @@
 		exchange->events->body(exchange->userdata, bytes, size);
 }
 
-/* What comes after a whole answer is not read: the connection ends. */
+/* Bytes after a complete answer are not read: the connection is closed. */
 static void on_data(void *userdata, const char *bytes, size_t size)
 {
 	struct http_exchange *exchange = userdata;
 	size_t used;
 	int error;
 
-	exchange->feeding = true;
+	exchange->parsing = true;
 	error = http_parse_feed(&exchange->parse, bytes, size, &used);
-	exchange->feeding = false;
+	exchange->parsing = false;
 	if (exchange->cancelled)
 		free_exchange(exchange);
 	else if (error)
-		finish(exchange, LP_ERROR_PROTOCOL);
+		finish_exchange(exchange, LP_ERROR_PROTOCOL);
 	else if (exchange->parse.is_complete)
-		finish(exchange, LP_OK);
+		finish_exchange(exchange, LP_OK);
 }
 
 static void on_ended(void *userdata, int error)
@@ -98,16 +98,17 @@
 	struct http_exchange *exchange = userdata;
 
 	if (!error) {
-		exchange->feeding = true;
+		exchange->parsing = true;
 		http_parse_end(&exchange->parse);
-		exchange->feeding = false;
+		exchange->parsing = false;
 	}
 	if (exchange->cancelled)
 		free_exchange(exchange);
 	else if (exchange->parse.is_complete)
-		finish(exchange, LP_OK);
+		finish_exchange(exchange, LP_OK);
 	else
-		finish(exchange, error ? error : LP_ERROR_UPSTREAM_GONE);
+		finish_exchange(exchange,
+				error ? error : LP_ERROR_UPSTREAM_GONE);
 }
 
 static const struct http_sock_events sock_events = {
@@ -162,7 +163,7 @@
 void http_exchange_cancel(struct http_exchange *exchange)
 {
 	close_exchange(exchange);
-	if (exchange->feeding)
+	if (exchange->parsing)
 		exchange->cancelled = true;
 	else
 		free_exchange(exchange);
--- a/http/http_client.h
+++ b/http/http_client.h
@@ -1,9 +1,12 @@
 /**
- * One HTTP/1.1 exchange on a connection of its own.
+ * A client for one HTTP/1.1 exchange on a connection of its own.
  *
- * A connection is never used twice: what a server sends late or on top of an
- * answer cannot be taken for the next one, and nothing is sent again behind
- * the caller's back. That is also why libsoup's session does not serve here.
+ * A connection is never reused: late or surplus bytes of a server cannot be
+ * taken for the next answer, and no request is retried implicitly. libsoup's
+ * session does not guarantee this, so it is not used here.
+ *
+ * An exchange is owned by this module, and freed after done() or by
+ * http_exchange_cancel().
  */
 #ifndef HTTP_CLIENT_H
 #define HTTP_CLIENT_H
@@ -14,16 +17,19 @@
 struct http_exchange;
 
 struct http_exchange_events {
-	/** The head of the answer; interim answers are skipped. */
+	/**
+	 * Called with the status and header fields of the answer; interim
+	 * answers are skipped.
+	 */
 	void (*head)(void *userdata, uint32_t status,
 		     const struct http_fields *fields);
 	void (*body)(void *userdata, const char *bytes, size_t size);
 	/**
-	 * The exchange is over and freed after this call. LP_OK: the answer
-	 * came whole; LP_ERROR_UPSTREAM_GONE: the connection failed or was
-	 * cut; LP_ERROR_NOT_LISTENING: nobody listens at the address;
-	 * LP_ERROR_PROTOCOL: the bytes were no answer.
-	 * `sent`: a byte of the request has left.
+	 * Called when the exchange is over; it is freed afterwards. LP_OK: the
+	 * answer is complete; LP_ERROR_UPSTREAM_GONE: the connection failed or
+	 * was closed early; LP_ERROR_NOT_LISTENING: the address refused the
+	 * connection; LP_ERROR_PROTOCOL: the bytes are not an HTTP answer.
+	 * `sent`: a byte of the request was sent.
 	 */
 	void (*done)(void *userdata, int error, bool sent);
 };
@@ -32,21 +38,24 @@
 	const char *address; /**< "IP:PORT" */
 	const char *method;
 	const char *target;
-	const struct http_fields *fields; /**< without framing */
+	const struct http_fields *fields; /**< without framing fields */
 	const char *body;
 	size_t body_size;
-	bool has_body; /**< send a length, also of 0 */
+	bool has_body; /**< send a Content-Length, even if it is 0 */
 	int64_t connect_timeout_us;
 	const struct http_exchange_events *events;
 	void *userdata;
 };
 
-/** NULL: no connection can be begun; nothing was sent and nothing is called. */
+/**
+ * NULL: the connection could not be started; nothing was sent and no callback
+ * is called.
+ */
 struct http_exchange *
 http_exchange_start(const struct http_exchange_options *options);
-/** Close the connection at once; done() is not called. */
+/** Reset the connection and free the exchange; done() is not called. */
 void http_exchange_cancel(struct http_exchange *exchange);
-/** Whether a byte of the request has left. */
+/** Whether a byte of the request was sent. */
 bool http_exchange_has_sent(const struct http_exchange *exchange);
 
 #endif
--- a/http/http_fetch.c
+++ b/http/http_fetch.c
@@ -9,7 +9,7 @@
 
 struct http_fetch {
 	struct http_exchange *exchange;
-	struct lp_transfer transfer; /* without stall_us: the timer stays */
+	struct lp_transfer transfer; /* used if stall_us is set */
 	guint timer;
 	uint32_t status;
 	GString *body;
@@ -27,7 +27,7 @@
 	g_free(fetch);
 }
 
-static void finish(struct http_fetch *fetch, int error, bool sent)
+static void finish_fetch(struct http_fetch *fetch, int error, bool sent)
 {
 	const struct http_fetch_answer answer = {
 		.error = error,
@@ -48,7 +48,7 @@
 
 	fetch->timer = 0;
 	http_exchange_cancel(fetch->exchange);
-	finish(fetch, LP_ERROR_UPSTREAM_GONE, sent);
+	finish_fetch(fetch, LP_ERROR_UPSTREAM_GONE, sent);
 	return G_SOURCE_REMOVE;
 }
 
@@ -60,7 +60,7 @@
 				    fetch);
 }
 
-static void await_more(struct http_fetch *fetch)
+static void restart_stall_timer(struct http_fetch *fetch)
 {
 	int64_t now_us = lp_now_us(lp_clock_boot());
 
@@ -75,7 +75,7 @@
 
 	fetch->status = status;
 	fetch->transfer.begun_us = lp_now_us(lp_clock_boot());
-	await_more(fetch);
+	restart_stall_timer(fetch);
 	if (fetch->head)
 		fetch->head(fetch->userdata, status, fields);
 }
@@ -86,12 +86,12 @@
 
 	g_string_append_len(fetch->body, bytes, (gssize)size);
 	fetch->transfer.received += size;
-	await_more(fetch);
+	restart_stall_timer(fetch);
 }
 
 static void on_done(void *userdata, int error, bool sent)
 {
-	finish(userdata, error, sent);
+	finish_fetch(userdata, error, sent);
 }
 
 static const struct http_exchange_events events = {
--- a/http/http_fetch.h
+++ b/http/http_fetch.h
@@ -1,6 +1,10 @@
 /**
- * One exchange whose answer is wanted whole, within a time or as long as its
- * bytes come: http_client.h with a buffer and a timer.
+ * An HTTP exchange whose answer is buffered and returned whole, with a timeout
+ * for the whole exchange, or with a timeout that restarts as long as bytes
+ * arrive: http_client.h with a buffer and a timer.
+ *
+ * A fetch is owned by this module, and freed after done() or by
+ * http_fetch_cancel(). Times are in microseconds.
  */
 #ifndef HTTP_FETCH_H
 #define HTTP_FETCH_H
@@ -11,10 +15,10 @@
 
 struct http_fetch;
 
-/** What came of it. Borrowed during the callback. */
+/** The result of a fetch; borrowed during the callback. */
 struct http_fetch_answer {
-	int error; /**< LP_OK: an answer came whole */
-	bool sent; /**< a byte of the request has left */
+	int error; /**< LP_OK: the answer is complete */
+	bool sent; /**< a byte of the request was sent */
 	uint32_t status;
 	const char *body; /**< NUL-terminated */
 	size_t size;
@@ -25,14 +29,18 @@
 	const char *method;
 	const char *target;
 	const struct http_fields *fields;
-	const char *body; /**< NUL-terminated, or NULL: none is sent */
+	const char *body; /**< NUL-terminated, or NULL: no body */
 	int64_t connect_timeout_us;
-	int64_t timeout_us; /**< of the whole exchange, or if stall_us is set:
-				 until the answer begins */
-	/** Between two pieces of an answer whose size is not bounded; 0: the
-	 * answer is short, and the time is that of the whole. */
+	int64_t timeout_us; /**< for the whole exchange, or if stall_us is set,
+			       until the answer begins */
+	/**
+	 * Timeout between parts of an answer of unbounded size; 0: the answer
+	 * is short, and timeout_us limits the whole exchange.
+	 */
 	int64_t stall_us;
-	/** The head of the answer; may be NULL. */
+	/**
+	 * Called with the status and header fields of the answer; may be NULL.
+	 */
 	void (*head)(void *userdata, uint32_t status,
 		     const struct http_fields *fields);
 	/** Called once, never from inside http_fetch_start(). */
@@ -40,9 +48,9 @@
 	void *userdata;
 };
 
-/** NULL: no connection can be begun; done() is not called. */
+/** NULL: the connection could not be started; done() is not called. */
 struct http_fetch *http_fetch_start(const struct http_fetch_options *options);
-/** End it at once; done() is not called. */
+/** Cancel and free the fetch; done() is not called. */
 void http_fetch_cancel(struct http_fetch *fetch);
 
 #endif
--- a/http/http_fields.c
+++ b/http/http_fields.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-static const char *const one_connection[] = {
+static const char *const hop_by_hop_names[] = {
 	"Connection",
 	"Keep-Alive",
 	"Proxy-Connection",
@@ -103,11 +103,10 @@
 	return false;
 }
 
-static bool is_of_one_connection(const struct http_fields *fields,
-				 const char *name)
+static bool is_hop_by_hop(const struct http_fields *fields, const char *name)
 {
-	for (guint i = 0; i < G_N_ELEMENTS(one_connection); i++)
-		if (!g_ascii_strcasecmp(one_connection[i], name))
+	for (guint i = 0; i < G_N_ELEMENTS(hop_by_hop_names); i++)
+		if (!g_ascii_strcasecmp(hop_by_hop_names[i], name))
 			return true;
 	return http_fields_has_token(fields, "Connection", name);
 }
@@ -118,7 +117,7 @@
 	for (guint i = 0; i < from->items->len; i++) {
 		const struct http_field *field = field_at(from, i);
 
-		if (!is_of_one_connection(from, field->name))
+		if (!is_hop_by_hop(from, field->name))
 			http_fields_add(to, field->name, field->value);
 	}
 }
--- a/http/http_fields.h
+++ b/http/http_fields.h
@@ -22,21 +22,24 @@
 		     const char *value);
 void http_fields_add_int(struct http_fields *fields, const char *name,
 			 int64_t value);
-/** The first value under this name in any case of letters, or NULL. */
+/** The value of the first field with this name, ignoring case, or NULL. */
 const char *http_fields_get(const struct http_fields *fields, const char *name);
-/** A whole decimal number of the range 0 to INT64_MAX / 2, or `fallback`. */
+/**
+ * The value as a decimal number from 0 to INT64_MAX / 2, or `fallback` if it is
+ * not one or is missing.
+ */
 int64_t http_fields_get_int(const struct http_fields *fields, const char *name,
 			    int64_t fallback);
-/** Whether a comma-separated field holds this token, in any case. */
+/** Whether a comma-separated field has this token, ignoring case. */
 bool http_fields_has_token(const struct http_fields *fields, const char *name,
 			   const char *token);
 /**
- * Copy those that concern the whole way of a message: not the fields of one
- * connection (RFC 9110, 7.6.1) nor the ones that `Connection` names.
+ * Copy the end-to-end fields: neither hop-by-hop fields (RFC 9110, 7.6.1) nor
+ * fields that `Connection` names.
  */
 void http_fields_copy_end_to_end(struct http_fields *to,
 				 const struct http_fields *from);
-/** Print the fields, each with its line end. */
+/** Append the fields to `out`, each with its CR LF. */
 void http_fields_print(const struct http_fields *fields, GString *out);
 
 #endif
--- a/http/http_parse.c
+++ b/http/http_parse.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-static struct http_parse *of(struct http_parser *parser)
+static struct http_parse *parse_of(struct http_parser *parser)
 {
 	return parser->data;
 }
@@ -19,7 +19,7 @@
 
 static int on_target(struct http_parser *parser, const char *at, size_t size)
 {
-	g_string_append_len(of(parser)->target, at, (gssize)size);
+	g_string_append_len(parse_of(parser)->target, at, (gssize)size);
 	return 0;
 }
 
@@ -34,15 +34,15 @@
 	for (size_t i = 0; i < size; i++)
 		if (!is_token(at[i]))
 			return -1;
-	flush_field(of(parser));
-	g_string_append_len(of(parser)->name, at, (gssize)size);
+	flush_field(parse_of(parser));
+	g_string_append_len(parse_of(parser)->name, at, (gssize)size);
 	return 0;
 }
 
 static int on_value(struct http_parser *parser, const char *at, size_t size)
 {
-	of(parser)->in_value = true;
-	g_string_append_len(of(parser)->value, at, (gssize)size);
+	parse_of(parser)->in_value = true;
+	g_string_append_len(parse_of(parser)->value, at, (gssize)size);
 	return 0;
 }
 
@@ -51,7 +51,8 @@
 	return parser->type == HTTP_RESPONSE && parser->status_code < 200;
 }
 
-/* Neither a length nor chunks tell where the body ends (RFC 9112, 6.3). */
+/* The body has neither a length nor chunks, so it ends with the connection
+ * (RFC 9112, 6.3). */
 static bool ends_with_connection(const struct http_parse *parse)
 {
 	const struct http_parser *parser = &parse->parser;
@@ -66,7 +67,7 @@
 
 static int on_head(struct http_parser *parser)
 {
-	struct http_parse *parse = of(parser);
+	struct http_parse *parse = parse_of(parser);
 
 	flush_field(parse);
 	if (is_interim(parser))
@@ -80,7 +81,7 @@
 
 static int on_body(struct http_parser *parser, const char *at, size_t size)
 {
-	struct http_parse *parse = of(parser);
+	struct http_parse *parse = parse_of(parser);
 
 	if (parse->body)
 		parse->body(parse->userdata, at, size);
@@ -89,7 +90,7 @@
 
 static int on_complete(struct http_parser *parser)
 {
-	struct http_parse *parse = of(parser);
+	struct http_parse *parse = parse_of(parser);
 
 	if (is_interim(parser)) {
 		g_array_set_size(parse->fields.items, 0);
@@ -112,7 +113,8 @@
 void http_parse_init(struct http_parse *parse, enum http_parser_type type)
 {
 	memset(parse, 0, sizeof(*parse));
-	/* Our own limit goes by the message's receiver. */
+	/* The library's limit is global; head_bytes_max limits each message
+	 * instead. */
 	http_parser_set_max_header_size(G_MAXINT32);
 	http_parser_init(&parse->parser, type);
 	parse->parser.data = parse;
@@ -144,12 +146,13 @@
 	parse->has_head = false;
 	parse->is_complete = false;
 	parse->ends_with_connection = false;
-	parse->last = 0;
+	parse->last_byte = 0;
 }
 
-/* A line of the head at a time, so that its end can be seen. */
-static size_t slice_of(const struct http_parse *parse, const char *bytes,
-		       size_t size)
+/* The head is parsed line by line, so that no byte after it is checked as a
+ * part of it. */
+static size_t next_slice_size(const struct http_parse *parse, const char *bytes,
+			      size_t size)
 {
 	const char *line_end;
 
@@ -161,11 +164,11 @@
 
 static int check_head(struct http_parse *parse, const char *bytes, size_t size)
 {
-	char before = size > 1 ? bytes[size - 2] : parse->last;
+	char before = size > 1 ? bytes[size - 2] : parse->last_byte;
 
 	if (bytes[size - 1] == '\n' && before != '\r')
 		return LP_ERROR_BAD_REQUEST;
-	parse->last = bytes[size - 1];
+	parse->last_byte = bytes[size - 1];
 	parse->head_bytes += size;
 	if (parse->head_bytes_max && parse->head_bytes > parse->head_bytes_max)
 		return LP_ERROR_TOO_LARGE;
@@ -178,7 +181,7 @@
 	*used = 0;
 	while (*used < size && !parse->is_complete) {
 		const char *slice = bytes + *used;
-		size_t slice_size = slice_of(parse, slice, size - *used);
+		size_t slice_size = next_slice_size(parse, slice, size - *used);
 		size_t taken;
 		int error = LP_OK;
 
--- a/http/http_server.c
+++ b/http/http_server.c
@@ -7,13 +7,14 @@
 
 #include <string.h>
 
-/* How often connections are looked through for silence. */
+/* Interval of checks for read and idle timeouts. */
 #define TIMEOUT_SWEEP_MS 250
-/* Bytes of a next request that are read ahead of its turn. */
+/* Limit of bytes read ahead while an answer is pending; reading pauses above
+ * it. */
 #define READ_AHEAD_MAX 65536
-/* Connections that wait to be taken. */
+/* Limit of connections that wait to be accepted. */
 #define BACKLOG 512
-/* New connections taken at one wake-up. */
+/* Limit of connections accepted in one event-loop iteration. */
 #define ACCEPTS_PER_WAKEUP 64
 
 struct conn;
@@ -30,12 +31,13 @@
 	struct http_sock *sock;
 	struct http_parse parse;
 	GByteArray *body;
-	GByteArray *ahead;
+	GByteArray *read_ahead;
 	struct http_call call;
-	int64_t since_us; /* of the request's first byte, or of the silence */
-	bool reading;	  /* a part of a request is here */
-	bool owed;	  /* a whole request waits for its answer */
-	bool refused;	  /* what still comes is thrown away */
+	int64_t phase_started_us; /* when the request's first byte arrived, or
+				     the idle time began */
+	bool request_started;	  /* a request has arrived in part */
+	bool answer_pending;	  /* a complete request waits for its answer */
+	bool is_rejected; /* its body is too large, or it got an error answer */
 };
 
 struct http_server {
@@ -44,14 +46,14 @@
 	GSource *source;
 	guint sweep;
 	GHashTable *conns;
-	GHashTable *delivering; /* closed, with bytes on their way */
-	GPtrArray *dropped;	/* connections that have ended, to be freed */
+	GHashTable *delivering;	 /* closed connections with unsent bytes */
+	GPtrArray *closed_conns; /* freed by the next sweep */
 	uint32_t busy;
 	bool draining;
 };
 
 static void begin_request(struct conn *conn);
-static void feed(struct conn *conn, const char *bytes, size_t size);
+static void parse_bytes(struct conn *conn, const char *bytes, size_t size);
 
 static int64_t now_us(const struct conn *conn)
 {
@@ -65,34 +67,34 @@
 	struct conn *conn = data;
 	http_parse_clear(&conn->parse);
 	g_byte_array_unref(conn->body);
-	g_byte_array_unref(conn->ahead);
+	g_byte_array_unref(conn->read_ahead);
 	g_free(conn);
 }
 
-static void set_reading(struct conn *conn, bool reading)
+static void set_request_started(struct conn *conn, bool request_started)
 {
-	if (conn->reading == reading)
+	if (conn->request_started == request_started)
 		return;
-	conn->reading = reading;
-	if (reading)
+	conn->request_started = request_started;
+	if (request_started)
 		conn->server->busy++;
-	else if (!conn->owed)
+	else if (!conn->answer_pending)
 		conn->server->busy--;
 }
 
-static void set_owed(struct conn *conn, bool owed)
+static void set_answer_pending(struct conn *conn, bool answer_pending)
 {
-	if (conn->owed == owed)
+	if (conn->answer_pending == answer_pending)
 		return;
-	conn->owed = owed;
-	if (!owed)
+	conn->answer_pending = answer_pending;
+	if (!answer_pending)
 		conn->server->busy--;
 }
 
-static void drop_conn(struct conn *conn, bool reset)
+static void close_conn(struct conn *conn, bool reset)
 {
-	set_owed(conn, false);
-	set_reading(conn, false);
+	set_answer_pending(conn, false);
+	set_request_started(conn, false);
 	g_hash_table_remove(conn->server->conns, conn);
 	if (!reset && http_sock_unsent_bytes(conn->sock)) {
 		g_hash_table_add(conn->server->delivering, conn);
@@ -103,37 +105,39 @@
 		http_sock_abort(conn->sock);
 	else
 		http_sock_close(conn->sock);
-	/* Whoever called may still look at it: freed by the next sweep. */
-	g_ptr_array_add(conn->server->dropped, conn);
+	/* Callers up the stack may still use it: freed by the next sweep. */
+	g_ptr_array_add(conn->server->closed_conns, conn);
 }
 
-static bool ends_connection(const struct conn *conn)
+static bool closes_after_answer(const struct conn *conn)
 {
-	return conn->server->draining || conn->refused ||
+	return conn->server->draining || conn->is_rejected ||
 	       !http_parse_keeps_alive(&conn->parse);
 }
 
-/* The answer has been written: the next request, or the end. */
-static void after_answer(struct conn *conn, bool ends)
+/* Begins the next request of the connection after an answer was written, or
+ * closes it. */
+static void finish_answer(struct conn *conn, bool closes)
 {
-	g_autoptr(GByteArray) ahead = NULL;
+	g_autoptr(GByteArray) read_ahead = NULL;
 
-	set_owed(conn, false);
-	if (ends) {
-		drop_conn(conn, false);
+	set_answer_pending(conn, false);
+	if (closes) {
+		close_conn(conn, false);
 		return;
 	}
 	begin_request(conn);
-	ahead = conn->ahead;
-	conn->ahead = g_byte_array_new();
+	read_ahead = conn->read_ahead;
+	conn->read_ahead = g_byte_array_new();
 	http_sock_pause(conn->sock, false);
-	if (ahead->len)
-		feed(conn, (const char *)ahead->data, ahead->len);
+	if (read_ahead->len)
+		parse_bytes(conn, (const char *)read_ahead->data,
+			    read_ahead->len);
 }
 
 static void write_head(struct conn *conn, uint32_t status,
 		       const struct http_fields *fields, const char *framing,
-		       bool ends)
+		       bool closes)
 {
 	g_autoptr(GString) head = g_string_new(NULL);
 
@@ -142,27 +146,27 @@
 	if (fields)
 		http_fields_print(fields, head);
 	g_string_append(head, framing);
-	if (ends)
+	if (closes)
 		g_string_append(head, "Connection: close\r\n");
 	g_string_append(head, "\r\n");
 	http_sock_write(conn->sock, head->str, head->len);
 }
 
-/* A refusal of the server itself: the connection ends, as what follows on it
- * is not known to be a request. */
-static void refuse(struct conn *conn, int error, uint32_t status)
+/* Answers with an error of the server itself. The connection is closed, as
+ * its next bytes may not be the start of a request. */
+static void reject(struct conn *conn, int error, uint32_t status)
 {
 	struct http_server *server = conn->server;
 
-	conn->refused = true;
+	conn->is_rejected = true;
 	write_head(conn, status, NULL, "Content-Length: 0\r\n", true);
 	if (server->options.refused)
 		server->options.refused(server->options.userdata, error,
 					status);
-	drop_conn(conn, false);
+	close_conn(conn, false);
 }
 
-/* ---- reading ---- */
+/* ---- reading requests ---- */
 
 static void on_head(void *userdata)
 {
@@ -170,19 +174,21 @@
 
 	if (http_fields_has_token(&conn->parse.fields, "Expect",
 				  "100-continue")) {
-		static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+		static const char continue_line[] =
+			"HTTP/1.1 100 Continue\r\n\r\n";
 
-		http_sock_write(conn->sock, go_on, sizeof(go_on) - 1);
+		http_sock_write(conn->sock, continue_line,
+				sizeof(continue_line) - 1);
 	}
 }
 
 static void on_body(void *userdata, const char *bytes, size_t size)
 {
 	struct conn *conn = userdata;
-	size_t most = conn->server->options.limits.body_bytes;
+	size_t limit = conn->server->options.limits.body_bytes;
 
-	if (most && conn->body->len + size > most)
-		conn->refused = true;
+	if (limit && conn->body->len + size > limit)
+		conn->is_rejected = true;
 	else
 		g_byte_array_append(conn->body, (const guint8 *)bytes,
 				    (guint)size);
@@ -195,67 +201,70 @@
 	g_byte_array_set_size(conn->body, 0);
 	memset(&conn->call, 0, sizeof(conn->call));
 	conn->call.conn = conn;
-	conn->since_us = now_us(conn);
+	conn->phase_started_us = now_us(conn);
 }
 
-static void take_request(struct conn *conn)
+static void dispatch_request(struct conn *conn)
 {
-	set_owed(conn, true);
-	conn->reading = false;
+	set_answer_pending(conn, true);
+	conn->request_started = false;
 	g_byte_array_append(conn->body, (const guint8 *)"", 1);
 	conn->server->options.request(conn->server->options.userdata,
 				      &conn->call);
 }
 
-static void judge_fed(struct conn *conn, int error)
+static void handle_parse_result(struct conn *conn, int error)
 {
 	if (error == LP_ERROR_TOO_LARGE)
-		refuse(conn, error, 431);
+		reject(conn, error, 431);
 	else if (error)
-		refuse(conn, error, 400);
-	else if (conn->refused)
-		refuse(conn, LP_ERROR_TOO_LARGE, 413);
+		reject(conn, error, 400);
+	else if (conn->is_rejected)
+		reject(conn, LP_ERROR_TOO_LARGE, 413);
 	else if (conn->parse.is_complete)
-		take_request(conn);
+		dispatch_request(conn);
 }
 
-static void feed(struct conn *conn, const char *bytes, size_t size)
+static void parse_bytes(struct conn *conn, const char *bytes, size_t size)
 {
 	size_t used;
 	int error;
 
-	if (!conn->reading) {
-		set_reading(conn, true);
-		conn->since_us = now_us(conn);
+	if (!conn->request_started) {
+		set_request_started(conn, true);
+		conn->phase_started_us = now_us(conn);
 	}
 
 	error = http_parse_feed(&conn->parse, bytes, size, &used);
 	if (!error && used < size)
-		g_byte_array_append(conn->ahead, (const guint8 *)bytes + used,
+		g_byte_array_append(conn->read_ahead,
+				    (const guint8 *)bytes + used,
 				    (guint)(size - used));
-	judge_fed(conn, error);
+	handle_parse_result(conn, error);
 }
 
 static void on_data(void *userdata, const char *bytes, size_t size)
 {
 	struct conn *conn = userdata;
 
-	if (!conn->owed) {
-		feed(conn, bytes, size);
+	if (!conn->answer_pending) {
+		parse_bytes(conn, bytes, size);
 		return;
 	}
-	g_byte_array_append(conn->ahead, (const guint8 *)bytes, (guint)size);
-	if (conn->ahead->len > READ_AHEAD_MAX)
+	g_byte_array_append(conn->read_ahead, (const guint8 *)bytes,
+			    (guint)size);
+	if (conn->read_ahead->len > READ_AHEAD_MAX)
 		http_sock_pause(conn->sock, true);
 }
 
 static void on_ended(void *userdata, int error)
 {
 	struct conn *conn = userdata;
-	void (*gone)(void *userdata) = conn->owed ? conn->call.gone : NULL;
+	void (*gone)(void *userdata) =
+		conn->answer_pending ? conn->call.gone : NULL;
 	void *gone_userdata = conn->call.gone_userdata;
 
-	drop_conn(conn, true);
+	close_conn(conn, true);
 	if (gone)
 		gone(gone_userdata);
 }
@@ -265,7 +274,7 @@
 	struct conn *conn = userdata;
 
 	g_hash_table_remove(conn->server->delivering, conn);
-	g_ptr_array_add(conn->server->dropped, conn);
+	g_ptr_array_add(conn->server->closed_conns, conn);
 }
 
 static const struct http_sock_events sock_events = {
@@ -274,7 +283,7 @@
 	.delivered = on_delivered,
 };
 
-/* ---- the listener ---- */
+/* ---- listener ---- */
 
 static void add_conn(struct http_server *server, GSocket *socket)
 {
@@ -282,7 +291,7 @@
 
 	conn->server = server;
 	conn->body = g_byte_array_new();
-	conn->ahead = g_byte_array_new();
+	conn->read_ahead = g_byte_array_new();
 	http_parse_init(&conn->parse, HTTP_REQUEST);
 	conn->parse.head = on_head;
 	conn->parse.body = on_body;
@@ -292,9 +301,9 @@
 	conn->sock = http_sock_from_accepted(socket, &sock_events, conn);
 }
 
-static void take(struct http_server *server, uint32_t most)
+static void accept_pending(struct http_server *server, uint32_t limit)
 {
-	for (uint32_t i = 0; i < most; i++) {
+	for (uint32_t i = 0; i < limit; i++) {
 		g_autoptr(GSocket) accepted =
 			g_socket_accept(server->listener, NULL, NULL);
 
@@ -307,22 +316,22 @@
 static gboolean on_accept(GSocket *socket, GIOCondition condition,
 			  gpointer userdata)
 {
-	take(userdata, ACCEPTS_PER_WAKEUP);
+	accept_pending(userdata, ACCEPTS_PER_WAKEUP);
 	return G_SOURCE_CONTINUE;
 }
 
-static void check_silence(struct conn *conn)
+static void check_timeouts(struct conn *conn)
 {
 	const struct http_limits *limits = &conn->server->options.limits;
-	int64_t silent_us = now_us(conn) - conn->since_us;
+	int64_t silent_us = now_us(conn) - conn->phase_started_us;
 
-	if (conn->owed)
+	if (conn->answer_pending)
 		return;
-	if (conn->reading) {
+	if (conn->request_started) {
 		if (limits->read_us && silent_us > limits->read_us)
-			refuse(conn, LP_ERROR_SLOW_REQUEST, 408);
+			reject(conn, LP_ERROR_SLOW_REQUEST, 408);
 	} else if (limits->idle_us && silent_us > limits->idle_us) {
-		drop_conn(conn, false);
+		close_conn(conn, false);
 	}
 }
 
@@ -332,8 +341,8 @@
 	g_autoptr(GList) conns = g_hash_table_get_keys(server->conns);
 
 	for (GList *at = conns; at; at = at->next)
-		check_silence(at->data);
-	g_ptr_array_set_size(server->dropped, 0);
+		check_timeouts(at->data);
+	g_ptr_array_set_size(server->closed_conns, 0);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -375,7 +384,7 @@
 	server->listener = listener;
 	server->conns = g_hash_table_new(NULL, NULL);
 	server->delivering = g_hash_table_new(NULL, NULL);
-	server->dropped = g_ptr_array_new_with_free_func(free_conn);
+	server->closed_conns = g_ptr_array_new_with_free_func(free_conn);
 	server->source = g_socket_create_source(listener, G_IO_IN, NULL);
 	g_source_set_callback(server->source, G_SOURCE_FUNC(on_accept), server,
 			      NULL);
@@ -388,13 +397,13 @@
 {
 	if (!server->source)
 		return;
-	take(server, BACKLOG);
+	accept_pending(server, BACKLOG);
 	g_source_destroy(server->source);
 	g_clear_pointer(&server->source, g_source_unref);
 	g_clear_object(&server->listener);
 }
 
-static void stop_delivering(gpointer key, gpointer value, gpointer userdata)
+static void abort_delivery(gpointer key, gpointer value, gpointer userdata)
 {
 	struct conn *conn = key;
 
@@ -402,11 +411,12 @@
 	free_conn(conn);
 }
 
-/* A reset tells that an answer is cut; where none is owed it could take with
- * it the last one, which the client has not read yet. */
-static void end_conn(struct conn *conn)
+/* A reset shows the client that its answer is truncated. Without a request
+ * under way the connection is closed in order, since a reset could discard
+ * the previous answer, which the client may not have read yet. */
+static void shut_down_conn(struct conn *conn)
 {
-	drop_conn(conn, conn->owed || conn->reading);
+	close_conn(conn, conn->answer_pending || conn->request_started);
 }
 
 void http_server_destroy(struct http_server *server)
@@ -419,11 +429,11 @@
 	g_source_remove(server->sweep);
 	conns = g_hash_table_get_keys(server->conns);
 	for (GList *at = conns; at; at = at->next)
-		end_conn(at->data);
-	g_hash_table_foreach(server->delivering, stop_delivering, NULL);
+		shut_down_conn(at->data);
+	g_hash_table_foreach(server->delivering, abort_delivery, NULL);
 	g_hash_table_unref(server->delivering);
 	g_hash_table_unref(server->conns);
-	g_ptr_array_unref(server->dropped);
+	g_ptr_array_unref(server->closed_conns);
 	g_free(server);
 }
 
@@ -438,8 +448,8 @@
 	server->draining = true;
 }
 
-/* Kept connections whose last answer is still on its way. */
-static uint32_t count_unsent(const struct http_server *server)
+/* Counts idle connections whose previous answer is not yet sent. */
+static uint32_t count_unsent_idle(const struct http_server *server)
 {
 	GHashTableIter iter;
 	gpointer key;
@@ -449,7 +459,7 @@
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
 		const struct conn *conn = key;
 
-		count += !conn->owed && !conn->reading &&
+		count += !conn->answer_pending && !conn->request_started &&
 			 http_sock_unsent_bytes(conn->sock);
 	}
 	return count;
@@ -458,10 +468,10 @@
 uint32_t http_server_busy_count(const struct http_server *server)
 {
 	return server->busy + g_hash_table_size(server->delivering) +
-	       count_unsent(server);
+	       count_unsent_idle(server);
 }
 
-/* ---- a call ---- */
+/* ---- calls ---- */
 
 const char *http_call_method(const struct http_call *call)
 {
@@ -492,7 +502,7 @@
 
 int64_t http_call_arrived_us(const struct http_call *call)
 {
-	return call->conn->since_us;
+	return call->conn->phase_started_us;
 }
 
 void http_call_set_disconnect_handler(struct http_call *call,
@@ -513,16 +523,16 @@
 		      size_t size)
 {
 	struct conn *conn = call->conn;
-	bool ends = ends_connection(conn);
+	bool closes = closes_after_answer(conn);
 	char framing[48];
 
 	g_snprintf(framing, sizeof(framing), "Content-Length: %zu\r\n", size);
 	if (status == 204 || status == 304)
 		framing[0] = '\0';
-	write_head(conn, status, fields, framing, ends);
+	write_head(conn, status, fields, framing, closes);
 	if (!is_head_method(conn) && size)
 		http_sock_write(conn->sock, body, size);
-	after_answer(conn, ends);
+	finish_answer(conn, closes);
 }
 
 void http_call_start(struct http_call *call, uint32_t status,
@@ -530,7 +540,7 @@
 {
 	call->started = true;
 	write_head(call->conn, status, fields, "Transfer-Encoding: chunked\r\n",
-		   ends_connection(call->conn));
+		   closes_after_answer(call->conn));
 }
 
 void http_call_write(struct http_call *call, const char *bytes, size_t size)
@@ -555,10 +565,10 @@
 	struct conn *conn = call->conn;
 
 	http_sock_write(conn->sock, "0\r\n\r\n", 5);
-	after_answer(conn, ends_connection(conn));
+	finish_answer(conn, closes_after_answer(conn));
 }
 
 void http_call_abort(struct http_call *call)
 {
-	drop_conn(call->conn, !call->started);
+	close_conn(call->conn, !call->started);
 }
--- a/http/http_sock.c
+++ b/http/http_sock.c
@@ -12,28 +12,31 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Bytes taken by one read: an answer of a plain service fits in one. */
+/* Limit of bytes read at once: an answer of a plain service fits in one
+ * read. */
 #define READ_BYTES_MAX 16384
-/* Unacknowledged bytes for this long end a connection: three times a round
- * trip with one retransmission after the usual second. */
+/* A connection whose sent bytes are not acknowledged for this long has
+ * failed: three times a round trip with one retransmission after the usual
+ * second. */
 #define UNACKED_TIMEOUT_MS 3000
-/* A closed connection whose peer takes nothing for so long is given up. */
+/* A closed connection is dropped if its peer acknowledges nothing for this
+ * long. */
 #define CLOSE_STALL_MS 2000
 
 struct http_sock {
 	GSocket *socket;
 	GSource *source;
 	gpointer tag;
-	guint linger; /* timer of a closed connection with bytes to deliver */
-	int64_t undelivered; /* bytes, when that timer was set */
+	guint close_timer; /* runs while a closed connection has unsent bytes */
+	int64_t undelivered_bytes; /* when that timer was set or last ran */
 	struct http_sock_events events;
 	void *userdata;
-	GByteArray *out;
-	size_t out_start; /* bytes of `out` already sent */
+	GByteArray *out_buffer;
+	size_t out_start; /* number of its bytes already sent */
 	bool connecting;
 	bool paused;
-	bool closed; /* by us: no more events */
-	bool over;   /* ended() was called */
+	bool closed;	/* by this side: no more events but delivered() */
+	bool has_ended; /* the source is removed */
 	bool sent_any;
 };
 
@@ -46,24 +49,24 @@
 {
 	struct http_sock *sock = data;
 
-	if (sock->linger)
-		g_source_remove(sock->linger);
+	if (sock->close_timer)
+		g_source_remove(sock->close_timer);
 	if (sock->source) {
 		g_source_destroy(sock->source);
 		g_source_unref(sock->source);
 	}
 	g_object_unref(sock->socket);
-	g_byte_array_unref(sock->out);
+	g_byte_array_unref(sock->out_buffer);
 }
 
-static void release(struct http_sock *sock)
+static void unref_sock(struct http_sock *sock)
 {
 	g_rc_box_release_full(sock, clear_sock);
 }
 
 size_t http_sock_unsent_bytes(const struct http_sock *sock)
 {
-	return sock->out->len - sock->out_start;
+	return sock->out_buffer->len - sock->out_start;
 }
 
 bool http_sock_has_sent(const struct http_sock *sock)
@@ -86,7 +89,7 @@
 {
 	GIOCondition condition = 0;
 
-	if (!sock->source || sock->over)
+	if (!sock->source || sock->has_ended)
 		return;
 	if (!sock->paused && !sock->connecting && !sock->closed)
 		condition |= G_IO_IN;
@@ -95,12 +98,12 @@
 	g_source_modify_unix_fd(sock->source, sock->tag, condition);
 }
 
-/* Nothing more can be done with the connection. */
-static void end(struct http_sock *sock, int error)
+/* Reports the end of the connection, once. */
+static void end_connection(struct http_sock *sock, int error)
 {
-	if (sock->over)
+	if (sock->has_ended)
 		return;
-	sock->over = true;
+	sock->has_ended = true;
 	g_source_destroy(sock->source);
 	if (!sock->closed) {
 		sock->events.ended(sock->userdata, error);
@@ -108,7 +111,7 @@
 	}
 	if (sock->events.delivered)
 		sock->events.delivered(sock->userdata);
-	release(sock); /* the one that http_sock_close() left */
+	unref_sock(sock); /* the reference kept by http_sock_close() */
 }
 
 static void send_queued(struct http_sock *sock)
@@ -116,24 +119,25 @@
 	int fd = g_socket_get_fd(sock->socket);
 
 	while (http_sock_unsent_bytes(sock)) {
-		ssize_t size = send(fd, sock->out->data + sock->out_start,
-				    http_sock_unsent_bytes(sock),
-				    MSG_NOSIGNAL | MSG_DONTWAIT);
+		ssize_t size =
+			send(fd, sock->out_buffer->data + sock->out_start,
+			     http_sock_unsent_bytes(sock),
+			     MSG_NOSIGNAL | MSG_DONTWAIT);
 
 		if (size < 0 && errno == EINTR)
 			continue;
 		if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
 			return;
 		if (size < 0) {
-			/* The reading side tells what became of it. */
-			g_byte_array_set_size(sock->out, 0);
+			/* The error is reported when the socket is read. */
+			g_byte_array_set_size(sock->out_buffer, 0);
 			sock->out_start = 0;
 			return;
 		}
 		sock->sent_any = true;
 		sock->out_start += (size_t)size;
 	}
-	g_byte_array_set_size(sock->out, 0);
+	g_byte_array_set_size(sock->out_buffer, 0);
 	sock->out_start = 0;
 }
 
@@ -142,10 +146,11 @@
 	g_autoptr(GError) gerror = NULL;
 
 	if (!g_socket_check_connect_result(sock->socket, &gerror)) {
-		end(sock, g_error_matches(gerror, G_IO_ERROR,
-					  G_IO_ERROR_CONNECTION_REFUSED)
-				  ? LP_ERROR_NOT_LISTENING
-				  : LP_ERROR_UPSTREAM_GONE);
+		end_connection(sock,
+			       g_error_matches(gerror, G_IO_ERROR,
+					       G_IO_ERROR_CONNECTION_REFUSED)
+				       ? LP_ERROR_NOT_LISTENING
+				       : LP_ERROR_UPSTREAM_GONE);
 		return;
 	}
 	sock->connecting = false;
@@ -154,7 +159,7 @@
 		sock->events.connected(sock->userdata);
 }
 
-static void read_some(struct http_sock *sock)
+static void read_available(struct http_sock *sock)
 {
 	char buffer[READ_BYTES_MAX];
 	ssize_t size = recv(g_socket_get_fd(sock->socket), buffer,
@@ -163,9 +168,9 @@
 	if (size > 0)
 		sock->events.data(sock->userdata, buffer, (size_t)size);
 	else if (!size)
-		end(sock, LP_OK);
+		end_connection(sock, LP_OK);
 	else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)
-		end(sock, LP_ERROR_UPSTREAM_GONE);
+		end_connection(sock, LP_ERROR_UPSTREAM_GONE);
 }
 
 static gboolean dispatch(GSource *source, GSourceFunc callback,
@@ -181,29 +186,30 @@
 	} else {
 		if (ready & G_IO_OUT)
 			send_queued(sock);
-		if (!sock->closed && !sock->over &&
+		if (!sock->closed && !sock->has_ended &&
 		    (ready & (G_IO_IN | G_IO_HUP | G_IO_ERR)))
-			read_some(sock);
+			read_available(sock);
 	}
-	if (sock->closed && !sock->over && !http_sock_unsent_bytes(sock))
-		end(sock, LP_OK);
-	if (!sock->over)
+	if (sock->closed && !sock->has_ended && !http_sock_unsent_bytes(sock))
+		end_connection(sock, LP_OK);
+	if (!sock->has_ended)
 		update_interest(sock);
-	release(sock);
+	unref_sock(sock);
 	return G_SOURCE_CONTINUE;
 }
 
 static GSourceFuncs source_funcs = { .dispatch = dispatch };
 
-static struct http_sock *
-create(GSocket *socket, const struct http_sock_events *events, void *userdata)
+static struct http_sock *create_sock(GSocket *socket,
+				     const struct http_sock_events *events,
+				     void *userdata)
 {
 	struct http_sock *sock = g_rc_box_new0(struct http_sock);
 
 	sock->socket = socket;
 	sock->events = *events;
 	sock->userdata = userdata;
-	sock->out = g_byte_array_new();
+	sock->out_buffer = g_byte_array_new();
 
 	g_socket_set_blocking(socket, FALSE);
 	g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
@@ -212,7 +218,7 @@
 	return sock;
 }
 
-static void watch(struct http_sock *sock)
+static void add_source(struct http_sock *sock)
 {
 	sock->source = g_source_new(&source_funcs, sizeof(struct sock_source));
 	((struct sock_source *)sock->source)->sock = sock;
@@ -226,9 +232,10 @@
 					  const struct http_sock_events *events,
 					  void *userdata)
 {
-	struct http_sock *sock = create(g_object_ref(socket), events, userdata);
+	struct http_sock *sock =
+		create_sock(g_object_ref(socket), events, userdata);
 
-	watch(sock);
+	add_source(sock);
 	return sock;
 }
 
@@ -260,22 +267,23 @@
 			      G_SOCKET_PROTOCOL_TCP, NULL);
 	if (!socket)
 		return NULL;
-	sock = create(socket, events, userdata);
+	sock = create_sock(socket, events, userdata);
 	sock->connecting = true;
 	if (!g_socket_connect(socket, to, NULL, &gerror) &&
 	    !g_error_matches(gerror, G_IO_ERROR, G_IO_ERROR_PENDING)) {
-		release(sock);
+		unref_sock(sock);
 		return NULL;
 	}
-	watch(sock);
+	add_source(sock);
 	return sock;
 }
 
 void http_sock_write(struct http_sock *sock, const char *bytes, size_t size)
 {
-	if (sock->over || sock->closed)
+	if (sock->has_ended || sock->closed)
 		return;
-	g_byte_array_append(sock->out, (const guint8 *)bytes, (guint)size);
+	g_byte_array_append(sock->out_buffer, (const guint8 *)bytes,
+			    (guint)size);
 	if (!sock->connecting)
 		send_queued(sock);
 	update_interest(sock);
@@ -289,8 +297,9 @@
 	update_interest(sock);
 }
 
-/* Bytes that the peer has not acknowledged, here and in the system. */
-static int64_t undelivered(const struct http_sock *sock)
+/* Number of bytes that the peer has not acknowledged, queued here or in the
+ * system. */
+static int64_t undelivered_bytes(const struct http_sock *sock)
 {
 	int queued = 0;
 
@@ -298,34 +307,37 @@
 	return (int64_t)http_sock_unsent_bytes(sock) + queued;
 }
 
-static gboolean on_linger(gpointer userdata)
+static gboolean on_close_stalled(gpointer userdata)
 {
 	struct http_sock *sock = userdata;
-	int64_t before = sock->undelivered;
+	int64_t before = sock->undelivered_bytes;
 
-	sock->undelivered = undelivered(sock);
-	if (sock->undelivered < before)
+	sock->undelivered_bytes = undelivered_bytes(sock);
+	if (sock->undelivered_bytes < before)
 		return G_SOURCE_CONTINUE;
-	sock->linger = 0;
-	end(sock, LP_ERROR_UPSTREAM_GONE);
+	sock->close_timer = 0;
+	end_connection(sock, LP_ERROR_UPSTREAM_GONE);
 	return G_SOURCE_REMOVE;
 }
 
 void http_sock_close(struct http_sock *sock)
 {
 	sock->closed = true;
-	if (!sock->over && !sock->connecting && http_sock_unsent_bytes(sock)) {
-		sock->undelivered = undelivered(sock);
-		sock->linger = lp_timer_add(CLOSE_STALL_MS, on_linger, sock);
+	if (!sock->has_ended && !sock->connecting &&
+	    http_sock_unsent_bytes(sock)) {
+		sock->undelivered_bytes = undelivered_bytes(sock);
+		sock->close_timer =
+			lp_timer_add(CLOSE_STALL_MS, on_close_stalled, sock);
 		update_interest(sock);
 		return;
 	}
-	sock->over = true;
+	sock->has_ended = true;
 	if (sock->source)
 		g_source_destroy(sock->source);
-	/* Before the last reference goes, so that the peer hears of it now. */
+	/* Closes before the last reference is dropped, so that the peer is
+	 * notified now. */
 	g_socket_close(sock->socket, NULL);
-	release(sock);
+	unref_sock(sock);
 }
 
 void http_sock_abort(struct http_sock *sock)
@@ -334,7 +346,7 @@
 
 	setsockopt(g_socket_get_fd(sock->socket), SOL_SOCKET, SO_LINGER, &reset,
 		   sizeof(reset));
-	g_byte_array_set_size(sock->out, 0);
+	g_byte_array_set_size(sock->out_buffer, 0);
 	sock->out_start = 0;
 	http_sock_close(sock);
 }
--- a/http/http_sock.h
+++ b/http/http_sock.h
@@ -1,10 +1,13 @@
 /**
- * One TCP connection on the main loop: bytes in as they come, bytes out
- * through a queue.
+ * A non-blocking TCP connection on the GLib main loop, with a queue of outgoing
+ * bytes.
  *
- * Reading goes on while an answer is awaited, so that a peer that leaves is
- * noticed at once. Bytes may be written before the connection stands; none of
- * them leaves before that.
+ * Reading goes on while an answer is pending, so that a peer's disconnect is
+ * noticed at once. Bytes may be written before the connection is established;
+ * they are sent after that.
+ *
+ * The caller owns the connection until http_sock_close() or http_sock_abort(),
+ * also after ended().
  */
 #ifndef HTTP_SOCK_H
 #define HTTP_SOCK_H
@@ -15,53 +18,55 @@
 
 struct http_sock;
 
-/** Of these only delivered() is called after http_sock_close(). */
+/** Callbacks. After http_sock_close(), only delivered() is called. */
 struct http_sock_events {
-	/** Outgoing connections: it stands. May be NULL. */
+	/** Called when an outgoing connection is established. May be NULL. */
 	void (*connected)(void *userdata);
 	void (*data)(void *userdata, const char *bytes, size_t size);
 	/**
-	 * The connection is over. LP_OK: the peer ended its side in order;
-	 * LP_ERROR_UPSTREAM_GONE: it was reset, or never came to stand;
-	 * LP_ERROR_NOT_LISTENING: its host refused it, as nobody listens there.
+	 * Called when the connection is over. LP_OK: the peer closed its side
+	 * in order; LP_ERROR_UPSTREAM_GONE: the connection was reset, or could
+	 * not be established; LP_ERROR_NOT_LISTENING: the peer's host refused
+	 * it, as no process listens on that port.
 	 */
 	void (*ended)(void *userdata, int error);
 	/**
-	 * What http_sock_close() left to be delivered has been taken by the
-	 * system, or was given up: the last word of it. May be NULL.
+	 * Called after http_sock_close() with unsent bytes, once the system has
+	 * taken them or they were dropped; the connection is freed afterwards.
+	 * May be NULL.
 	 */
 	void (*delivered)(void *userdata);
 };
 
-/** Take over an accepted socket. */
+/** Create a connection from an accepted socket; takes a reference. */
 struct http_sock *http_sock_from_accepted(GSocket *socket,
 					  const struct http_sock_events *events,
 					  void *userdata);
 /**
- * Begin to connect to "IP:PORT". Returns NULL when the address is not one or
- * no socket can be had.
+ * Start connecting to "IP:PORT". Returns NULL if the address is invalid or no
+ * socket can be created.
  */
 struct http_sock *http_sock_connect(const char *address,
 				    const struct http_sock_events *events,
 				    void *userdata);
-/** Bytes that wait beyond the socket's own buffer are kept here. */
+/** Send bytes; those that the socket's buffer does not take are queued. */
 void http_sock_write(struct http_sock *sock, const char *bytes, size_t size);
-/** Bytes written and not yet taken by the socket. */
+/** Number of bytes that were written and are still queued. */
 size_t http_sock_unsent_bytes(const struct http_sock *sock);
-/** Whether any byte has left: before that, nothing can have been read. */
+/** Whether any byte was sent; if none was, the peer cannot have read any. */
 bool http_sock_has_sent(const struct http_sock *sock);
-/** The peer's IP address, "" if it has gone; g_free(). */
+/** The peer's IP address, "" if it disconnected; g_free(). */
 char *http_sock_peer_ip(const struct http_sock *sock);
-/** Stop or go on reading. */
+/** Pause or resume reading. */
 void http_sock_pause(struct http_sock *sock, bool pause);
 /**
- * Close in order, once what was written has left. It is given up when the peer
- * takes nothing of it for two seconds. With nothing unsent the socket is gone
- * on return, else after delivered().
+ * Close in order after the queued bytes are sent. The bytes are dropped if the
+ * peer takes none of them for two seconds. Without queued bytes the connection
+ * is freed on return, else after delivered().
  */
 void http_sock_close(struct http_sock *sock);
 /**
- * Close at once with a reset; what was written may be lost. Allowed also
+ * Close at once with a reset; queued and sent bytes may be lost. Also allowed
  * between http_sock_close() and delivered(), which is then not called.
  */
 void http_sock_abort(struct http_sock *sock);
