--- a/tests/feed_test.cc
+++ b/tests/feed_test.cc
@@ -1,14 +1,14 @@
 /*
- * The watch of the configuration, among looks at the list that fail and
- * answers that begin and end in any order.
+ * Restarts of the configuration's watch while polls of the list fail and
+ * answers begin and end in any order.
  *
- * Seen: of 68 entries that start together 1 to 14 never had a configuration.
- * How it came about: a look failed; the first byte of the next one began the
- * watch again; that watch ended with an error before the look had come whole.
- * Cause: the end of a watch set no timer while a look counted as failed, and
- * the whole look began no watch since its first byte had done so. What proved
- * it: each such entry had a list, no configuration, and no call of the watch
- * under way or due.
+ * The failure guarded against: of 68 entries that started together, 1 to 14
+ * never received a configuration. A poll failed, the first byte of the next
+ * poll's answer restarted the watch, and the watch failed before that answer
+ * was complete. The end of the watch set no timer while the last poll counted
+ * as failed, and the complete answer did not restart the watch since its first
+ * byte had done so. Each such entry had a list, no configuration, and no call
+ * of the watch under way or scheduled.
  */
 #include "cwrap.h"
 
@@ -17,7 +17,7 @@
 namespace
 {
 
-/* A key-value service whose answers the test gives. */
+/* A key-value service whose answers are given by the test. */
 struct ScriptedStore {
 	store_kv base;
 	void (*range_done)(void *, const store_answer *) = nullptr;
@@ -26,8 +26,8 @@
 	void *watch_userdata = nullptr;
 	void (*answering)(void *) = nullptr;
 	void *answering_userdata = nullptr;
-	bool watched = false;
-	int watches = 0;
+	bool watch_running = false;
+	int watch_starts = 0;
 
 	ScriptedStore()
 	{
@@ -53,10 +53,12 @@
 			       const store_watch *watch) {
 			of(kv)->watch_ended = watch->ended;
 			of(kv)->watch_userdata = watch->userdata;
-			of(kv)->watched = true;
-			of(kv)->watches++;
+			of(kv)->watch_running = true;
+			of(kv)->watch_starts++;
+		};
+		ops.unwatch = [](store_kv *kv) {
+			of(kv)->watch_running = false;
 		};
-		ops.unwatch = [](store_kv *kv) { of(kv)->watched = false; };
 		ops.watch_waits = [](const store_kv *) { return true; };
 		ops.tell_answering = [](store_kv *kv, void (*answering)(void *),
 					void *userdata) {
@@ -65,15 +67,15 @@
 		};
 		return ops;
 	}
-	bool looking() const
+	bool poll_pending() const
 	{
 		return range_done != nullptr;
 	}
-	void first_byte()
+	void begin_answer()
 	{
 		answering(answering_userdata);
 	}
-	void look_ends(int error)
+	void finish_poll(int error)
 	{
 		auto done = range_done;
 		store_answer answer = {};
@@ -82,14 +84,14 @@
 		range_done = nullptr;
 		done(range_userdata, &answer);
 	}
-	void watch_ends()
+	void fail_watch()
 	{
-		watched = false;
+		watch_running = false;
 		watch_ended(watch_userdata, LP_ERROR_PLATFORM_DOWN);
 	}
 };
 
-/* A feed on it. */
+/* A feed that uses a ScriptedStore. */
 struct ScriptedFeed {
 	Rig rig;
 	ScriptedStore store;
@@ -113,51 +115,54 @@
 	{
 		plf_feed_destroy(feed);
 	}
-	int64_t *running()
+	int64_t *watch_running_gauge()
 	{
 		return lp_counter(rig.counters, "linepier_config_watch_running",
 				  nullptr);
 	}
-	void look_fails()
+	void fail_poll()
 	{
-		ASSERT_TRUE(turn_until([this] { return store.looking(); }));
-		store.look_ends(LP_ERROR_PLATFORM_DOWN);
+		ASSERT_TRUE(
+			turn_until([this] { return store.poll_pending(); }));
+		store.finish_poll(LP_ERROR_PLATFORM_DOWN);
 	}
 };
 
-TEST(Feed, AWatchThatEndsBetweenALooksFirstByteAndItsEndBeginsAgain)
+TEST(Feed, RestartsWatchThatFailsWhileAPollsAnswerArrives)
 {
 	ScriptedFeed scripted;
 	ScriptedStore &store = scripted.store;
-	int watches;
+	int watch_starts;
 
-	scripted.look_fails();
-	ASSERT_TRUE(turn_until([&] { return store.looking(); }));
-	store.first_byte();
-	store.watch_ends();
-	EXPECT_EQ(*scripted.running(), 0);
-	store.look_ends(LP_OK);
-	watches = store.watches;
-	EXPECT_TRUE(turn_until([&] { return store.watches > watches; }, 5000));
-	EXPECT_EQ(*scripted.running(), 1);
+	scripted.fail_poll();
+	ASSERT_TRUE(turn_until([&] { return store.poll_pending(); }));
+	store.begin_answer();
+	store.fail_watch();
+	EXPECT_EQ(*scripted.watch_running_gauge(), 0);
+	store.finish_poll(LP_OK);
+	watch_starts = store.watch_starts;
+	EXPECT_TRUE(turn_until(
+		[&] { return store.watch_starts > watch_starts; }, 5000));
+	EXPECT_EQ(*scripted.watch_running_gauge(), 1);
 }
 
-/* ... and one that ends while nothing is answered waits for the next answer. */
-TEST(Feed, AWatchThatEndsWhileLooksFailBeginsWithTheNextAnswer)
+/* A watch that fails while the service does not answer is restarted with the
+ * next answer. */
+TEST(Feed, RestartsWatchThatFailsDuringAnOutageWithTheNextAnswer)
 {
 	ScriptedFeed scripted;
 	ScriptedStore &store = scripted.store;
-	int watches;
+	int watch_starts;
 
-	scripted.look_fails();
-	store.watch_ends();
-	watches = store.watches;
-	ASSERT_TRUE(turn_until([&] { return store.looking(); }));
-	EXPECT_EQ(store.watches, watches);
-	store.first_byte();
-	EXPECT_EQ(store.watches, watches + 1);
-	store.look_ends(LP_OK);
-	EXPECT_EQ(store.watches, watches + 1);
+	scripted.fail_poll();
+	store.fail_watch();
+	watch_starts = store.watch_starts;
+	ASSERT_TRUE(turn_until([&] { return store.poll_pending(); }));
+	EXPECT_EQ(store.watch_starts, watch_starts);
+	store.begin_answer();
+	EXPECT_EQ(store.watch_starts, watch_starts + 1);
+	store.finish_poll(LP_OK);
+	EXPECT_EQ(store.watch_starts, watch_starts + 1);
 }
 
 } // namespace
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -1,4 +1,5 @@
-/* http/: what a peer may do to a connection, and what must come of it. */
+/* HTTP parser, server and client: malformed, incomplete, slow and
+ * disconnecting peers. */
 #include "cwrap.h"
 
 #include <gtest/gtest.h>
@@ -14,8 +15,8 @@
 namespace
 {
 
-/* Turns the main loop until `done`, for ten seconds at the most. */
-bool turn_until(const std::function<bool()> &done)
+/* Iterates the main loop until `done`, for at most ten seconds. */
+bool iterate_until(const std::function<bool()> &done)
 {
 	const gint64 end_us = g_get_monotonic_time() + 10 * G_USEC_PER_SEC;
 	const guint ticks = g_timeout_add(
@@ -30,14 +31,14 @@
 
 /* ---- the parser ---- */
 
-struct Parsed {
+struct ParserFixture {
 	http_parse parse;
 
-	explicit Parsed(http_parser_type type)
+	explicit ParserFixture(http_parser_type type)
 	{
 		http_parse_init(&parse, type);
 	}
-	~Parsed()
+	~ParserFixture()
 	{
 		http_parse_clear(&parse);
 	}
@@ -49,21 +50,21 @@
 	}
 };
 
-TEST(HttpParse, TakesARequestByteByByte)
+TEST(HttpParse, ParsesARequestByteByByte)
 {
-	Parsed parsed(HTTP_REQUEST);
+	ParserFixture parser(HTTP_REQUEST);
 	const std::string text = "POST /a/b?c HTTP/1.1\r\nHost: h\r\n"
 				 "Content-Length: 3\r\n\r\nxyz";
 
 	for (char c : text)
-		ASSERT_EQ(parsed.feed(std::string(1, c)), LP_OK);
-	EXPECT_TRUE(parsed.parse.is_complete);
-	EXPECT_STREQ(parsed.parse.target->str, "/a/b?c");
-	EXPECT_STREQ(http_fields_get(&parsed.parse.fields, "HOST"), "h");
+		ASSERT_EQ(parser.feed(std::string(1, c)), LP_OK);
+	EXPECT_TRUE(parser.parse.is_complete);
+	EXPECT_STREQ(parser.parse.target->str, "/a/b?c");
+	EXPECT_STREQ(http_fields_get(&parser.parse.fields, "HOST"), "h");
 }
 
-/* What two receivers may read in two ways is refused. */
-TEST(HttpParse, RefusesWhatCanBeReadInTwoWays)
+/* Requests that two receivers may parse differently are rejected. */
+TEST(HttpParse, RejectsAmbiguousRequests)
 {
 	const char *const bad[] = {
 		"GET / HTTP/1.1\nHost: h\r\n\r\n",
@@ -79,42 +80,42 @@
 	};
 
 	for (const char *text : bad) {
-		Parsed parsed(HTTP_REQUEST);
+		ParserFixture parser(HTTP_REQUEST);
 
-		EXPECT_EQ(parsed.feed(text), LP_ERROR_BAD_REQUEST) << text;
+		EXPECT_EQ(parser.feed(text), LP_ERROR_BAD_REQUEST) << text;
 	}
 }
 
-TEST(HttpParse, BoundsTheHead)
+TEST(HttpParse, LimitsHeadSize)
 {
-	Parsed parsed(HTTP_REQUEST);
+	ParserFixture parser(HTTP_REQUEST);
 
-	parsed.parse.head_bytes_max = 64;
-	EXPECT_EQ(parsed.feed("GET / HTTP/1.1\r\nX: " + std::string(100, 'y')),
+	parser.parse.head_bytes_max = 64;
+	EXPECT_EQ(parser.feed("GET / HTTP/1.1\r\nX: " + std::string(100, 'y')),
 		  LP_ERROR_TOO_LARGE);
 }
 
 TEST(HttpParse, SkipsInterimAnswersAndTheirFields)
 {
-	Parsed parsed(HTTP_RESPONSE);
+	ParserFixture parser(HTTP_RESPONSE);
 
-	ASSERT_EQ(parsed.feed("HTTP/1.1 103 Early\r\nX-Interim: 1\r\n\r\n"
+	ASSERT_EQ(parser.feed("HTTP/1.1 103 Early\r\nX-Interim: 1\r\n\r\n"
 			      "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
 		  LP_OK);
-	EXPECT_TRUE(parsed.parse.is_complete);
-	EXPECT_EQ(parsed.parse.parser.status_code, 200u);
-	EXPECT_EQ(http_fields_get(&parsed.parse.fields, "X-Interim"), nullptr);
+	EXPECT_TRUE(parser.parse.is_complete);
+	EXPECT_EQ(parser.parse.parser.status_code, 200u);
+	EXPECT_EQ(http_fields_get(&parser.parse.fields, "X-Interim"), nullptr);
 }
 
 /* ---- the server ---- */
 
-struct Served {
+struct TestServer {
 	http_server *server = nullptr;
 	std::string address;
 	std::function<void(http_call *)> answer;
-	int refusals = 0;
+	int rejections = 0;
 
-	explicit Served(http_limits limits = { 1024, 1024, 0, 0 })
+	explicit TestServer(http_limits limits = { 1024, 1024, 0, 0 })
 	{
 		http_server_options options = {};
 		int error;
@@ -125,10 +126,10 @@
 			options.clock = lp_clock_boot();
 			options.limits = limits;
 			options.request = [](void *self, http_call *call) {
-				static_cast<Served *>(self)->answer(call);
+				static_cast<TestServer *>(self)->answer(call);
 			};
 			options.refused = [](void *self, int, uint32_t) {
-				static_cast<Served *>(self)->refusals++;
+				static_cast<TestServer *>(self)->rejections++;
 			};
 			options.userdata = this;
 			server = http_server_create(&options, &error);
@@ -137,76 +138,77 @@
 			http_call_answer(call, 200, nullptr, "ok", 2);
 		};
 	}
-	~Served()
+	~TestServer()
 	{
 		http_server_destroy(server);
 	}
 };
 
-/* A bare connection that keeps what it hears. */
-struct Raw {
+/* A TCP client that stores the received bytes. */
+struct RawClient {
 	http_sock *sock;
-	std::string heard;
+	std::string received;
 	bool ended = false;
 	int error = LP_OK;
 
-	explicit Raw(const std::string &address)
+	explicit RawClient(const std::string &address)
 	{
 		static const http_sock_events events = {
 			nullptr,
 			[](void *self, const char *bytes, size_t size) {
-				static_cast<Raw *>(self)->heard.append(bytes,
-								       size);
+				static_cast<RawClient *>(self)->received.append(
+					bytes, size);
 			},
 			[](void *self, int error) {
-				static_cast<Raw *>(self)->ended = true;
-				static_cast<Raw *>(self)->error = error;
+				static_cast<RawClient *>(self)->ended = true;
+				static_cast<RawClient *>(self)->error = error;
 			},
 			nullptr,
 		};
 
 		sock = http_sock_connect(address.c_str(), &events, this);
 	}
-	~Raw()
+	~RawClient()
 	{
 		if (sock)
 			http_sock_abort(sock);
 	}
-	void say(const std::string &text)
+	void send(const std::string &text)
 	{
 		http_sock_write(sock, text.data(), text.size());
 	}
-	bool hears(const std::string &text)
+	bool receives(const std::string &text)
 	{
-		return turn_until(
-			[&] { return heard.find(text) != std::string::npos; });
+		return iterate_until([&] {
+			return received.find(text) != std::string::npos;
+		});
 	}
-	void leave()
+	void disconnect()
 	{
 		http_sock_abort(sock);
 		sock = nullptr;
 	}
 };
 
-TEST(HttpServer, AnswersRequestsOfOneConnectionInTurn)
+TEST(HttpServer, AnswersPipelinedRequestsInOrder)
 {
-	Served served;
-	Raw raw(served.address);
+	TestServer test_server;
+	RawClient client(test_server.address);
 
-	served.answer = [](http_call *call) {
+	test_server.answer = [](http_call *call) {
 		const char *target = http_call_target(call);
 
 		http_call_answer(call, 200, nullptr, target, strlen(target));
 	};
-	raw.say("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
-		"GET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
-	ASSERT_TRUE(raw.hears("/2"));
-	EXPECT_LT(raw.heard.find("/1"), raw.heard.find("/2"));
-	EXPECT_FALSE(raw.ended);
-	EXPECT_EQ(http_server_busy_count(served.server), 0u);
+	client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
+		    "GET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
+	ASSERT_TRUE(client.receives("/2"));
+	EXPECT_LT(client.received.find("/1"), client.received.find("/2"));
+	EXPECT_FALSE(client.ended);
+	EXPECT_EQ(http_server_busy_count(test_server.server), 0u);
 }
 
-TEST(HttpServer, RefusesWhatItCannotTake)
+TEST(HttpServer, RejectsMalformedAndTooLargeRequests)
 {
 	const struct {
 		const char *text;
@@ -217,121 +219,124 @@
 	};
 
 	for (const auto &row : cases) {
-		Served served;
-		Raw raw(served.address);
+		TestServer test_server;
+		RawClient client(test_server.address);
 
-		raw.say(row.text);
-		raw.say(std::string(2000, 'x'));
-		EXPECT_TRUE(raw.hears(row.status)) << row.text;
-		EXPECT_EQ(served.refusals, 1);
+		client.send(row.text);
+		client.send(std::string(2000, 'x'));
+		EXPECT_TRUE(client.receives(row.status)) << row.text;
+		EXPECT_EQ(test_server.rejections, 1);
 	}
 }
 
-TEST(HttpServer, RefusesARequestThatDoesNotArrive)
+TEST(HttpServer, TimesOutAnIncompleteRequest)
 {
-	Served served({ 1024, 1024, 50000, 0 });
-	Raw raw(served.address);
+	TestServer test_server({ 1024, 1024, 50000, 0 });
+	RawClient client(test_server.address);
 
-	raw.say("GET / HTTP/1.1\r\nHos");
-	EXPECT_TRUE(raw.hears(" 408 "));
+	client.send("GET / HTTP/1.1\r\nHos");
+	EXPECT_TRUE(client.receives(" 408 "));
 }
 
-TEST(HttpServer, EndsConnectionsThatStayIdle)
+TEST(HttpServer, ClosesIdleConnections)
 {
-	Served served({ 1024, 1024, 0, 50000 });
-	Raw raw(served.address);
+	TestServer test_server({ 1024, 1024, 0, 50000 });
+	RawClient client(test_server.address);
 
-	EXPECT_TRUE(turn_until([&] { return raw.ended; }));
-	EXPECT_EQ(raw.error, LP_OK);
+	EXPECT_TRUE(iterate_until([&] { return client.ended; }));
+	EXPECT_EQ(client.error, LP_OK);
 }
 
-TEST(HttpServer, TellsOfAClientThatLeavesWhileItWaits)
+TEST(HttpServer, ReportsClientDisconnectWhileAnswerIsPending)
 {
-	Served served;
-	Raw raw(served.address);
-	bool asked = false;
+	TestServer test_server;
+	RawClient client(test_server.address);
+	bool request_received = false;
 	bool gone = false;
 
-	served.answer = [&](http_call *call) {
-		asked = true;
+	test_server.answer = [&](http_call *call) {
+		request_received = true;
 		http_call_set_disconnect_handler(
 			call, [](void *flag) { *(bool *)flag = true; }, &gone);
 	};
-	raw.say("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	ASSERT_TRUE(turn_until([&] { return asked; }));
-	EXPECT_EQ(http_server_busy_count(served.server), 1u);
-	raw.leave();
-	EXPECT_TRUE(turn_until([&] { return gone; }));
-	EXPECT_EQ(http_server_busy_count(served.server), 0u);
+	client.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+	ASSERT_TRUE(iterate_until([&] { return request_received; }));
+	EXPECT_EQ(http_server_busy_count(test_server.server), 1u);
+	client.disconnect();
+	EXPECT_TRUE(iterate_until([&] { return gone; }));
+	EXPECT_EQ(http_server_busy_count(test_server.server), 0u);
 }
 
-TEST(HttpServer, AnAnswerThatIsCutDoesNotLookComplete)
+TEST(HttpServer, AbortedAnswerIsNotTerminated)
 {
-	Served served;
-	Raw raw(served.address);
+	TestServer test_server;
+	RawClient client(test_server.address);
 
-	served.answer = [](http_call *call) {
+	test_server.answer = [](http_call *call) {
 		http_call_start(call, 200, nullptr);
 		http_call_write(call, "part", 4);
 		http_call_abort(call);
 	};
-	raw.say("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	ASSERT_TRUE(turn_until([&] { return raw.ended; }));
-	EXPECT_NE(raw.heard.find("part"), std::string::npos);
-	EXPECT_EQ(raw.heard.find("0\r\n\r\n"), std::string::npos);
+	client.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+	ASSERT_TRUE(iterate_until([&] { return client.ended; }));
+	EXPECT_NE(client.received.find("part"), std::string::npos);
+	EXPECT_EQ(client.received.find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST(HttpServer, DrainingEndsEachConnectionWithItsAnswer)
+TEST(HttpServer, DrainingClosesConnectionAfterAnswer)
 {
-	Served served;
-	Raw raw(served.address);
-
-	http_server_drain(served.server);
-	raw.say("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	ASSERT_TRUE(turn_until([&] { return raw.ended; }));
-	EXPECT_NE(raw.heard.find("Connection: close"), std::string::npos);
-	EXPECT_NE(raw.heard.find("ok"), std::string::npos);
+	TestServer test_server;
+	RawClient client(test_server.address);
+
+	http_server_drain(test_server.server);
+	client.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+	ASSERT_TRUE(iterate_until([&] { return client.ended; }));
+	EXPECT_NE(client.received.find("Connection: close"), std::string::npos);
+	EXPECT_NE(client.received.find("ok"), std::string::npos);
 }
 
-/* A closed connection was given two seconds to deliver its answer, also if its
- * client was reading all the time, and the server was said to be idle
- * meanwhile: an entry that ended cut the answer. */
-TEST(HttpServer, AnAnswerIsOwedUntilASlowReaderHasIt)
+/* A closing connection had two seconds in all to deliver its answer, even if
+ * its client kept reading, and the server counted as idle during that time:
+ * an entry that terminated truncated the answer. */
+TEST(HttpServer, DeliversAnswerToSlowReaderBeforeClosing)
 {
 	const std::string body(24000000, 'x');
-	Served served;
-	Raw raw(served.address);
+	TestServer test_server;
+	RawClient client(test_server.address);
 	gint64 begun_us = g_get_monotonic_time();
 	bool answered = false;
 
-	http_server_drain(served.server);
-	served.answer = [&](http_call *call) {
+	http_server_drain(test_server.server);
+	test_server.answer = [&](http_call *call) {
 		http_call_answer(call, 200, nullptr, body.data(), body.size());
 		answered = true;
 	};
-	raw.say("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	ASSERT_TRUE(turn_until([&] { return answered; }));
+	client.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+	ASSERT_TRUE(iterate_until([&] { return answered; }));
 	while (g_get_monotonic_time() - begun_us < 3 * G_USEC_PER_SEC) {
-		size_t before = raw.heard.size();
+		size_t before = client.received.size();
 		gint64 since_us = g_get_monotonic_time();
 
-		http_sock_pause(raw.sock, false);
-		turn_until([&] { return raw.heard.size() > before + 100000; });
-		http_sock_pause(raw.sock, true);
-		EXPECT_EQ(http_server_busy_count(served.server), 1u);
-		turn_until([&] {
+		http_sock_pause(client.sock, false);
+		iterate_until([&] {
+			return client.received.size() > before + 100000;
+		});
+		http_sock_pause(client.sock, true);
+		EXPECT_EQ(http_server_busy_count(test_server.server), 1u);
+		iterate_until([&] {
 			return g_get_monotonic_time() - since_us > 50000;
 		});
 	}
-	http_sock_pause(raw.sock, false);
-	EXPECT_TRUE(turn_until([&] { return raw.ended; }));
-	EXPECT_EQ(raw.error, LP_OK);
-	EXPECT_GT(raw.heard.size(), body.size());
-	EXPECT_EQ(http_server_busy_count(served.server), 0u);
+	http_sock_pause(client.sock, false);
+	EXPECT_TRUE(iterate_until([&] { return client.ended; }));
+	EXPECT_EQ(client.error, LP_OK);
+	EXPECT_GT(client.received.size(), body.size());
+	EXPECT_EQ(http_server_busy_count(test_server.server), 0u);
 }
 
-/* What it has, connected and sent, before the server had a turn. */
-static GSocket *call_at_once(const std::string &address)
+/* Returns a socket that has connected and sent a request before the server's
+ * event loop runs. */
+static GSocket *connect_and_send_request(const std::string &address)
 {
 	static const char request[] = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 	guint port = (guint)atoi(address.c_str() + address.find(':') + 1);
@@ -347,20 +352,21 @@
 	return socket;
 }
 
-/* An entry that ended reset the connections that waited for a turn. */
-TEST(HttpServer, WhatHasConnectedIsAnsweredAlsoIfTheListenerCloses)
+/* An entry that terminated reset the connections that were not yet accepted. */
+TEST(HttpServer, AnswersWaitingConnectionsAfterListenerCloses)
 {
-	Served served;
+	TestServer test_server;
 	std::vector<GSocket *> callers;
 	size_t answered = 0;
 
 	for (int i = 0; i < 200; i++)
-		callers.push_back(call_at_once(served.address));
-	http_server_stop_listening(served.server);
+		callers.push_back(
+			connect_and_send_request(test_server.address));
+	http_server_stop_listening(test_server.server);
 	for (GSocket *caller : callers) {
 		char reply[64];
 
-		turn_until([&] {
+		iterate_until([&] {
 			return g_socket_condition_check(caller, G_IO_IN) != 0;
 		});
 		answered += g_socket_receive(caller, reply, sizeof(reply),
@@ -370,25 +376,25 @@
 	EXPECT_EQ(answered, callers.size());
 }
 
-/* A reset would take with it an answer that its client has not read yet. */
-TEST(HttpServer, ConnectionsThatOweNothingEndInOrderWithTheServer)
+/* A reset would discard an answer that the client has not read yet. */
+TEST(HttpServer, ClosesConnectionsWithoutPendingAnswerInOrder)
 {
-	auto served = std::make_unique<Served>();
-	Raw raw(served->address);
-
-	raw.say("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-	ASSERT_TRUE(raw.hears("ok"));
-	served.reset();
-	ASSERT_TRUE(turn_until([&] { return raw.ended; }));
-	EXPECT_EQ(raw.error, LP_OK);
+	auto test_server = std::make_unique<TestServer>();
+	RawClient client(test_server->address);
+
+	client.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+	ASSERT_TRUE(client.receives("ok"));
+	test_server.reset();
+	ASSERT_TRUE(iterate_until([&] { return client.ended; }));
+	EXPECT_EQ(client.error, LP_OK);
 }
 
 /* ---- the client ---- */
 
-/* A server that says these bytes to whoever connects, then ends. Its threads
- * may outlive it, on a busy host: what they say is the service's, which they
- * hold. */
-struct Script {
+/* A server that sends fixed bytes on each connection, then closes it. On a
+ * busy host its threads may outlive this object, so the bytes are owned by
+ * the service, to which they hold a reference. */
+struct ScriptedServer {
 	struct Reply {
 		std::string text;
 		bool reset;
@@ -396,7 +402,7 @@
 	GSocketService *service = g_threaded_socket_service_new(4);
 	std::string address;
 
-	Script(std::string bytes, bool with_reset)
+	ScriptedServer(std::string bytes, bool with_reset)
 	{
 		auto *reply = new Reply{ std::move(bytes), with_reset };
 		guint16 port = g_socket_listener_add_any_inet_port(
@@ -406,7 +412,7 @@
 		g_signal_connect_data(service, "run", G_CALLBACK(on_incoming),
 				      reply, free_reply, (GConnectFlags)0);
 	}
-	~Script()
+	~ScriptedServer()
 	{
 		g_object_unref(service);
 	}
@@ -418,7 +424,7 @@
 				    GObject *, Reply *reply)
 	{
 		GSocket *socket = g_socket_connection_get_socket(conn);
-		linger at_once = { 1, 0 };
+		linger reset_on_close = { 1, 0 };
 		char request[4096];
 
 		g_socket_receive(socket, request, sizeof(request), nullptr,
@@ -427,12 +433,13 @@
 			      nullptr, nullptr);
 		if (reply->reset)
 			setsockopt(g_socket_get_fd(socket), SOL_SOCKET,
-				   SO_LINGER, &at_once, sizeof(at_once));
+				   SO_LINGER, &reset_on_close,
+				   sizeof(reset_on_close));
 		return FALSE;
 	}
 };
 
-struct Exchange {
+struct ClientExchange {
 	http_exchange *exchange;
 	uint32_t status = 0;
 	std::string body;
@@ -440,22 +447,24 @@
 	int error = LP_OK;
 	bool sent = false;
 
-	explicit Exchange(const std::string &address)
+	explicit ClientExchange(const std::string &address)
 	{
 		static const http_exchange_events events = {
 			[](void *self, uint32_t status, const http_fields *) {
-				static_cast<Exchange *>(self)->status = status;
+				static_cast<ClientExchange *>(self)->status =
+					status;
 			},
 			[](void *self, const char *bytes, size_t size) {
-				static_cast<Exchange *>(self)->body.append(
-					bytes, size);
+				static_cast<ClientExchange *>(self)
+					->body.append(bytes, size);
 			},
 			[](void *self, int error, bool sent) {
-				auto *it = static_cast<Exchange *>(self);
+				auto *result =
+					static_cast<ClientExchange *>(self);
 
-				it->done = true;
-				it->error = error;
-				it->sent = sent;
+				result->done = true;
+				result->error = error;
+				result->sent = sent;
 			},
 		};
 		http_exchange_options options = {};
@@ -472,11 +481,11 @@
 		exchange = http_exchange_start(&options);
 		http_fields_clear(&fields);
 		if (exchange)
-			turn_until([&] { return done; });
+			iterate_until([&] { return done; });
 	}
 };
 
-TEST(HttpClient, TakesWholeAnswersOnly)
+TEST(HttpClient, ReportsIncompleteAnswersAsFailed)
 {
 	const struct {
 		const char *text;
@@ -500,8 +509,8 @@
 	};
 
 	for (const auto &row : cases) {
-		Script script(row.text, row.reset);
-		Exchange exchange(script.address);
+		ScriptedServer scripted(row.text, row.reset);
+		ClientExchange exchange(scripted.address);
 
 		EXPECT_TRUE(exchange.done) << row.text;
 		EXPECT_EQ(exchange.error, row.error) << row.text;
@@ -510,18 +519,19 @@
 	}
 }
 
-/* An answer without a length ends with its connection; a reset is no end. */
-TEST(HttpClient, AResetDoesNotEndAnAnswer)
+/* An answer without a length is completed by an orderly close, not by a
+ * reset. */
+TEST(HttpClient, ResetDoesNotCompleteAnAnswer)
 {
-	Script script("HTTP/1.1 200 OK\r\n\r\nhalf", true);
-	Exchange exchange(script.address);
+	ScriptedServer scripted("HTTP/1.1 200 OK\r\n\r\nhalf", true);
+	ClientExchange exchange(scripted.address);
 
 	EXPECT_EQ(exchange.error, LP_ERROR_UPSTREAM_GONE);
 }
 
-TEST(HttpClient, NothingIsSentWhereNobodyListens)
+TEST(HttpClient, ReportsRefusedConnectionWithoutSending)
 {
-	Exchange exchange("127.0.0.1:1");
+	ClientExchange exchange("127.0.0.1:1");
 
 	EXPECT_TRUE(
 		!exchange.exchange ||
--- a/tests/slow_link_test.cc
+++ b/tests/slow_link_test.cc
@@ -1,55 +1,56 @@
 /*
- * A configuration that takes longer over an entry's link than a call may last.
+ * A configuration whose transfer over an entry's link takes longer than the
+ * timeout of a call.
  *
- * Seen: a change was confirmed and a third of the entries never had it in
- * force. How it came about: the configuration had grown to a megabyte, which
- * takes more than a second at 10 Mbit/s. Cause: a call was given up when its
- * time was over, though bytes were coming, and the next one began from the
- * start with the same time; the fetch from another entry likewise, over the
- * same link. What proved it: the stuck entries received at the rate of their
- * link without end, and their calls ended after one second with up to 99% of
- * the value.
+ * The failure guarded against: a change was confirmed, and a third of the
+ * entries never applied it. The configuration had grown to a megabyte, which
+ * takes more than a second at 10 Mbit/s. A call was aborted at its timeout
+ * although bytes were arriving, and the next one began from the start with the
+ * same timeout; fetches from peers failed likewise over the same link. The
+ * stuck entries received at the rate of their link without end, and their calls
+ * ended after one second with up to 99% of the value.
  */
 #include "direct_rig.h"
 
 namespace
 {
 
-/* The rig's calls may last 300 ms, a watch's 500 ms and a second's slack. */
-const uint32_t slow_bytes_per_s = 40000;
-/* With these routes more a configuration is 66 KB, and 88 KB as the service
- * sends it: 2.2 s over the slow link. */
-const uint32_t many_routes = 500;
+/* The rig's calls have a timeout of 300 ms; its watch waits 500 ms and a
+ * second of grace. */
+const uint32_t slow_link_bytes_per_s = 40000;
+/* With this many additional routes a configuration has 66 KB, and 88 KB as
+ * encoded by the service: 2.2 s over the slow link. */
+const uint32_t extra_routes = 500;
 
-std::string grown_config(int64_t version)
+std::string large_config(int64_t version)
 {
-	char *text = pe_grown_config(version, many_routes);
+	char *text = pe_grown_config(version, extra_routes);
 	std::string json = text;
 
 	g_free(text);
 	return json;
 }
 
-bool comes_into_force(Rig &rig, int64_t version, int64_t limit_ms)
+bool reaches_version(Rig &rig, int64_t version, int64_t limit_ms)
 {
 	return turn_until(
 		[&] { return direct_config_version(rig.entry) == version; },
 		limit_ms);
 }
 
-TEST(SlowLink, AConfigurationLargerThanACallsTimeComes)
+TEST(SlowLink, WatchDeliversConfigurationThatTakesLongerThanTheTimeout)
 {
 	Rig rig;
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
-	pe_store_set_rate(rig.platform, slow_bytes_per_s);
-	pe_set_config(rig.platform, grown_config(2).c_str());
-	EXPECT_TRUE(comes_into_force(rig, 2, 5000));
+	pe_store_set_rate(rig.platform, slow_link_bytes_per_s);
+	pe_set_config(rig.platform, large_config(2).c_str());
+	EXPECT_TRUE(reaches_version(rig, 2, 5000));
 }
 
-/* As above, when the watch had failed and begins with a read. */
-TEST(SlowLink, AConfigurationLargerThanACallsTimeIsRead)
+/* The same after the watch failed, so that it begins with a read. */
+TEST(SlowLink, FirstReadDeliversConfigurationThatTakesLongerThanTheTimeout)
 {
 	Rig rig;
 
@@ -58,14 +59,14 @@
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
 	ASSERT_TRUE(turn_until(
 		[&] { return !plf_feed_kv_is_available(rig.feed); }));
-	pe_store_set_rate(rig.platform, slow_bytes_per_s);
-	pe_set_config(rig.platform, grown_config(2).c_str());
+	pe_store_set_rate(rig.platform, slow_link_bytes_per_s);
+	pe_set_config(rig.platform, large_config(2).c_str());
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	EXPECT_TRUE(comes_into_force(rig, 2, 5000));
+	EXPECT_TRUE(reaches_version(rig, 2, 5000));
 }
 
-/* What another writer wrote: with it a look at the list takes 27 s. */
-void write_large_entry(Rig &rig)
+/* Writes another writer's key, with which a poll of the list takes 27 s. */
+void write_large_key(Rig &rig)
 {
 	const std::string value(400000, '[');
 
@@ -73,15 +74,14 @@
 }
 
 /*
- * Found by the soak, seed 7016. What happened: after an outage the newest
- * configuration was not in force 24 s later, though the service answered. Why:
- * the watch had ended, and began again with the first look at the list that was
- * answered whole; a look took 13 s, for an entry of 200 KB that another writer
- * had written, and was given up after 10. What showed it: calls for the list
- * that ended with 216 KB received after 10.0 s, one after another, and no call
- * for the configuration among them.
+ * Found by the soak, seed 7016: after an outage the newest configuration was
+ * not in force 24 s later, though the service answered. The watch had failed,
+ * and was restarted only after a complete poll of the list. A poll took 13 s,
+ * due to a key of 200 KB by another writer, and was aborted after 10 s. Polls
+ * ended with 216 KB received after 10.0 s, one after another, and no read of
+ * the configuration among them.
  */
-TEST(SlowLink, ALookThatTakesLongDoesNotHoldBackTheConfiguration)
+TEST(SlowLink, SlowPollDoesNotDelayConfiguration)
 {
 	Rig rig;
 
@@ -91,33 +91,33 @@
 	ASSERT_TRUE(turn_until(
 		[&] { return !plf_feed_kv_is_available(rig.feed); }));
 	turn_until([] { return false; }, 1500); /* the watch has ended, too */
-	write_large_entry(rig);
+	write_large_key(rig);
 	pe_store_set_rate(rig.platform, 20000);
 	rig.set_config(2);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	EXPECT_TRUE(comes_into_force(rig, 2, 5000));
+	EXPECT_TRUE(reaches_version(rig, 2, 5000));
 }
 
-/* The other side of the bound: what no longer comes is not waited for. */
-TEST(SlowLink, AnAnswerThatFallsSilentIsGivenUp)
+/* A call whose answer stops arriving is aborted at the stall timeout. */
+TEST(SlowLink, StalledAnswerIsAbandoned)
 {
 	Rig rig;
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
-	pe_store_set_rate(rig.platform, slow_bytes_per_s);
-	pe_set_config(rig.platform, grown_config(2).c_str());
+	pe_store_set_rate(rig.platform, slow_link_bytes_per_s);
+	pe_set_config(rig.platform, large_config(2).c_str());
 	turn_until([] { return false; }, 500);
 	pe_store_silence(rig.platform);
 	pe_store_set_rate(rig.platform, 0);
-	EXPECT_TRUE(comes_into_force(rig, 2, 1500));
+	EXPECT_TRUE(reaches_version(rig, 2, 1500));
 }
 
 /* ---- connections that go silent between two answers ---- */
 
-/* Kept connections to the service are silent from now on: what is changed then
- * is known within the time of a look, the watch begins anew with it. */
-TEST(SlowLink, KeptConnectionsThatFallSilentAreLeft)
+/* Kept-alive connections to the service go silent. Later changes must be
+ * known within the time of one poll, which restarts the watch. */
+TEST(SlowLink, SilentKeptAliveConnectionsAreReplaced)
 {
 	Rig rig;
 	pe_upstream *leaving = rig.add(PE_PLAIN, "plain");
@@ -127,7 +127,7 @@
 	pe_store_silence(rig.platform);
 	rig.set_config(2);
 	pe_drain(leaving);
-	EXPECT_TRUE(comes_into_force(rig, 2, 1500));
+	EXPECT_TRUE(reaches_version(rig, 2, 1500));
 	turn_until([] { return false; }, 300);
 	for (int i = 0; i < 8; i++) {
 		const std::string id = "a" + std::to_string(i);
@@ -139,9 +139,9 @@
 	EXPECT_EQ(pe_arrivals(staying), 8u);
 }
 
-/* ---- how long a transfer may go on ---- */
+/* ---- limits of a transfer's duration ---- */
 
-TEST(SlowLink, BytesThatComeAreAwaitedSilenceIsNot)
+TEST(SlowLink, TransferTimeoutIsTheStallTimeWhileBytesArrive)
 {
 	const lp_transfer transfer = { 300, 1000, 0 };
 
@@ -149,8 +149,9 @@
 	EXPECT_EQ(lp_transfer_wait_us(&transfer, 5000000), 300);
 }
 
-/* A trickle must leave the link to another try at last. */
-TEST(SlowLink, NoTransferGoesOnForEver)
+/* A transfer without progress must free the link for another attempt at some
+ * time. */
+TEST(SlowLink, TransferWithoutProgressHasATotalLimit)
 {
 	const lp_transfer transfer = { 300, 1000, 0 };
 
@@ -160,13 +161,13 @@
 }
 
 /*
- * Found by the soak, seed 7016. What happened: an entry that had started was
- * not ready 24 s later, and refused all. Why: it has no list of upstreams; the
- * list of 270 KB takes 13 s over the link, and each call for it ended after 10
- * s with most of it, and began anew. What showed it: kv_call_failed, purpose
- * range, 222,074 bytes after 10.0 s, one after another, at both entries.
+ * Found by the soak, seed 7016: an entry was not ready 24 s after its start,
+ * and refused all requests, as it had no list of upstreams. The list of 270 KB
+ * takes 13 s over the link, and each call for it was aborted after 10 s with
+ * most of it received, and repeated from the start. Both entries logged
+ * kv_call_failed, purpose range, 222,074 bytes after 10.0 s, one after another.
  */
-TEST(SlowLink, ATransferThatGoesOnIsNotBegunAnew)
+TEST(SlowLink, SteadyTransferHasNoTotalLimit)
 {
 	lp_transfer transfer = { 300, 1000, 0 };
 
@@ -177,8 +178,9 @@
 	}
 }
 
-/* A trickle may be one of some hundred bytes a second, too. */
-TEST(SlowLink, ATransferThatIsHardlyOneEnds)
+/* A transfer of a few hundred bytes per second counts as one without
+ * progress. */
+TEST(SlowLink, TransferBelowMinimumRateEnds)
 {
 	lp_transfer transfer = { 300, 1000, 0 };
 
@@ -219,35 +221,35 @@
 	}
 	static void on_done(void *self, const http_fetch_answer *answer)
 	{
-		auto *it = static_cast<Fetch *>(self);
+		auto *fetch = static_cast<Fetch *>(self);
 
-		it->done = true;
-		it->error = answer->error;
-		it->size = answer->size;
+		fetch->done = true;
+		fetch->error = answer->error;
+		fetch->size = answer->size;
 	}
 };
 
-TEST(SlowLink, AFetchLastsAsLongAsBytesCome)
+TEST(SlowLink, FetchContinuesWhileBytesArrive)
 {
 	pe *platform = pe_create();
 
-	pe_set_config(platform, grown_config(2).c_str());
-	pe_store_set_rate(platform, slow_bytes_per_s);
+	pe_set_config(platform, large_config(2).c_str());
+	pe_store_set_rate(platform, slow_link_bytes_per_s);
 	Fetch fetch(pe_store_address(platform),
 		    "/linepier/kv-key?key=op/config");
 
 	ASSERT_TRUE(turn_until([&] { return fetch.done; }, 5000));
 	EXPECT_EQ(fetch.error, LP_OK);
-	EXPECT_GT(fetch.size, grown_config(2).size());
+	EXPECT_GT(fetch.size, large_config(2).size());
 	pe_destroy(platform);
 }
 
-TEST(SlowLink, AFetchThatFallsSilentIsGivenUp)
+TEST(SlowLink, StalledFetchFails)
 {
 	pe *platform = pe_create();
 
-	pe_set_config(platform, grown_config(2).c_str());
-	pe_store_set_rate(platform, slow_bytes_per_s);
+	pe_set_config(platform, large_config(2).c_str());
+	pe_store_set_rate(platform, slow_link_bytes_per_s);
 	Fetch fetch(pe_store_address(platform),
 		    "/linepier/kv-key?key=op/config");
 
@@ -259,23 +261,24 @@
 	pe_destroy(platform);
 }
 
-/* A peer's copy goes over the same link as the service's, and many ask one
- * peer: routes repeat their words, so it is sent zipped. */
-TEST(SlowLink, APeersCopyIsATenthOfTheConfiguration)
+/* A peer's answer uses the same link as the service's, and many entries may
+ * fetch from one peer. Routes are repetitive text, so the configuration is
+ * sent compressed. */
+TEST(SlowLink, PeerServesCompressedConfiguration)
 {
 	const std::string peer =
 		"127.0.0.1:" + std::to_string(peers_port() + 60);
 	Rig rig;
 
 	rig.add(PE_PLAIN, "plain");
-	pe_set_config(rig.platform, grown_config(2).c_str());
+	pe_set_config(rig.platform, large_config(2).c_str());
 	rig.settle(2);
 	rig.share_with("127.0.0.1");
 	Fetch fetch(peer.c_str(), "/config");
 
 	ASSERT_TRUE(turn_until([&] { return fetch.done; }, 5000));
 	EXPECT_EQ(fetch.error, LP_OK);
-	EXPECT_LT(fetch.size, grown_config(2).size() / 10);
+	EXPECT_LT(fetch.size, large_config(2).size() / 10);
 }
 
 } // namespace
