--- a/entry/entry.c
+++ b/entry/entry.c
@@ -6,12 +6,12 @@
 
 #include <string.h>
 
-#define LAST_WORDS_US (200 * LP_US_PER_MS) /* answers leave the sockets */
+#define SOCKET_FLUSH_US (200 * LP_US_PER_MS) /* answers leave the sockets */
 /* Before the end of the process: what is not done by then is told so. */
-#define LAST_ANSWERS_US (2 * LAST_WORDS_US)
+#define FINAL_ANSWERS_US (2 * SOCKET_FLUSH_US)
 
-void entry_count(struct entry *entry, const char *name, const char *label,
-		 const char *value)
+void entry_increment_counter(struct entry *entry, const char *name,
+			     const char *label, const char *value)
 {
 	g_autofree char *labels =
 		label ? g_strdup_printf("%s=\"%s\"", label, value) : NULL;
@@ -31,7 +31,7 @@
 	NULL, NULL, timer_dispatch, NULL, NULL, NULL
 };
 
-void entry_rearm(struct entry *entry)
+void entry_rearm_timer(struct entry *entry)
 {
 	int64_t next_us = flow_next_us(entry->flow);
 
@@ -44,11 +44,11 @@
 	struct entry *entry = userdata;
 
 	flow_tick(entry->flow);
-	entry_rearm(entry);
+	entry_rearm_timer(entry);
 	return G_SOURCE_CONTINUE;
 }
 
-static void open_timer(struct entry *entry)
+static void create_timer(struct entry *entry)
 {
 	entry->timer = g_source_new(&timer_funcs, sizeof(GSource));
 	g_source_set_callback(entry->timer, on_timer, entry, NULL);
@@ -58,7 +58,8 @@
 
 /* ---- quotas ---- */
 
-static uint32_t rate_of(const struct entry *entry, const char *organisation)
+static uint32_t organisation_rate(const struct entry *entry,
+				  const char *organisation)
 {
 	const struct cfg_snapshot *snapshot = node_snapshot(entry->node);
 	const struct cfg_organisation *found;
@@ -69,14 +70,16 @@
 	return found ? found->rate_per_s : 0;
 }
 
-static double grant(struct entry *entry, const char *organisation,
-		    const char *host, double demand, int64_t *lease_us)
+static double grant_quota(struct entry *entry, const char *organisation,
+			  const char *host, double demand, int64_t *lease_us)
 {
 	return quota_holder_ask(entry->holder, organisation, host, demand,
-				rate_of(entry, organisation), lease_us);
+				organisation_rate(entry, organisation),
+				lease_us);
 }
 
-static void quota_ask(void *userdata, const char *organisation, double demand)
+static void request_quota(void *userdata, const char *organisation,
+			  double demand)
 {
 	struct entry *entry = userdata;
 	const char *holder =
@@ -86,7 +89,8 @@
 	double rate;
 
 	if (!strcmp(holder, entry->settings->host)) {
-		rate = grant(entry, organisation, holder, demand, &lease_us);
+		rate = grant_quota(entry, organisation, holder, demand,
+				   &lease_us);
 		quota_granted(entry->quota, organisation, rate, lease_us);
 		return;
 	}
@@ -95,14 +99,14 @@
 	entry_peers_send_entry(entry->peers, holder, &msg);
 }
 
-static void answer_quota(struct entry *entry, const char *peer,
-			 const struct wire_quota_ask *ask)
+static void handle_quota_request(struct entry *entry, const char *peer,
+				 const struct wire_quota_ask *ask)
 {
 	struct wire_msg msg = { .type = WIRE_QUOTA_GRANT };
 	int64_t lease_us;
 
 	msg.u.quota_grant.organisation = ask->organisation;
-	msg.u.quota_grant.rate_per_s = (uint32_t)grant(
+	msg.u.quota_grant.rate_per_s = (uint32_t)grant_quota(
 		entry, ask->organisation, peer, ask->demand_per_s, &lease_us);
 	msg.u.quota_grant.lease_ms = (uint32_t)(lease_us / LP_US_PER_MS);
 	node_send(entry->node, peer, &msg);
@@ -110,8 +114,8 @@
 
 /* ---- messages ---- */
 
-static void take_result(struct entry *entry, const char *peer,
-			const struct wire_result *wire)
+static void handle_result(struct entry *entry, const char *peer,
+			  const struct wire_result *wire)
 {
 	const struct flow_result result = {
 		.id = wire->id,
@@ -126,21 +130,23 @@
 	};
 
 	struct flow_word word;
-	bool known = entry_peers_word(entry->peers, peer, &wire->load, &word);
+	bool known = entry_peers_agent_report(entry->peers, peer, &wire->load,
+					      &word);
 
 	flow_result(entry->flow, &result, known ? &word : NULL);
 }
 
-static void take_beat(struct entry *entry, const char *peer,
-		      const struct wire_load *load)
+static void handle_beat(struct entry *entry, const char *peer,
+			const struct wire_load *load)
 {
 	struct flow_word word;
 
-	if (entry_peers_word(entry->peers, peer, load, &word))
+	if (entry_peers_agent_report(entry->peers, peer, load, &word))
 		flow_heard(entry->flow, &word);
 }
 
-static void take_state(struct entry *entry, const struct wire_state *wire)
+static void handle_call_state(struct entry *entry,
+			      const struct wire_state *wire)
 {
 	static const enum flow_state states[] = {
 		[WIRE_CALL_NOT_RUN] = FLOW_STATE_NOT_RUN,
@@ -161,25 +167,25 @@
 
 	switch (msg->type) {
 	case WIRE_BEAT:
-		take_beat(entry, peer, &msg->u.beat);
+		handle_beat(entry, peer, &msg->u.beat);
 		break;
 	case WIRE_CHUNK:
 		flow_chunk(entry->flow, &msg->u.chunk.id, msg->u.chunk.seq,
 			   msg->u.chunk.text, msg->u.chunk.tokens);
 		break;
 	case WIRE_RESULT:
-		take_result(entry, peer, &msg->u.result);
+		handle_result(entry, peer, &msg->u.result);
 		break;
 	case WIRE_STATE:
-		take_state(entry, &msg->u.state);
+		handle_call_state(entry, &msg->u.state);
 		break;
 	case WIRE_FORWARD:
 	case WIRE_FORWARD_SEEN:
 	case WIRE_FORWARDED:
-		entry_owners_message(entry->owners, peer, msg);
+		entry_idempotency_message(entry->owners, peer, msg);
 		break;
 	case WIRE_QUOTA_ASK:
-		answer_quota(entry, peer, &msg->u.quota_ask);
+		handle_quota_request(entry, peer, &msg->u.quota_ask);
 		break;
 	case WIRE_QUOTA_GRANT:
 		quota_granted(entry->quota, msg->u.quota_grant.organisation,
@@ -187,10 +193,10 @@
 			      msg->u.quota_grant.lease_ms * LP_US_PER_MS);
 		break;
 	default:
-		entry_count(entry, "linepier_wire_unexpected_total", NULL,
-			    NULL);
+		entry_increment_counter(entry, "linepier_wire_unexpected_total",
+					NULL, NULL);
 	}
-	entry_rearm(entry);
+	entry_rearm_timer(entry);
 }
 
 /* ---- the node's words ---- */
@@ -206,9 +212,10 @@
 {
 	struct entry *entry = userdata;
 
-	entry_peers_hosts(entry->peers, hosts);
-	flow_set_entries(entry->flow, entry_peers_entries(entry->peers));
-	entry_rearm(entry);
+	entry_peers_set_hosts(entry->peers, hosts);
+	flow_set_entries(entry->flow,
+			 entry_peers_live_entry_count(entry->peers));
+	entry_rearm_timer(entry);
 }
 
 /* -1, for "never", stays. */
@@ -217,7 +224,8 @@
 	return age_us < 0 ? -1 : age_us / LP_US_PER_MS;
 }
 
-static void log_close(const struct entry *entry, enum drain_state state)
+static void log_listener_close(const struct entry *entry,
+			       enum drain_state state)
 {
 	struct drain_view view;
 
@@ -232,7 +240,7 @@
 	       age_ms(view.told_first_us), age_ms(view.probed_age_us));
 }
 
-static void check_leaving(struct entry *entry)
+static void check_drain(struct entry *entry)
 {
 	enum drain_state state = drain_look(entry->drain);
 
@@ -240,11 +248,11 @@
 	    state == DRAIN_WAITING)
 		return;
 	entry->closed_us = entry_now_us(entry);
-	log_close(entry, state);
-	entry_http_close(entry->http);
+	log_listener_close(entry, state);
+	entry_http_stop_listening(entry->http);
 }
 
-static void gauge(struct entry *entry, const char *name, uint64_t value)
+static void set_gauge(struct entry *entry, const char *name, uint64_t value)
 {
 	*lp_counter(node_counters(entry->node), name, NULL) = (int64_t)value;
 }
@@ -254,19 +262,21 @@
 	struct entry *entry = userdata;
 	const struct flow_stats *stats = flow_stats(entry->flow);
 
-	gauge(entry, "linepier_flow_accepted_total", stats->accepted);
-	gauge(entry, "linepier_flow_refused_door_total", stats->refused_door);
-	gauge(entry, "linepier_flow_calls_total", stats->sent);
-	gauge(entry, "linepier_flow_moved_total", stats->moved);
-	gauge(entry, "linepier_flow_retried_total", stats->retried);
-	gauge(entry, "linepier_flow_hedged_total", stats->hedged);
-	gauge(entry, "linepier_flow_resumed_total", stats->resumed);
-	gauge(entry, "linepier_flow_asked_total", stats->asked);
-	gauge(entry, "linepier_flow_lost_total", stats->lost);
-	gauge(entry, "linepier_flow_dropped_answers_total", stats->dropped);
-	gauge(entry, "linepier_flow_no_budget_total", stats->no_budget);
-	gauge(entry, "linepier_entry_in_flight", entry->requests);
-	gauge(entry, "linepier_entry_agents", entry_peers_agents(entry->peers));
+	set_gauge(entry, "linepier_flow_accepted_total", stats->accepted);
+	set_gauge(entry, "linepier_flow_refused_door_total",
+		  stats->refused_door);
+	set_gauge(entry, "linepier_flow_calls_total", stats->sent);
+	set_gauge(entry, "linepier_flow_moved_total", stats->moved);
+	set_gauge(entry, "linepier_flow_retried_total", stats->retried);
+	set_gauge(entry, "linepier_flow_hedged_total", stats->hedged);
+	set_gauge(entry, "linepier_flow_resumed_total", stats->resumed);
+	set_gauge(entry, "linepier_flow_asked_total", stats->asked);
+	set_gauge(entry, "linepier_flow_lost_total", stats->lost);
+	set_gauge(entry, "linepier_flow_dropped_answers_total", stats->dropped);
+	set_gauge(entry, "linepier_flow_no_budget_total", stats->no_budget);
+	set_gauge(entry, "linepier_entry_in_flight", entry->requests);
+	set_gauge(entry, "linepier_entry_agents",
+		  entry_peers_agent_count(entry->peers));
 }
 
 static void on_tick(void *userdata)
@@ -275,43 +285,44 @@
 
 	flow_tick(entry->flow);
 	entry_peers_tick(entry->peers);
-	entry_owners_tick(entry->owners);
+	entry_idempotency_tick(entry->owners);
 	quota_tick(entry->quota);
-	check_leaving(entry);
-	entry_rearm(entry);
+	check_drain(entry);
+	entry_rearm_timer(entry);
 }
 
-static void announce(void *userdata)
+static void send_hellos(void *userdata)
 {
 	struct entry *entry = userdata;
 
-	entry_peers_announce(entry->peers);
+	entry_peers_send_hellos(entry->peers);
 }
 
-static void on_leave(void *userdata)
+static void on_drain(void *userdata)
 {
 	struct entry *entry = userdata;
 
 	drain_begin(entry->drain);
-	flow_end_by(entry->flow, node_ends_us(entry->node) - LAST_ANSWERS_US);
-	entry_rearm(entry);
+	flow_end_by(entry->flow, node_ends_us(entry->node) - FINAL_ANSWERS_US);
+	entry_rearm_timer(entry);
 }
 
-void entry_probed(struct entry *entry, const char *prober)
+void entry_record_probe(struct entry *entry, const char *prober)
 {
 	drain_probed(entry->drain, prober);
-	entry_count(entry, "linepier_probes_total", "answer",
-		    node_leaving(entry->node) ? "leaving" : "other");
+	entry_increment_counter(entry, "linepier_probes_total", "answer",
+				node_leaving(entry->node) ? "leaving"
+							  : "other");
 }
 
 static void on_probed(void *userdata, const char *prober)
 {
-	entry_probed(userdata, prober);
+	entry_record_probe(userdata, prober);
 }
 
 /* Who had connected, and sends nothing, is waited for as long as any request.
  */
-static bool has_heard_all(const struct entry *entry)
+static bool connections_done(const struct entry *entry)
 {
 	int64_t since_us = entry_now_us(entry) - entry->closed_us;
 
@@ -324,16 +335,17 @@
 	struct entry *entry = userdata;
 
 	return entry->closed_us && !entry->requests &&
-	       !entry_http_owed(entry->http) && has_heard_all(entry) &&
-	       entry_now_us(entry) - entry->closed_us > LAST_WORDS_US;
+	       !entry_http_unanswered(entry->http) && connections_done(entry) &&
+	       entry_now_us(entry) - entry->closed_us > SOCKET_FLUSH_US;
 }
 
-static const char *unready(void *userdata)
+static const char *unready_reason(void *userdata)
 {
 	struct entry *entry = userdata;
 
-	return entry_peers_heard(entry->peers) ? NULL
-					       : "no agent heard of yet\n";
+	return entry_peers_usable_agent_count(entry->peers)
+		       ? NULL
+		       : "no agent heard of yet\n";
 }
 
 static void add_status(void *userdata, JsonBuilder *builder)
@@ -341,14 +353,16 @@
 	struct entry *entry = userdata;
 	const struct flow_stats *stats = flow_stats(entry->flow);
 
-	lp_json_int(builder, "agents", entry_peers_agents(entry->peers));
-	lp_json_int(builder, "agents_heard", entry_peers_heard(entry->peers));
+	lp_json_int(builder, "agents", entry_peers_agent_count(entry->peers));
+	lp_json_int(builder, "agents_heard",
+		    entry_peers_usable_agent_count(entry->peers));
 	lp_json_int(builder, "in_flight", entry->requests);
 	lp_json_int(builder, "accepted", (int64_t)stats->accepted);
 	lp_json_int(builder, "refused_door", (int64_t)stats->refused_door);
 	lp_json_int(builder, "answered", (int64_t)stats->finished_ok);
 	lp_json_int(builder, "failed", (int64_t)stats->finished_error);
-	lp_json_int(builder, "keys", entry_owners_count(entry->owners));
+	lp_json_int(builder, "keys",
+		    entry_idempotency_key_count(entry->owners));
 }
 
 static const struct node_role role = {
@@ -356,10 +370,10 @@
 	.configured = on_configured,
 	.hosts = on_hosts,
 	.tick = on_tick,
-	.announce = announce,
-	.leave = on_leave,
+	.announce = send_hellos,
+	.leave = on_drain,
 	.idle = is_idle,
-	.unready = unready,
+	.unready = unready_reason,
 	.probed = on_probed,
 	.gauges = set_gauges,
 	.status = add_status,
@@ -368,13 +382,13 @@
 /* ---- life ---- */
 
 /* Two probes, told and informed; what runs needs the other half of the time. */
-static int64_t listen_at_most_us(const struct node_settings *settings)
+static int64_t max_listen_us(const struct node_settings *settings)
 {
-	int64_t told_ms =
+	int64_t probed_ms =
 		2 * settings->probe_interval_ms + settings->drain_wait_ms;
-	int64_t most_ms = MIN(told_ms, settings->drain_max_ms / 2);
+	int64_t max_ms = MIN(probed_ms, settings->drain_max_ms / 2);
 
-	return MAX(most_ms, settings->drain_wait_ms) * LP_US_PER_MS;
+	return MAX(max_ms, settings->drain_wait_ms) * LP_US_PER_MS;
 }
 
 static struct drain *create_drain(const struct entry *entry)
@@ -387,11 +401,11 @@
 		.settle_us = settings->drain_wait_ms * LP_US_PER_MS,
 		.interval_us = settings->probe_interval_ms * LP_US_PER_MS,
 		.first_us = settings->probe_interval_ms * LP_US_PER_MS,
-		.most_us = listen_at_most_us(settings),
+		.most_us = max_listen_us(settings),
 	});
 }
 
-static void create_parts(struct entry *entry)
+static void create_components(struct entry *entry)
 {
 	const struct node_settings *settings = entry->settings;
 	uint64_t incarnation = node_incarnation(entry->node);
@@ -410,7 +424,7 @@
 	};
 	const struct quota_options quota = {
 		.clock = node_clock(entry->node),
-		.ask = quota_ask,
+		.ask = request_quota,
 		.userdata = entry,
 	};
 
@@ -419,18 +433,18 @@
 	entry->quota = quota_create(&quota);
 	entry->holder = quota_holder_create(node_clock(entry->node));
 	entry->peers = entry_peers_create(entry);
-	entry->owners = entry_owners_create(entry);
-	open_timer(entry);
+	entry->owners = entry_idempotency_create(entry);
+	create_timer(entry);
 }
 
-static void destroy_parts(struct entry *entry)
+static void destroy_components(struct entry *entry)
 {
 	g_source_destroy(entry->timer);
 	g_source_unref(entry->timer);
 	flow_destroy(entry->flow);
 	quota_destroy(entry->quota);
 	quota_holder_destroy(entry->holder);
-	entry_owners_destroy(entry->owners);
+	entry_idempotency_destroy(entry->owners);
 	entry_peers_destroy(entry->peers);
 	drain_destroy(entry->drain);
 }
@@ -443,7 +457,7 @@
 	int error = node_create(&options, &entry.node, &why);
 
 	if (!error) {
-		create_parts(&entry);
+		create_components(&entry);
 		error = entry_http_create(&entry, &entry.http, &why);
 		if (!error) {
 			lp_log(LP_LOG_INFO, "entry", NULL,
@@ -452,7 +466,7 @@
 		}
 		entry_http_destroy(entry.http);
 		node_destroy(entry.node);
-		destroy_parts(&entry);
+		destroy_components(&entry);
 	}
 	if (error)
 		lp_log(LP_LOG_ERROR, "entry", NULL, "%s", why);
--- a/entry/entry_gone.c
+++ b/entry/entry_gone.c
@@ -4,9 +4,9 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-#define BATCH 64
+#define EVENTS_PER_WAKEUP 64
 
-struct entry_gone {
+struct entry_disconnect {
 	void (*gone)(void *userdata);
 	int epoll;
 	guint source;
@@ -14,18 +14,19 @@
 
 static gboolean on_ready(int fd, GIOCondition condition, gpointer userdata)
 {
-	struct entry_gone *gone = userdata;
-	struct epoll_event events[BATCH];
-	int count = epoll_wait(gone->epoll, events, BATCH, 0);
+	struct entry_disconnect *gone = userdata;
+	struct epoll_event events[EVENTS_PER_WAKEUP];
+	int count = epoll_wait(gone->epoll, events, EVENTS_PER_WAKEUP, 0);
 
 	for (int i = 0; i < count; i++)
 		gone->gone(events[i].data.ptr);
 	return G_SOURCE_CONTINUE;
 }
 
-struct entry_gone *entry_gone_create(void (*gone_callback)(void *userdata))
+struct entry_disconnect *
+entry_disconnect_create(void (*gone_callback)(void *userdata))
 {
-	struct entry_gone *gone = g_new0(struct entry_gone, 1);
+	struct entry_disconnect *gone = g_new0(struct entry_disconnect, 1);
 
 	gone->gone = gone_callback;
 	gone->epoll = epoll_create1(EPOLL_CLOEXEC);
@@ -33,7 +34,7 @@
 	return gone;
 }
 
-void entry_gone_destroy(struct entry_gone *gone)
+void entry_disconnect_destroy(struct entry_disconnect *gone)
 {
 	if (!gone)
 		return;
@@ -42,7 +43,8 @@
 	g_free(gone);
 }
 
-void entry_gone_add(struct entry_gone *gone, GSocket *socket, void *userdata)
+void entry_disconnect_watch(struct entry_disconnect *gone, GSocket *socket,
+			    void *userdata)
 {
 	struct epoll_event event = {
 		.events = EPOLLRDHUP | EPOLLONESHOT,
@@ -52,7 +54,7 @@
 	epoll_ctl(gone->epoll, EPOLL_CTL_ADD, g_socket_get_fd(socket), &event);
 }
 
-void entry_gone_remove(struct entry_gone *gone, GSocket *socket)
+void entry_disconnect_unwatch(struct entry_disconnect *gone, GSocket *socket)
 {
 	int fd = g_socket_get_fd(socket);
 
--- a/entry/entry_gone.h
+++ b/entry/entry_gone.h
@@ -10,14 +10,15 @@
 
 #include <gio/gio.h>
 
-struct entry_gone;
+struct entry_disconnect;
 
 /** gone() is called from the loop, once, for a watch whose peer hung up. */
-struct entry_gone *entry_gone_create(void (*gone)(void *userdata));
-void entry_gone_destroy(struct entry_gone *gone);
+struct entry_disconnect *entry_disconnect_create(void (*gone)(void *userdata));
+void entry_disconnect_destroy(struct entry_disconnect *gone);
 /** Watch a socket for `userdata`; it must stay open until removed. */
-void entry_gone_add(struct entry_gone *gone, GSocket *socket, void *userdata);
+void entry_disconnect_watch(struct entry_disconnect *gone, GSocket *socket,
+			    void *userdata);
 /** Stop watching. A socket that is closed already needs nothing. */
-void entry_gone_remove(struct entry_gone *gone, GSocket *socket);
+void entry_disconnect_unwatch(struct entry_disconnect *gone, GSocket *socket);
 
 #endif
--- a/entry/entry_http.c
+++ b/entry/entry_http.c
@@ -18,7 +18,7 @@
 #define DEADLINE_MS_MAX 3600000
 #define IDLE_TIMEOUT_MS 60000 /* a connection without a whole header */
 #define PROBLEM_TYPE "application/problem+json"
-#define LATE_ANSWER                                  \
+#define REQUEST_TIMEOUT_RESPONSE                     \
 	"HTTP/1.1 408 Request Timeout\r\n"           \
 	"Content-Type: application/problem+json\r\n" \
 	"Connection: close\r\nContent-Length: %zu\r\n\r\n%s"
@@ -27,7 +27,7 @@
 	struct entry *entry;
 	SoupServer *server;
 	struct node_listener *listener;
-	struct entry_gone *gone;
+	struct entry_disconnect *gone;
 	GHashTable *exchanges; /* of struct exchange */
 };
 
@@ -43,7 +43,7 @@
 
 /* ---- answers ---- */
 
-static char *problem(const struct entry_answer *answer)
+static char *format_problem(const struct entry_answer *answer)
 {
 	const struct lp_error_info *info = lp_error_info(answer->error);
 	g_autoptr(JsonBuilder) builder = json_builder_new();
@@ -91,7 +91,7 @@
 		respond(msg, SOUP_STATUS_OK, "application/json", answer->body);
 		return;
 	}
-	text = problem(answer);
+	text = format_problem(answer);
 	if (answer->retry_us > 0) {
 		g_autofree char *seconds = g_strdup_printf(
 			"%.0f", ceil((double)answer->retry_us / LP_US_PER_S));
@@ -114,17 +114,18 @@
 		.detail = detail,
 	};
 
-	entry_count(http->entry, "linepier_entry_answers_total", "kind",
-		    lp_error_info(error)->name);
+	entry_increment_counter(http->entry, "linepier_entry_answers_total",
+				"kind", lp_error_info(error)->name);
 	respond_answer(msg, &answer);
 }
 
 /* ---- an exchange ---- */
 
-static void drop_exchange(struct exchange *exchange)
+static void free_exchange(struct exchange *exchange)
 {
 	if (exchange->socket) {
-		entry_gone_remove(exchange->http->gone, exchange->socket);
+		entry_disconnect_unwatch(exchange->http->gone,
+					 exchange->socket);
 		g_object_unref(exchange->socket);
 	}
 	g_signal_handlers_disconnect_by_data(exchange->msg, exchange);
@@ -187,7 +188,7 @@
 
 	begin_stream(exchange, answer->id);
 	if (answer->error) {
-		text = problem(answer);
+		text = format_problem(answer);
 		send_event(exchange, "error", text);
 	} else {
 		send_event(exchange, "done", answer->body);
@@ -216,10 +217,10 @@
 
 	if (exchange->request)
 		entry_request_abandon(exchange->request);
-	drop_exchange(exchange);
+	free_exchange(exchange);
 }
 
-static void on_gone(void *userdata)
+static void on_disconnect(void *userdata)
 {
 	struct exchange *exchange = userdata;
 
@@ -234,12 +235,12 @@
 	if (!socket)
 		return;
 	exchange->socket = g_object_ref(socket);
-	entry_gone_add(exchange->http->gone, socket, exchange);
+	entry_disconnect_watch(exchange->http->gone, socket, exchange);
 }
 
 /* ---- reading a request ---- */
 
-static const char *header(SoupServerMessage *msg, const char *name)
+static const char *request_header(SoupServerMessage *msg, const char *name)
 {
 	const char *value = soup_message_headers_get_one(
 		soup_server_message_get_request_headers(msg), name);
@@ -251,7 +252,7 @@
 						   SoupServerMessage *msg)
 {
 	const struct cfg_snapshot *snapshot = node_snapshot(http->entry->node);
-	const char *value = header(msg, "Authorization");
+	const char *value = request_header(msg, "Authorization");
 
 	if (g_ascii_strncasecmp(value, "Bearer ", strlen("Bearer ")) != 0)
 		return NULL;
@@ -259,22 +260,22 @@
 					 value + strlen("Bearer "));
 }
 
-static bool is_call(const char *path)
+static bool is_pipeline_path(const char *path)
 {
 	return g_str_has_prefix(path, PIPELINES_PATH) &&
 	       path[strlen(PIPELINES_PATH)];
 }
 
 /* Everything that can be known before the body. LP_OK or the refusal. */
-static int check_head(struct entry_http *http, SoupServerMessage *msg,
-		      const char *path)
+static int check_request_head(struct entry_http *http, SoupServerMessage *msg,
+			      const char *path)
 {
 	const struct cfg_snapshot *snapshot = node_snapshot(http->entry->node);
 	const struct cfg_organisation *organisation;
 	SoupMessageHeaders *headers =
 		soup_server_message_get_request_headers(msg);
 
-	if (!is_call(path) && strcmp(path, TICKETS_PATH) != 0)
+	if (!is_pipeline_path(path) && strcmp(path, TICKETS_PATH) != 0)
 		return LP_ERROR_UNKNOWN_PIPELINE;
 	if (strcmp(soup_server_message_get_method(msg), "POST") != 0)
 		return LP_ERROR_METHOD;
@@ -286,7 +287,7 @@
 	if (soup_message_headers_get_content_length(headers) >
 	    http->entry->settings->body_max)
 		return LP_ERROR_TOO_LARGE;
-	if (!is_call(path))
+	if (!is_pipeline_path(path))
 		return LP_OK;
 	if (!cfg_pipeline_find(snapshot->doc, path + strlen(PIPELINES_PATH)))
 		return LP_ERROR_UNKNOWN_PIPELINE;
@@ -309,7 +310,7 @@
 }
 
 /* A request that trickles in is answered and cut off. */
-static gboolean on_slow(gpointer userdata)
+static gboolean on_request_timeout(gpointer userdata)
 {
 	SoupServerMessage *msg = userdata;
 	const struct entry_answer answer = {
@@ -317,9 +318,9 @@
 		.run = LP_RUN_NOT_RUN,
 	};
 	GSocket *socket = node_listener_socket(msg);
-	g_autofree char *body = problem(&answer);
+	g_autofree char *body = format_problem(&answer);
 	g_autofree char *text =
-		g_strdup_printf(LATE_ANSWER, strlen(body), body);
+		g_strdup_printf(REQUEST_TIMEOUT_RESPONSE, strlen(body), body);
 
 	g_object_set_data(G_OBJECT(msg), "slow-timer", NULL);
 	if (socket) {
@@ -329,20 +330,20 @@
 	return G_SOURCE_REMOVE;
 }
 
-static void stop_slow_timer(gpointer timer)
+static void remove_request_timer(gpointer timer)
 {
 	g_source_remove(GPOINTER_TO_UINT(timer));
 }
 
-static void set_slow_timer(SoupServerMessage *msg, guint timeout_ms)
+static void set_request_timer(SoupServerMessage *msg, guint timeout_ms)
 {
-	guint timer = lp_timer_add(timeout_ms, on_slow, msg);
+	guint timer = lp_timer_add(timeout_ms, on_request_timeout, msg);
 
 	g_object_set_data_full(G_OBJECT(msg), "slow-timer",
-			       GUINT_TO_POINTER(timer), stop_slow_timer);
+			       GUINT_TO_POINTER(timer), remove_request_timer);
 }
 
-static void clear_slow_timer(SoupServerMessage *msg)
+static void clear_request_timer(SoupServerMessage *msg)
 {
 	g_object_set_data(G_OBJECT(msg), "slow-timer", NULL);
 }
@@ -350,18 +351,19 @@
 static void on_request_started(SoupServer *server, SoupServerMessage *msg,
 			       gpointer userdata)
 {
-	set_slow_timer(msg, IDLE_TIMEOUT_MS);
-	g_signal_connect(msg, "disconnected", G_CALLBACK(clear_slow_timer),
+	set_request_timer(msg, IDLE_TIMEOUT_MS);
+	g_signal_connect(msg, "disconnected", G_CALLBACK(clear_request_timer),
 			 NULL);
 }
 
-static void on_head(SoupServer *server, SoupServerMessage *msg,
-		    const char *path, GHashTable *query, gpointer userdata)
+static void on_request_head(SoupServer *server, SoupServerMessage *msg,
+			    const char *path, GHashTable *query,
+			    gpointer userdata)
 {
 	struct entry_http *http = userdata;
-	int error = check_head(http, msg, path);
+	int error = check_request_head(http, msg, path);
 
-	set_slow_timer(msg, (guint)http->entry->settings->read_timeout_ms);
+	set_request_timer(msg, (guint)http->entry->settings->read_timeout_ms);
 	if (error) {
 		soup_message_body_set_accumulate(
 			soup_server_message_get_request_body(msg), FALSE);
@@ -371,18 +373,18 @@
 	g_signal_connect(msg, "got-chunk", G_CALLBACK(on_body_chunk), http);
 }
 
-static bool parse_deadline(SoupServerMessage *msg, int64_t *left_us)
+static bool parse_deadline(SoupServerMessage *msg, int64_t *timeout_us)
 {
-	const char *text = header(msg, DEADLINE_HEADER);
+	const char *text = request_header(msg, DEADLINE_HEADER);
 	guint64 value;
 
-	*left_us = 0;
+	*timeout_us = 0;
 	if (!*text)
 		return true;
 	if (!g_ascii_string_to_unsigned(text, 10, 1, DEADLINE_MS_MAX, &value,
 					NULL))
 		return false;
-	*left_us = (int64_t)value * LP_US_PER_MS;
+	*timeout_us = (int64_t)value * LP_US_PER_MS;
 	return true;
 }
 
@@ -396,7 +398,7 @@
 	return true;
 }
 
-static void mint_ticket(struct entry_http *http, SoupServerMessage *msg)
+static void respond_ticket(struct entry_http *http, SoupServerMessage *msg)
 {
 	g_autofree char *ticket = entry_ticket_mint(http->entry);
 	g_autofree char *text = g_strdup_printf("{\"ticket\":\"%s\"}", ticket);
@@ -404,21 +406,21 @@
 	respond(msg, SOUP_STATUS_OK, "application/json", text);
 }
 
-static void begin(struct entry_http *http, SoupServerMessage *msg,
-		  const char *path, const struct cfg_organisation *org,
-		  int64_t left_us)
+static void begin_exchange(struct entry_http *http, SoupServerMessage *msg,
+			   const char *path, const struct cfg_organisation *org,
+			   int64_t timeout_us)
 {
 	struct exchange *exchange = g_new0(struct exchange, 1);
 	SoupMessageBody *body = soup_server_message_get_request_body(msg);
 	g_autoptr(GBytes) bytes = soup_message_body_flatten(body);
 	gsize size;
 	const char *data = g_bytes_get_data(bytes, &size);
-	const struct entry_ask ask = {
+	const struct entry_request_params ask = {
 		.pipeline = path + strlen(PIPELINES_PATH),
 		.organisation = org->name,
-		.key = header(msg, KEY_HEADER),
-		.trace = header(msg, "traceparent"),
-		.left_us = left_us,
+		.key = request_header(msg, KEY_HEADER),
+		.trace = request_header(msg, "traceparent"),
+		.left_us = timeout_us,
 		.body = data ? data : "",
 		.body_size = size,
 		.ops = &caller_ops,
@@ -427,7 +429,8 @@
 
 	exchange->http = http;
 	exchange->msg = g_object_ref(msg);
-	exchange->events = strstr(header(msg, "Accept"), "text/event-stream");
+	exchange->events =
+		strstr(request_header(msg, "Accept"), "text/event-stream");
 	g_hash_table_add(http->exchanges, exchange);
 	g_signal_connect(msg, "finished", G_CALLBACK(on_finished), exchange);
 	soup_server_message_pause(msg);
@@ -441,33 +444,33 @@
 {
 	struct entry_http *http = userdata;
 	const struct cfg_organisation *organisation;
-	int64_t left_us;
+	int64_t timeout_us;
 
-	clear_slow_timer(msg);
+	clear_request_timer(msg);
 	if (soup_server_message_get_status(msg))
 		return;
 	organisation = authenticate(http, msg);
 	if (!organisation) {
 		respond_error(http, msg, LP_ERROR_UNAUTHENTICATED, NULL);
-	} else if (!is_call(path)) {
-		mint_ticket(http, msg);
-	} else if (!parse_deadline(msg, &left_us)) {
+	} else if (!is_pipeline_path(path)) {
+		respond_ticket(http, msg);
+	} else if (!parse_deadline(msg, &timeout_us)) {
 		respond_error(http, msg, LP_ERROR_BAD_REQUEST,
 			      DEADLINE_HEADER
 			      ": expected milliseconds, 1 to 3600000");
-	} else if (!key_is_valid(header(msg, KEY_HEADER))) {
+	} else if (!key_is_valid(request_header(msg, KEY_HEADER))) {
 		respond_error(http, msg, LP_ERROR_BAD_REQUEST,
 			      KEY_HEADER ": expected at most 200 printable "
 					 "ASCII characters");
 	} else {
-		begin(http, msg, path, organisation, left_us);
+		begin_exchange(http, msg, path, organisation, timeout_us);
 	}
 }
 
 static void on_health(SoupServer *server, SoupServerMessage *msg,
 		      const char *path, GHashTable *query, gpointer userdata)
 {
-	clear_slow_timer(msg);
+	clear_request_timer(msg);
 	respond(msg, SOUP_STATUS_OK, "text/plain", "live\n");
 }
 
@@ -477,13 +480,13 @@
 	struct entry *entry = ((struct entry_http *)userdata)->entry;
 	const char *why = NULL;
 
-	clear_slow_timer(msg);
-	entry_probed(entry, soup_server_message_get_remote_host(msg));
+	clear_request_timer(msg);
+	entry_record_probe(entry, soup_server_message_get_remote_host(msg));
 	if (node_leaving(entry->node))
 		why = "leaving\n";
 	else if (!node_snapshot(entry->node))
 		why = "no configuration received yet\n";
-	else if (!entry_peers_heard(entry->peers))
+	else if (!entry_peers_usable_agent_count(entry->peers))
 		why = "no agent heard of yet\n";
 	respond(msg, why ? SOUP_STATUS_SERVICE_UNAVAILABLE : SOUP_STATUS_OK,
 		"text/plain", why ? why : "ready\n");
@@ -497,12 +500,13 @@
 	int error;
 
 	http->entry = entry;
-	http->gone = entry_gone_create(on_gone);
+	http->gone = entry_disconnect_create(on_disconnect);
 	http->exchanges = g_hash_table_new(g_direct_hash, g_direct_equal);
 	http->server = soup_server_new("server-header", "linepier", NULL);
 	g_signal_connect(http->server, "request-started",
 			 G_CALLBACK(on_request_started), http);
-	soup_server_add_early_handler(http->server, "/v1", on_head, http, NULL);
+	soup_server_add_early_handler(http->server, "/v1", on_request_head,
+				      http, NULL);
 	soup_server_add_handler(http->server, "/v1", on_request, http, NULL);
 	soup_server_add_handler(http->server, "/healthz", on_health, http,
 				NULL);
@@ -517,12 +521,12 @@
 	return LP_OK;
 }
 
-void entry_http_close(struct entry_http *http)
+void entry_http_stop_listening(struct entry_http *http)
 {
 	node_listener_close(http->listener);
 }
 
-uint32_t entry_http_owed(const struct entry_http *http)
+uint32_t entry_http_unanswered(const struct entry_http *http)
 {
 	return g_hash_table_size(http->exchanges);
 }
@@ -539,7 +543,7 @@
 	node_listener_destroy(http->listener);
 	soup_server_disconnect(http->server);
 	g_object_unref(http->server);
-	entry_gone_destroy(http->gone);
+	entry_disconnect_destroy(http->gone);
 	g_hash_table_unref(http->exchanges);
 	g_free(http);
 }
--- a/entry/entry_keys.c
+++ b/entry/entry_keys.c
@@ -5,10 +5,10 @@
 #include <string.h>
 
 #define CLAIM_PREFIX "linepier/claims/"
-#define LEASES_PER_KEEP 4 /* a claim's lease is at most this old */
+#define LEASE_RENEWALS_PER_KEEP 4 /* a claim's lease is at most this old */
 #define FORWARD_SLACK_US (20 * LP_US_PER_MS)
 /* An owner that has not even seen it by then is gone, or stands still. */
-#define FORWARD_SEEN_US (700 * LP_US_PER_MS)
+#define FORWARD_ACK_TIMEOUT_US (700 * LP_US_PER_MS)
 
 /* A request that another entry answers. */
 struct forward {
@@ -19,13 +19,13 @@
 };
 
 /* A request that another entry sent here. */
-struct guest {
+struct inbound_forward {
 	struct entry *entry;
 	char *peer;
 	uint64_t serial;
 };
 
-struct entry_owners {
+struct entry_idempotency {
 	struct entry *entry;
 	struct keys *keys;
 	struct claims *claims;
@@ -41,8 +41,8 @@
 };
 
 /* What is kept of a request while its claim is written. */
-struct pending {
-	struct entry_keyed keyed;
+struct claiming_request {
+	struct entry_keyed_request keyed;
 	char *pipeline;
 	char *organisation;
 	char *key;
@@ -50,34 +50,40 @@
 	char *body;
 };
 
-static void free_pending(gpointer data)
+static void free_claiming_request(gpointer data)
 {
-	struct pending *pending = data;
+	struct claiming_request *claiming_request = data;
 
-	g_free(pending->pipeline);
-	g_free(pending->organisation);
-	g_free(pending->key);
-	g_free(pending->scoped);
-	g_free(pending->body);
-	g_free(pending);
+	g_free(claiming_request->pipeline);
+	g_free(claiming_request->organisation);
+	g_free(claiming_request->key);
+	g_free(claiming_request->scoped);
+	g_free(claiming_request->body);
+	g_free(claiming_request);
 }
 
-static struct pending *keep(const struct entry_keyed *keyed)
+static struct claiming_request *
+copy_keyed_request(const struct entry_keyed_request *keyed)
 {
-	struct pending *pending = g_new0(struct pending, 1);
+	struct claiming_request *claiming_request =
+		g_new0(struct claiming_request, 1);
 
-	pending->keyed = *keyed;
-	pending->keyed.pipeline = pending->pipeline = g_strdup(keyed->pipeline);
-	pending->keyed.organisation = pending->organisation =
+	claiming_request->keyed = *keyed;
+	claiming_request->keyed.pipeline = claiming_request->pipeline =
+		g_strdup(keyed->pipeline);
+	claiming_request->keyed.organisation = claiming_request->organisation =
 		g_strdup(keyed->organisation);
-	pending->keyed.key = pending->key = g_strdup(keyed->key);
-	pending->keyed.scoped = pending->scoped = g_strdup(keyed->scoped);
-	pending->keyed.body = pending->body = g_strdup(keyed->body);
-	return pending;
+	claiming_request->keyed.key = claiming_request->key =
+		g_strdup(keyed->key);
+	claiming_request->keyed.scoped = claiming_request->scoped =
+		g_strdup(keyed->scoped);
+	claiming_request->keyed.body = claiming_request->body =
+		g_strdup(keyed->body);
+	return claiming_request;
 }
 
-static void end_with(struct entry_request *request, int error, enum lp_run run,
-		     const char *detail)
+static void end_with_error(struct entry_request *request, int error,
+			   enum lp_run run, const char *detail)
 {
 	const struct entry_answer answer = {
 		.error = error,
@@ -91,21 +97,21 @@
 
 /* ---- this entry owns the key ---- */
 
-static void wake_waiter(void *userdata, void *waiter,
-			const struct keys_answer *kept)
+static void answer_waiter(void *userdata, void *waiter,
+			  const struct keys_answer *stored)
 {
 	const struct entry_answer answer = {
-		.error = kept->error,
-		.run = kept->run,
+		.error = stored->error,
+		.run = stored->run,
 		.id = "",
-		.body = kept->error ? NULL : kept->body,
+		.body = stored->error ? NULL : stored->body,
 	};
 
 	entry_request_end(waiter, &answer);
 }
 
-bool entry_owners_begin(struct entry_owners *owners,
-			const struct entry_keyed *keyed)
+bool entry_idempotency_begin(struct entry_idempotency *owners,
+			     const struct entry_keyed_request *keyed)
 {
 	const struct keys_request request = {
 		.key = keyed->scoped,
@@ -113,38 +119,39 @@
 		.deadline_us = keyed->deadline_us,
 		.waiter = keyed->request,
 	};
-	struct keys_answer kept;
+	struct keys_answer stored;
 
-	switch (keys_begin(owners->keys, &request, &kept)) {
+	switch (keys_begin(owners->keys, &request, &stored)) {
 	case KEYS_NEW:
 		return true;
 	case KEYS_WAIT:
 		break;
 	case KEYS_ANSWERED:
-		wake_waiter(owners, keyed->request, &kept);
+		answer_waiter(owners, keyed->request, &stored);
 		break;
 	case KEYS_MISMATCH:
-		end_with(keyed->request, LP_ERROR_KEY_MISMATCH, LP_RUN_NOT_RUN,
-			 NULL);
+		end_with_error(keyed->request, LP_ERROR_KEY_MISMATCH,
+			       LP_RUN_NOT_RUN, NULL);
 		break;
 	case KEYS_FULL:
-		end_with(keyed->request, LP_ERROR_OVERLOADED, LP_RUN_NOT_RUN,
-			 "this entry can keep no more keys");
+		end_with_error(keyed->request, LP_ERROR_OVERLOADED,
+			       LP_RUN_NOT_RUN,
+			       "this entry can keep no more keys");
 		break;
 	}
 	return false;
 }
 
-void entry_owners_end(struct entry_owners *owners, const char *scoped,
-		      const struct entry_answer *answer)
+void entry_idempotency_end(struct entry_idempotency *owners, const char *scoped,
+			   const struct entry_answer *answer)
 {
-	const struct keys_answer kept = {
+	const struct keys_answer stored = {
 		.error = answer->error,
 		.run = answer->run,
 		.body = answer->body,
 	};
 
-	keys_end(owners->keys, scoped, &kept);
+	keys_end(owners->keys, scoped, &stored);
 }
 
 static gboolean is_of_request(gpointer key, gpointer value, gpointer userdata)
@@ -154,8 +161,8 @@
 	return forward->request == userdata;
 }
 
-void entry_owners_forget(struct entry_owners *owners,
-			 struct entry_request *request)
+void entry_idempotency_forget(struct entry_idempotency *owners,
+			      struct entry_request *request)
 {
 	claims_forget(owners->claims, request);
 	g_hash_table_remove(owners->keyed, request);
@@ -165,8 +172,9 @@
 
 /* ---- another entry owns it ---- */
 
-static void forward_to(struct entry_owners *owners, const char *host,
-		       uint64_t incarnation, const struct entry_keyed *keyed)
+static void forward_to(struct entry_idempotency *owners, const char *host,
+		       uint64_t incarnation,
+		       const struct entry_keyed_request *keyed)
 {
 	struct entry *entry = owners->entry;
 	struct forward *forward = g_new0(struct forward, 1);
@@ -175,7 +183,7 @@
 
 	forward->serial = ++owners->serial;
 	forward->request = keyed->request;
-	forward->seen_by_us = entry_now_us(entry) + FORWARD_SEEN_US;
+	forward->seen_by_us = entry_now_us(entry) + FORWARD_ACK_TIMEOUT_US;
 	forward->until_us = keyed->deadline_us + FORWARD_SLACK_US;
 	msg.u.forward.serial = forward->serial;
 	msg.u.forward.incarnation = incarnation;
@@ -186,16 +194,17 @@
 	msg.u.forward.body = (char *)keyed->body;
 	if (left_us <= 0 || entry_peers_send_entry(entry->peers, host, &msg)) {
 		g_free(forward);
-		end_with(keyed->request, LP_ERROR_KEY_LOST, LP_RUN_MAY_HAVE_RUN,
-			 NULL);
+		end_with_error(keyed->request, LP_ERROR_KEY_LOST,
+			       LP_RUN_MAY_HAVE_RUN, NULL);
 		return;
 	}
-	entry_count(entry, "linepier_entry_forwarded_total", NULL, NULL);
+	entry_increment_counter(entry, "linepier_entry_forwarded_total", NULL,
+				NULL);
 	g_hash_table_insert(owners->forwards, &forward->serial, forward);
 }
 
-static void take_forwarded(struct entry_owners *owners,
-			   const struct wire_forwarded *wire)
+static void handle_forwarded(struct entry_idempotency *owners,
+			     const struct wire_forwarded *wire)
 {
 	struct forward *forward =
 		g_hash_table_lookup(owners->forwards, &wire->serial);
@@ -214,8 +223,8 @@
 	entry_request_end(request, &answer);
 }
 
-static void take_seen(struct entry_owners *owners,
-		      const struct wire_forward_seen *wire)
+static void handle_forward_seen(struct entry_idempotency *owners,
+				const struct wire_forward_seen *wire)
 {
 	struct forward *forward =
 		g_hash_table_lookup(owners->forwards, &wire->serial);
@@ -245,23 +254,27 @@
 	node_send(entry->node, peer, &msg);
 }
 
-static void guest_answer(void *userdata, const struct entry_answer *answer)
+static void answer_inbound_forward(void *userdata,
+				   const struct entry_answer *answer)
 {
-	struct guest *guest = userdata;
+	struct inbound_forward *inbound_forward = userdata;
 
-	send_forwarded(guest->entry, guest->peer, guest->serial, answer->error,
-		       answer->run, answer->body);
-	g_free(guest->peer);
-	g_free(guest);
+	send_forwarded(inbound_forward->entry, inbound_forward->peer,
+		       inbound_forward->serial, answer->error, answer->run,
+		       answer->body);
+	g_free(inbound_forward->peer);
+	g_free(inbound_forward);
 }
 
-static const struct entry_caller_ops guest_ops = { NULL, guest_answer };
+static const struct entry_caller_ops inbound_forward_ops = {
+	NULL, answer_inbound_forward
+};
 
-static void take_guest(struct entry_owners *owners, const char *peer,
-		       const struct wire_forward *wire)
+static void handle_forward(struct entry_idempotency *owners, const char *peer,
+			   const struct wire_forward *wire)
 {
 	struct entry *entry = owners->entry;
-	struct guest *guest;
+	struct inbound_forward *inbound_forward;
 
 	if (wire->incarnation != node_incarnation(entry->node)) {
 		send_forwarded(entry, peer, wire->serial, LP_ERROR_KEY_LOST,
@@ -269,11 +282,11 @@
 		return;
 	}
 	send_seen(entry, peer, wire->serial);
-	guest = g_new0(struct guest, 1);
-	guest->entry = entry;
-	guest->peer = g_strdup(peer);
-	guest->serial = wire->serial;
-	const struct entry_ask ask = {
+	inbound_forward = g_new0(struct inbound_forward, 1);
+	inbound_forward->entry = entry;
+	inbound_forward->peer = g_strdup(peer);
+	inbound_forward->serial = wire->serial;
+	const struct entry_request_params ask = {
 		.pipeline = wire->pipeline,
 		.organisation = wire->organisation,
 		.key = wire->key,
@@ -282,21 +295,21 @@
 		.body = wire->body,
 		.body_size = strlen(wire->body),
 		.owned = true,
-		.ops = &guest_ops,
-		.userdata = guest,
+		.ops = &inbound_forward_ops,
+		.userdata = inbound_forward,
 	};
 	entry_request_begin(entry, &ask, NULL);
 }
 
-void entry_owners_message(struct entry_owners *owners, const char *peer,
-			  struct wire_msg *msg)
+void entry_idempotency_message(struct entry_idempotency *owners,
+			       const char *peer, struct wire_msg *msg)
 {
 	if (msg->type == WIRE_FORWARD)
-		take_guest(owners, peer, &msg->u.forward);
+		handle_forward(owners, peer, &msg->u.forward);
 	else if (msg->type == WIRE_FORWARD_SEEN)
-		take_seen(owners, &msg->u.forward_seen);
+		handle_forward_seen(owners, &msg->u.forward_seen);
 	else
-		take_forwarded(owners, &msg->u.forwarded);
+		handle_forwarded(owners, &msg->u.forwarded);
 }
 
 /* ---- claims ---- */
@@ -309,9 +322,9 @@
 	return g_strconcat(CLAIM_PREFIX, digest, NULL);
 }
 
-static void on_written(void *userdata, const struct store_answer *answer)
+static void on_claims_written(void *userdata, const struct store_answer *answer)
 {
-	struct entry_owners *owners = userdata;
+	struct entry_idempotency *owners = userdata;
 	g_autoptr(GPtrArray) keys = owners->batch_keys;
 	g_autofree struct claim_found *found = NULL;
 
@@ -330,7 +343,7 @@
 		       answer->pairs_count);
 }
 
-static void send_claims(struct entry_owners *owners)
+static void send_claims(struct entry_idempotency *owners)
 {
 	struct store_kv *kv = node_kv(owners->entry->node);
 	guint count = owners->batch_keys->len;
@@ -352,12 +365,12 @@
 		.reads = (const char *const *)owners->batch_keys->pdata,
 		.reads_count = count,
 	};
-	kv->ops->txn(kv, "claim", &txn, on_written, owners);
+	kv->ops->txn(kv, "claim", &txn, on_claims_written, owners);
 }
 
-static void on_lease(void *userdata, const struct store_answer *answer)
+static void on_lease_granted(void *userdata, const struct store_answer *answer)
 {
-	struct entry_owners *owners = userdata;
+	struct entry_idempotency *owners = userdata;
 
 	owners->leasing = false;
 	if (!answer->error) {
@@ -368,23 +381,23 @@
 		return;
 	owners->write_waits = false;
 	if (answer->error)
-		on_written(owners, answer);
+		on_claims_written(owners, answer);
 	else
 		send_claims(owners);
 }
 
-static bool lease_is_fresh(const struct entry_owners *owners)
+static bool lease_is_fresh(const struct entry_idempotency *owners)
 {
 	int64_t keep_us = owners->entry->settings->key_keep_ms * LP_US_PER_MS;
 	int64_t age_us = entry_now_us(owners->entry) - owners->lease_us;
 
-	return owners->lease && age_us < keep_us / LEASES_PER_KEEP;
+	return owners->lease && age_us < keep_us / LEASE_RENEWALS_PER_KEEP;
 }
 
-static void claims_write(void *userdata, const struct claim_item *items,
+static void write_claims(void *userdata, const struct claim_item *items,
 			 uint32_t count)
 {
-	struct entry_owners *owners = userdata;
+	struct entry_idempotency *owners = userdata;
 	struct store_kv *kv = node_kv(owners->entry->node);
 	int64_t ttl_s = owners->entry->settings->key_keep_ms * 2 /
 			(LP_US_PER_S / LP_US_PER_MS);
@@ -400,7 +413,8 @@
 	if (owners->leasing)
 		return;
 	owners->leasing = true;
-	kv->ops->lease_grant(kv, "claim_lease", ttl_s, on_lease, owners);
+	kv->ops->lease_grant(kv, "claim_lease", ttl_s, on_lease_granted,
+			     owners);
 }
 
 /* "HOST INCARNATION" */
@@ -415,54 +429,56 @@
 	return true;
 }
 
-static void claim_settled(void *userdata, void *waiter, int error,
-			  const char *owner)
+static void on_claim_settled(void *userdata, void *waiter, int error,
+			     const char *owner)
 {
-	struct entry_owners *owners = userdata;
-	struct pending *pending = g_hash_table_lookup(owners->keyed, waiter);
+	struct entry_idempotency *owners = userdata;
+	struct claiming_request *claiming_request =
+		g_hash_table_lookup(owners->keyed, waiter);
 	g_autofree char *host = NULL;
 	uint64_t incarnation;
 
-	if (!pending)
+	if (!claiming_request)
 		return;
 	g_hash_table_steal(owners->keyed, waiter);
 	if (error)
-		end_with(waiter, error, LP_RUN_NOT_RUN,
-			 "the claim on the key could not be settled");
+		end_with_error(waiter, error, LP_RUN_NOT_RUN,
+			       "the claim on the key could not be settled");
 	else if (!strcmp(owner, owners->self))
-		entry_request_owned(waiter);
+		entry_request_begin_owned(waiter);
 	else if (parse_owner(owner, &host, &incarnation))
-		forward_to(owners, host, incarnation, &pending->keyed);
+		forward_to(owners, host, incarnation, &claiming_request->keyed);
 	else
-		end_with(waiter, LP_ERROR_KEY_LOST, LP_RUN_MAY_HAVE_RUN, NULL);
-	free_pending(pending);
+		end_with_error(waiter, LP_ERROR_KEY_LOST, LP_RUN_MAY_HAVE_RUN,
+			       NULL);
+	free_claiming_request(claiming_request);
 }
 
-static const struct claims_ops claims_ops = { claims_write, claim_settled };
+static const struct claims_ops claims_ops = { write_claims, on_claim_settled };
 
 /* ---- finding the owner ---- */
 
-static void find_by_ticket(struct entry_owners *owners,
-			   const struct entry_keyed *keyed,
+static void find_by_ticket(struct entry_idempotency *owners,
+			   const struct entry_keyed_request *keyed,
 			   const struct keys_ticket *ticket)
 {
 	struct entry *entry = owners->entry;
 	int64_t now_s = g_get_real_time() / LP_US_PER_S;
 
 	if (ticket->expires_s < now_s)
-		end_with(keyed->request, LP_ERROR_KEY_LOST, LP_RUN_MAY_HAVE_RUN,
-			 "the ticket has expired");
+		end_with_error(keyed->request, LP_ERROR_KEY_LOST,
+			       LP_RUN_MAY_HAVE_RUN, "the ticket has expired");
 	else if (strcmp(ticket->host, entry->settings->host) != 0)
 		forward_to(owners, ticket->host, ticket->incarnation, keyed);
 	else if (ticket->incarnation == node_incarnation(entry->node))
-		entry_request_owned(keyed->request);
+		entry_request_begin_owned(keyed->request);
 	else
-		end_with(keyed->request, LP_ERROR_KEY_LOST, LP_RUN_MAY_HAVE_RUN,
-			 NULL);
+		end_with_error(keyed->request, LP_ERROR_KEY_LOST,
+			       LP_RUN_MAY_HAVE_RUN, NULL);
 }
 
-void entry_owners_find(struct entry_owners *owners,
-		       const struct entry_keyed *keyed)
+void entry_idempotency_find_owner(struct entry_idempotency *owners,
+				  const struct entry_keyed_request *keyed)
 {
 	struct keys_ticket ticket;
 	g_autofree char *kv_key = NULL;
@@ -473,11 +489,12 @@
 		return;
 	}
 	if (!keyed->needs_claim) {
-		entry_request_owned(keyed->request);
+		entry_request_begin_owned(keyed->request);
 		return;
 	}
 	kv_key = claim_key(keyed->scoped);
-	g_hash_table_insert(owners->keyed, keyed->request, keep(keyed));
+	g_hash_table_insert(owners->keyed, keyed->request,
+			    copy_keyed_request(keyed));
 	claims_add(owners->claims, kv_key, owners->self, keyed->deadline_us,
 		   keyed->request);
 }
@@ -494,14 +511,14 @@
 
 /* ---- life ---- */
 
-struct entry_owners *entry_owners_create(struct entry *entry)
+struct entry_idempotency *entry_idempotency_create(struct entry *entry)
 {
-	struct entry_owners *owners = g_new0(struct entry_owners, 1);
+	struct entry_idempotency *owners = g_new0(struct entry_idempotency, 1);
 	const struct keys_options keys = {
 		.clock = node_clock(entry->node),
 		/* Longer than tickets and claims last. */
 		.keep_us = entry->settings->key_keep_ms * LP_US_PER_MS * 2,
-		.wake = wake_waiter,
+		.wake = answer_waiter,
 		.userdata = owners,
 	};
 	const struct claims_options claims = {
@@ -517,14 +534,14 @@
 	owners->forwards = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						 NULL, g_free);
 	owners->keyed = g_hash_table_new_full(g_direct_hash, g_direct_equal,
-					      NULL, free_pending);
+					      NULL, free_claiming_request);
 	owners->self = g_strdup_printf("%s %" G_GINT64_MODIFIER "x",
 				       entry->settings->host,
 				       node_incarnation(entry->node));
 	return owners;
 }
 
-void entry_owners_destroy(struct entry_owners *owners)
+void entry_idempotency_destroy(struct entry_idempotency *owners)
 {
 	if (!owners)
 		return;
@@ -538,16 +555,16 @@
 	g_free(owners);
 }
 
-static bool is_unseen(const struct forward *forward, int64_t now_us)
+static bool is_unacknowledged(const struct forward *forward, int64_t now_us)
 {
 	return forward->seen_by_us && forward->seen_by_us <= now_us;
 }
 
-static void expire_forwards(struct entry_owners *owners)
+static void expire_forwards(struct entry_idempotency *owners)
 {
 	int64_t now_us = entry_now_us(owners->entry);
-	g_autoptr(GPtrArray) unseen = g_ptr_array_new();
-	g_autoptr(GPtrArray) late = g_ptr_array_new();
+	g_autoptr(GPtrArray) unacknowledged = g_ptr_array_new();
+	g_autoptr(GPtrArray) expired = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer value;
 
@@ -555,30 +572,32 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct forward *forward = value;
 
-		if (is_unseen(forward, now_us))
-			g_ptr_array_add(unseen, forward->request);
+		if (is_unacknowledged(forward, now_us))
+			g_ptr_array_add(unacknowledged, forward->request);
 		else if (forward->until_us <= now_us)
-			g_ptr_array_add(late, forward->request);
+			g_ptr_array_add(expired, forward->request);
 		else
 			continue;
 		g_hash_table_iter_remove(&iter);
 	}
-	for (guint i = 0; i < unseen->len; i++)
-		end_with(g_ptr_array_index(unseen, i), LP_ERROR_KEY_LOST,
-			 LP_RUN_MAY_HAVE_RUN, "the key's owner is silent");
-	for (guint i = 0; i < late->len; i++)
-		end_with(g_ptr_array_index(late, i), LP_ERROR_DEADLINE_PASSED,
-			 LP_RUN_MAY_HAVE_RUN, NULL);
+	for (guint i = 0; i < unacknowledged->len; i++)
+		end_with_error(g_ptr_array_index(unacknowledged, i),
+			       LP_ERROR_KEY_LOST, LP_RUN_MAY_HAVE_RUN,
+			       "the key's owner is silent");
+	for (guint i = 0; i < expired->len; i++)
+		end_with_error(g_ptr_array_index(expired, i),
+			       LP_ERROR_DEADLINE_PASSED, LP_RUN_MAY_HAVE_RUN,
+			       NULL);
 }
 
-void entry_owners_tick(struct entry_owners *owners)
+void entry_idempotency_tick(struct entry_idempotency *owners)
 {
 	claims_tick(owners->claims);
 	keys_tick(owners->keys);
 	expire_forwards(owners);
 }
 
-uint32_t entry_owners_count(const struct entry_owners *owners)
+uint32_t entry_idempotency_key_count(const struct entry_idempotency *owners)
 {
 	return keys_count(owners->keys);
 }
--- a/entry/entry_map.c
+++ b/entry/entry_map.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-#define OPEN "{{"
-#define CLOSE "}}"
+#define TEMPLATE_OPEN "{{"
+#define TEMPLATE_CLOSE "}}"
 
 static bool too_deep(const char *text, size_t size)
 {
@@ -48,7 +48,7 @@
 	return json_node_ref(root);
 }
 
-static JsonNode *step_into(JsonNode *node, const char *name)
+static JsonNode *child_node(JsonNode *node, const char *name)
 {
 	guint64 index;
 
@@ -62,7 +62,7 @@
 	return json_array_get_element(json_node_get_array(node), (guint)index);
 }
 
-static JsonNode *root_of(const struct entry_values *values, const char *name)
+static JsonNode *root_node(const struct entry_values *values, const char *name)
 {
 	if (!strcmp(name, "request"))
 		return values->request;
@@ -75,10 +75,10 @@
 JsonNode *entry_lookup(const struct entry_values *values, const char *path)
 {
 	g_auto(GStrv) parts = g_strsplit(path, ".", -1);
-	JsonNode *node = parts[0] ? root_of(values, parts[0]) : NULL;
+	JsonNode *node = parts[0] ? root_node(values, parts[0]) : NULL;
 
 	for (int i = 1; node && parts[i]; i++)
-		node = step_into(node, parts[i]);
+		node = child_node(node, parts[i]);
 	return node;
 }
 
@@ -97,36 +97,39 @@
 	g_string_append(out, text);
 }
 
-static char *expand(const struct entry_values *values, const char *text)
+static char *expand_template(const struct entry_values *values,
+			     const char *text)
 {
 	GString *out = g_string_new(NULL);
 	const char *open;
 	const char *close;
 
-	while ((open = strstr(text, OPEN)) && (close = strstr(open, CLOSE))) {
-		g_autofree char *path =
-			g_strndup(open + strlen(OPEN),
-				  (gsize)(close - open) - strlen(OPEN));
+	while ((open = strstr(text, TEMPLATE_OPEN)) &&
+	       (close = strstr(open, TEMPLATE_CLOSE))) {
+		g_autofree char *path = g_strndup(
+			open + strlen(TEMPLATE_OPEN),
+			(gsize)(close - open) - strlen(TEMPLATE_OPEN));
 
 		g_string_append_len(out, text, open - text);
 		append_node(out, entry_lookup(values, g_strstrip(path)));
-		text = close + strlen(CLOSE);
+		text = close + strlen(TEMPLATE_CLOSE);
 	}
 	g_string_append(out, text);
 	return g_string_free(out, FALSE);
 }
 
 /* A literal is JSON if it reads as such, else text with places to fill. */
-static JsonNode *literal(const struct entry_values *values, const char *value)
+static JsonNode *expand_literal(const struct entry_values *values,
+				const char *value)
 {
 	g_autofree char *text = NULL;
 	JsonNode *node = NULL;
 
-	if (!strstr(value, OPEN))
+	if (!strstr(value, TEMPLATE_OPEN))
 		node = json_from_string(value, NULL);
 	if (node)
 		return node;
-	text = expand(values, value);
+	text = expand_template(values, value);
 	node = json_node_new(JSON_NODE_VALUE);
 	json_node_set_string(node, text);
 	return node;
@@ -163,7 +166,7 @@
 			node = node ? json_node_copy(node)
 				    : json_node_new(JSON_NODE_NULL);
 		} else {
-			node = literal(values, input->value);
+			node = expand_literal(values, input->value);
 		}
 		set_field(object, input->field, node);
 	}
@@ -171,8 +174,8 @@
 	return root;
 }
 
-void entry_make_stream(JsonNode *input, const char *resume,
-		       uint32_t resume_tokens)
+void entry_enable_streaming(JsonNode *input, const char *resume,
+			    uint32_t resume_tokens)
 {
 	JsonObject *object = json_node_get_object(input);
 	const char *prompt;
--- a/entry/entry_map.h
+++ b/entry/entry_map.h
@@ -29,8 +29,8 @@
  * Make a completion call stream, and go on after `resume`, the text of
  * `resume_tokens` tokens that another upstream had made.
  */
-void entry_make_stream(JsonNode *input, const char *resume,
-		       uint32_t resume_tokens);
+void entry_enable_streaming(JsonNode *input, const char *resume,
+			    uint32_t resume_tokens);
 /** The result of a stream: the text and how many tokens it has. */
 JsonNode *entry_stream_result(const char *text, uint32_t tokens, JsonNode *end);
 
--- a/entry/entry_peers.c
+++ b/entry/entry_peers.c
@@ -5,9 +5,9 @@
 
 #include <string.h>
 
-#define HELLO_AGAIN_US (500 * LP_US_PER_MS) /* to one we do not hear */
-#define BEATS_MISSED 1.4
-#define AGENTS_MIN 4 /* of a service, whatever the total */
+#define HELLO_RETRY_US (500 * LP_US_PER_MS) /* to one we do not hear */
+#define HELLO_RETRY_BEATS 1.4
+#define AGENTS_PER_SERVICE_MIN 4 /* of a service, whatever the total */
 
 struct conn {
 	char *name; /* of the connection: "HOST#N", never used twice */
@@ -82,7 +82,7 @@
 	return conn;
 }
 
-static void hello(struct entry_peers *peers, struct conn *conn)
+static void send_hello(struct entry_peers *peers, struct conn *conn)
 {
 	struct node *node = peers->entry->node;
 	const struct wire_msg msg = {
@@ -96,8 +96,8 @@
 	conn->hello_us = entry_now_us(peers->entry);
 }
 
-static struct route_upstream *upstream_of(const struct entry_peers *peers,
-					  const struct conn *conn)
+static struct route_upstream *find_upstream(const struct entry_peers *peers,
+					    const struct conn *conn)
 {
 	struct route *route = flow_route(peers->entry->flow, conn->service);
 
@@ -112,13 +112,13 @@
 	g_hash_table_insert(peers->by_name, conn->name, conn);
 	route_add(flow_route(peers->entry->flow, conn->service), conn->host,
 		  conn->domain);
-	hello(peers, conn);
+	send_hello(peers, conn);
 }
 
 static void close_agent(struct entry_peers *peers, struct conn *conn)
 {
 	flow_agent_removed(peers->entry->flow, conn->service, conn->host);
-	entry_rearm(peers->entry);
+	entry_rearm_timer(peers->entry);
 	node_disconnect(peers->entry->node, conn->address);
 	g_hash_table_remove(peers->by_name, conn->name);
 	g_hash_table_remove(peers->agents, conn->host);
@@ -148,7 +148,8 @@
 	return groups;
 }
 
-static void take_host(struct entry_peers *peers, const struct store_host *host)
+static void update_agent(struct entry_peers *peers,
+			 const struct store_host *host)
 {
 	struct conn *conn = g_hash_table_lookup(peers->agents, host->id);
 	struct route_upstream *upstream;
@@ -163,24 +164,25 @@
 		conn = g_hash_table_lookup(peers->agents, host->id);
 	}
 	conn->wanted = true;
-	upstream = upstream_of(peers, conn);
+	upstream = find_upstream(peers, conn);
 	if (upstream)
 		upstream->listed_leaving = host->leaving;
 }
 
 /* Each service's part of the connections, and a few even of many services. */
-static uint32_t most_of_service(const struct entry_peers *peers,
-				uint32_t services)
+static uint32_t max_agents_per_service(const struct entry_peers *peers,
+				       uint32_t services)
 {
 	const struct node_settings *settings = peers->entry->settings;
-	int64_t part = settings->agents_total / MAX(1, services);
+	int64_t service_share = settings->agents_total / MAX(1, services);
 
-	return (uint32_t)MIN(settings->agents_max, MAX(part, AGENTS_MIN));
+	return (uint32_t)MIN(settings->agents_max,
+			     MAX(service_share, AGENTS_PER_SERVICE_MIN));
 }
 
-static void choose_of_service(struct entry_peers *peers,
-			      const struct store_hosts *hosts,
-			      const GArray *group, uint32_t most)
+static void select_agents(struct entry_peers *peers,
+			  const struct store_hosts *hosts, const GArray *group,
+			  uint32_t max_agents)
 {
 	struct member *members = g_new0(struct member, group->len + 1);
 	bool *chosen = g_new0(bool, group->len + 1);
@@ -193,19 +195,19 @@
 		members[i].id = host->id;
 		members[i].domain = host->domain;
 	}
-	member_subset(self, members, group->len, most, chosen);
+	member_subset(self, members, group->len, max_agents, chosen);
 	for (guint i = 0; i < group->len; i++)
 		if (chosen[i])
-			take_host(peers, &hosts->hosts[g_array_index(
-						 group, uint32_t, i)]);
+			update_agent(peers, &hosts->hosts[g_array_index(
+						    group, uint32_t, i)]);
 	g_free(members);
 	g_free(chosen);
 }
 
 /* The list lags: what still speaks, or works for us, stays. */
-static bool may_close(const struct entry_peers *peers, const struct conn *conn)
+static bool can_close(const struct entry_peers *peers, const struct conn *conn)
 {
-	const struct route_upstream *upstream = upstream_of(peers, conn);
+	const struct route_upstream *upstream = find_upstream(peers, conn);
 
 	return !upstream || (upstream->silent && !upstream->inflight);
 }
@@ -220,7 +222,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct conn *conn = value;
 
-		if (!conn->wanted && may_close(peers, conn))
+		if (!conn->wanted && can_close(peers, conn))
 			g_ptr_array_add(unwanted, conn);
 	}
 	for (guint i = 0; i < unwanted->len; i++)
@@ -233,7 +235,8 @@
 	g_hash_table_remove(peers->entries, conn->host);
 }
 
-static void take_entry(struct entry_peers *peers, const struct store_host *host)
+static void update_entry(struct entry_peers *peers,
+			 const struct store_host *host)
 {
 	const char *self = peers->entry->settings->host;
 	struct conn *conn = g_hash_table_lookup(peers->entries, host->id);
@@ -265,10 +268,10 @@
 		((struct conn *)conn)->wanted = wanted;
 }
 
-static void take_entries(struct entry_peers *peers,
-			 const struct store_hosts *hosts)
+static void update_entries(struct entry_peers *peers,
+			   const struct store_hosts *hosts)
 {
-	g_autoptr(GPtrArray) gone = g_ptr_array_new();
+	g_autoptr(GPtrArray) unlisted = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer value;
 
@@ -276,36 +279,37 @@
 	set_wanted(peers->entries, false);
 	for (uint32_t i = 0; i < hosts->count; i++)
 		if (hosts->hosts[i].role == STORE_ROLE_ENTRY)
-			take_entry(peers, &hosts->hosts[i]);
+			update_entry(peers, &hosts->hosts[i]);
 	g_hash_table_iter_init(&iter, peers->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		if (!((struct conn *)value)->wanted)
-			g_ptr_array_add(gone, value);
-	for (guint i = 0; i < gone->len; i++)
-		close_entry(peers, g_ptr_array_index(gone, i));
+			g_ptr_array_add(unlisted, value);
+	for (guint i = 0; i < unlisted->len; i++)
+		close_entry(peers, g_ptr_array_index(unlisted, i));
 }
 
-void entry_peers_hosts(struct entry_peers *peers,
-		       const struct store_hosts *hosts)
+void entry_peers_set_hosts(struct entry_peers *peers,
+			   const struct store_hosts *hosts)
 {
 	g_autoptr(GHashTable) groups = group_by_service(hosts);
-	uint32_t most = most_of_service(peers, g_hash_table_size(groups));
+	uint32_t max_agents =
+		max_agents_per_service(peers, g_hash_table_size(groups));
 	GHashTableIter iter;
 	gpointer group;
 
 	set_wanted(peers->agents, false);
 	g_hash_table_iter_init(&iter, groups);
 	while (g_hash_table_iter_next(&iter, NULL, &group))
-		choose_of_service(peers, hosts, group, most);
+		select_agents(peers, hosts, group, max_agents);
 	close_unwanted(peers);
-	take_entries(peers, hosts);
+	update_entries(peers, hosts);
 }
 
 /* ---- time ---- */
 
-static bool usable(const struct entry_peers *peers, const struct conn *conn)
+static bool is_usable(const struct entry_peers *peers, const struct conn *conn)
 {
-	const struct route_upstream *upstream = upstream_of(peers, conn);
+	const struct route_upstream *upstream = find_upstream(peers, conn);
 
 	return upstream && !upstream->silent && !upstream->leaving;
 }
@@ -314,14 +318,14 @@
  * An agent that said it leaves, or missed a beat, may have been replaced by
  * one that does not know us yet.
  */
-static bool may_be_new(const struct entry_peers *peers, const struct conn *conn,
-		       int64_t now_us)
+static bool may_have_restarted(const struct entry_peers *peers,
+			       const struct conn *conn, int64_t now_us)
 {
-	const struct route_upstream *upstream = upstream_of(peers, conn);
+	const struct route_upstream *upstream = find_upstream(peers, conn);
 	int64_t beat_us = peers->entry->settings->beat_ms * LP_US_PER_MS;
 
-	return !usable(peers, conn) ||
-	       now_us - upstream->heard_us > beat_us * BEATS_MISSED;
+	return !is_usable(peers, conn) ||
+	       now_us - upstream->heard_us > beat_us * HELLO_RETRY_BEATS;
 }
 
 void entry_peers_tick(struct entry_peers *peers)
@@ -333,30 +337,30 @@
 	g_hash_table_iter_init(&iter, peers->agents);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct conn *conn = value;
-		int64_t after_us = may_be_new(peers, conn, now_us)
-					   ? HELLO_AGAIN_US
+		int64_t after_us = may_have_restarted(peers, conn, now_us)
+					   ? HELLO_RETRY_US
 					   : NODE_HELLO_US;
 
 		if (now_us - conn->hello_us >= after_us)
-			hello(peers, conn);
+			send_hello(peers, conn);
 	}
 	close_unwanted(peers);
 }
 
-void entry_peers_announce(struct entry_peers *peers)
+void entry_peers_send_hellos(struct entry_peers *peers)
 {
 	GHashTableIter iter;
 	gpointer conn;
 
 	g_hash_table_iter_init(&iter, peers->agents);
 	while (g_hash_table_iter_next(&iter, NULL, &conn))
-		hello(peers, conn);
+		send_hello(peers, conn);
 }
 
 /* ---- messages ---- */
 
-int entry_peers_send(struct entry_peers *peers, const char *host,
-		     const struct wire_msg *msg)
+int entry_peers_send_agent(struct entry_peers *peers, const char *host,
+			   const struct wire_msg *msg)
 {
 	struct conn *conn = g_hash_table_lookup(peers->agents, host);
 
@@ -386,8 +390,9 @@
 	return node_send(node, conn->name, msg);
 }
 
-bool entry_peers_word(struct entry_peers *peers, const char *peer,
-		      const struct wire_load *load, struct flow_word *out)
+bool entry_peers_agent_report(struct entry_peers *peers, const char *peer,
+			      const struct wire_load *load,
+			      struct flow_word *out)
 {
 	const struct conn *conn = g_hash_table_lookup(peers->by_name, peer);
 
@@ -414,7 +419,7 @@
 
 /* ---- questions ---- */
 
-uint32_t entry_peers_entries(const struct entry_peers *peers)
+uint32_t entry_peers_live_entry_count(const struct entry_peers *peers)
 {
 	return MAX(1, peers->live->len);
 }
@@ -437,19 +442,19 @@
 	return host;
 }
 
-uint32_t entry_peers_agents(const struct entry_peers *peers)
+uint32_t entry_peers_agent_count(const struct entry_peers *peers)
 {
 	return g_hash_table_size(peers->agents);
 }
 
-uint32_t entry_peers_heard(const struct entry_peers *peers)
+uint32_t entry_peers_usable_agent_count(const struct entry_peers *peers)
 {
-	uint32_t heard = 0;
+	uint32_t usable = 0;
 	GHashTableIter iter;
 	gpointer conn;
 
 	g_hash_table_iter_init(&iter, peers->agents);
 	while (g_hash_table_iter_next(&iter, NULL, &conn))
-		heard += usable(peers, conn);
-	return heard;
+		usable += is_usable(peers, conn);
+	return usable;
 }
--- a/entry/entry_request.c
+++ b/entry/entry_request.c
@@ -23,7 +23,7 @@
 	JsonNode **results;
 	int64_t deadline_us;
 	uint64_t fingerprint;
-	bool holds_key; /* entry_owners_end() is owed */
+	bool holds_key; /* entry_idempotency_end() is owed */
 	bool flowing;
 	struct lp_call_id id; /* in the flow, once `flowing` */
 };
@@ -75,20 +75,20 @@
 static void plan_counters(struct plan *plan, struct lp_counters *counters,
 			  uint32_t index)
 {
-	struct stage_counters *own = &plan->counters[index];
+	struct stage_counters *counters_of_stage = &plan->counters[index];
 	g_autofree char *labels =
 		g_strdup_printf("pipeline=\"%s\",stage=\"%s\"",
 				plan->pipeline->name, plan->stages[index].name);
 
-	own->answers =
+	counters_of_stage->answers =
 		lp_counter(counters, "linepier_stage_answers_total", labels);
-	own->queue_us =
+	counters_of_stage->queue_us =
 		lp_counter(counters, "linepier_stage_queue_us_total", labels);
-	own->run_us =
+	counters_of_stage->run_us =
 		lp_counter(counters, "linepier_stage_run_us_total", labels);
-	own->tokens =
+	counters_of_stage->tokens =
 		lp_counter(counters, "linepier_stage_tokens_total", labels);
-	own->attempts =
+	counters_of_stage->attempts =
 		lp_counter(counters, "linepier_stage_attempts_total", labels);
 }
 
@@ -120,7 +120,7 @@
 /* ---- ending ---- */
 
 /* The caller's pointer to this request is of no use any more. */
-static void let_go(struct entry_request *request)
+static void clear_handle(struct entry_request *request)
 {
 	if (request->handle)
 		*request->handle = NULL;
@@ -132,7 +132,7 @@
 	uint32_t count = request->plan->pipeline->stages_count;
 
 	request->entry->requests -= 1;
-	let_go(request);
+	clear_handle(request);
 	for (uint32_t i = 0; i < count; i++)
 		if (request->results[i])
 			json_node_unref(request->results[i]);
@@ -148,17 +148,17 @@
 	g_free(request);
 }
 
-static void count_end(struct entry *entry, const struct entry_answer *answer)
+static void count_answer(struct entry *entry, const struct entry_answer *answer)
 {
-	entry_count(entry, "linepier_entry_answers_total", "kind",
-		    lp_error_info(answer->error)->name);
+	entry_increment_counter(entry, "linepier_entry_answers_total", "kind",
+				lp_error_info(answer->error)->name);
 }
 
-static void tell(struct entry_request *request,
-		 const struct entry_answer *answer)
+static void send_answer(struct entry_request *request,
+			const struct entry_answer *answer)
 {
-	let_go(request);
-	count_end(request->entry, answer);
+	clear_handle(request);
+	count_answer(request->entry, answer);
 	if (request->ops)
 		request->ops->answer(request->userdata, answer);
 }
@@ -166,13 +166,13 @@
 void entry_request_end(struct entry_request *request,
 		       const struct entry_answer *answer)
 {
-	struct entry_owners *owners = request->entry->owners;
+	struct entry_idempotency *owners = request->entry->owners;
 
 	if (*request->key)
-		entry_owners_forget(owners, request);
+		entry_idempotency_forget(owners, request);
 	if (request->holds_key)
-		entry_owners_end(owners, request->scoped, answer);
-	tell(request, answer);
+		entry_idempotency_end(owners, request->scoped, answer);
+	send_answer(request, answer);
 	free_request(request);
 }
 
@@ -181,13 +181,14 @@
 	struct entry *entry = request->entry;
 
 	request->ops = NULL;
-	let_go(request);
+	clear_handle(request);
 	if (*request->key)
 		return;
 	if (request->flowing)
 		flow_cancel(entry->flow, &request->id);
-	entry_rearm(entry);
-	entry_count(entry, "linepier_entry_abandoned_total", NULL, NULL);
+	entry_rearm_timer(entry);
+	entry_increment_counter(entry, "linepier_entry_abandoned_total", NULL,
+				NULL);
 	free_request(request);
 }
 
@@ -211,7 +212,8 @@
 	g_autoptr(JsonNode) input = entry_stage_input(&values, stage);
 
 	if (request->plan->stages[stage].stream)
-		entry_make_stream(input, send->resume, send->resume_tokens);
+		entry_enable_streaming(input, send->resume,
+				       send->resume_tokens);
 	return json_to_string(input, FALSE);
 }
 
@@ -254,11 +256,11 @@
 	call->path = (char *)request->plan->paths[stage];
 	call->body = body;
 	call->trace = request->trace;
-	return entry_peers_send(entry->peers, send->attempt->agent, &msg);
+	return entry_peers_send_agent(entry->peers, send->attempt->agent, &msg);
 }
 
-static void flow_ask(void *userdata, const struct flow_attempt *attempt,
-		     bool withdraw)
+static void flow_query_call(void *userdata, const struct flow_attempt *attempt,
+			    bool withdraw)
 {
 	struct entry *entry = userdata;
 	struct wire_msg msg = { .type = WIRE_QUERY };
@@ -267,11 +269,11 @@
 	msg.u.query.query = withdraw ? WIRE_QUERY_WITHDRAW : WIRE_QUERY_PEEK;
 	msg.u.query.incarnation = attempt->incarnation;
 	msg.u.query.sent_us = attempt->agent_sent_us;
-	entry_peers_send(entry->peers, attempt->agent, &msg);
+	entry_peers_send_agent(entry->peers, attempt->agent, &msg);
 }
 
-static void flow_take_chunk(void *userdata, struct flow_request *flowing,
-			    const char *text, uint32_t tokens)
+static void flow_forward_chunk(void *userdata, struct flow_request *flowing,
+			       const char *text, uint32_t tokens)
 {
 	struct entry_request *request = flowing->owner;
 	char id[LP_REQUEST_ID_SIZE];
@@ -340,16 +342,17 @@
 			const struct flow_request *flowing)
 {
 	for (uint32_t i = 0; i < flowing->stages_count; i++) {
-		const struct stage_counters *own = &request->plan->counters[i];
+		const struct stage_counters *counters_of_stage =
+			&request->plan->counters[i];
 		const struct flow_cost *cost = &flowing->costs[i];
 
 		if (!cost->attempts)
 			break;
-		*own->answers += 1;
-		*own->queue_us += cost->queue_us;
-		*own->run_us += cost->run_us;
-		*own->tokens += cost->tokens;
-		*own->attempts += cost->attempts;
+		*counters_of_stage->answers += 1;
+		*counters_of_stage->queue_us += cost->queue_us;
+		*counters_of_stage->run_us += cost->run_us;
+		*counters_of_stage->tokens += cost->tokens;
+		*counters_of_stage->attempts += cost->attempts;
 	}
 }
 
@@ -383,8 +386,8 @@
 
 const struct flow_ops entry_flow_ops = {
 	.send = flow_send_call,
-	.ask = flow_ask,
-	.chunk = flow_take_chunk,
+	.ask = flow_query_call,
+	.chunk = flow_forward_chunk,
 	.stage_done = flow_stage_done,
 	.finish = flow_finish,
 };
@@ -392,7 +395,7 @@
 /* ---- beginning ---- */
 
 /* What shares a prefix: same organisation, pipeline and named value. */
-static uint64_t affinity_of(const struct entry_request *request)
+static uint64_t affinity_hash(const struct entry_request *request)
 {
 	const struct cfg_pipeline *pipeline = request->plan->pipeline;
 	const struct entry_values values = values_of(request);
@@ -408,7 +411,7 @@
 		lp_hash_str(request->organisation->name));
 }
 
-static void run(struct entry_request *request)
+static void submit_to_flow(struct entry_request *request)
 {
 	struct entry *entry = request->entry;
 	const struct plan *plan = request->plan;
@@ -417,7 +420,7 @@
 		.stages_count = plan->pipeline->stages_count,
 		.organisation = request->organisation->name,
 		.weight = MAX(1, request->organisation->weight),
-		.affinity = affinity_of(request),
+		.affinity = affinity_hash(request),
 		.deadline_us = request->deadline_us,
 		.owner = request,
 	};
@@ -432,7 +435,7 @@
 	 * it after it is freed.
 	 */
 	if (!flow_submit(entry->flow, &submit, &request->id, &outcome)) {
-		entry_rearm(entry);
+		entry_rearm_timer(entry);
 		return;
 	}
 	lp_request_id_format(&request->id, id);
@@ -446,9 +449,9 @@
 	entry_request_end(request, &answer);
 }
 
-static struct entry_keyed keyed_of(struct entry_request *request)
+static struct entry_keyed_request keyed_of(struct entry_request *request)
 {
-	const struct entry_keyed keyed = {
+	const struct entry_keyed_request keyed = {
 		.request = request,
 		.pipeline = request->plan->pipeline->name,
 		.organisation = request->organisation->name,
@@ -463,20 +466,19 @@
 	return keyed;
 }
 
-void entry_request_owned(struct entry_request *request)
+void entry_request_begin_owned(struct entry_request *request)
 {
-	const struct entry_keyed keyed = keyed_of(request);
+	const struct entry_keyed_request keyed = keyed_of(request);
 
-	if (!entry_owners_begin(request->entry->owners, &keyed))
+	if (!entry_idempotency_begin(request->entry->owners, &keyed))
 		return;
 	request->holds_key = true;
-	run(request);
+	submit_to_flow(request);
 }
 
-static struct entry_request *create(struct entry *entry,
-				    const struct entry_ask *ask,
-				    struct cfg_snapshot *snapshot,
-				    const struct plan *plan)
+static struct entry_request *
+create_request(struct entry *entry, const struct entry_request_params *ask,
+	       struct cfg_snapshot *snapshot, const struct plan *plan)
 {
 	struct entry_request *request = g_new0(struct entry_request, 1);
 	int64_t left_us = plan->pipeline->deadline_ms * LP_US_PER_MS;
@@ -503,8 +505,8 @@
 	return request;
 }
 
-static void refuse(struct entry *entry, const struct entry_ask *ask, int error,
-		   int64_t retry_us, const char *detail)
+static void refuse(struct entry *entry, const struct entry_request_params *ask,
+		   int error, int64_t retry_us, const char *detail)
 {
 	const struct entry_answer answer = {
 		.error = error,
@@ -514,13 +516,14 @@
 		.detail = detail,
 	};
 
-	count_end(entry, &answer);
+	count_answer(entry, &answer);
 	ask->ops->answer(ask->userdata, &answer);
 }
 
-static int check_rate(struct entry *entry, const struct entry_ask *ask,
-		      const struct cfg_organisation *organisation,
-		      int64_t *retry_us)
+static int check_admission(struct entry *entry,
+			   const struct entry_request_params *ask,
+			   const struct cfg_organisation *organisation,
+			   int64_t *retry_us)
 {
 	if (entry->requests >= entry->settings->requests_max) {
 		*retry_us = LP_US_PER_S;
@@ -531,12 +534,13 @@
 		return LP_OK;
 	if (!quota_take(entry->quota, organisation->name,
 			organisation->rate_per_s,
-			entry_peers_entries(entry->peers), retry_us))
+			entry_peers_live_entry_count(entry->peers), retry_us))
 		return LP_ERROR_RATE_LIMITED;
 	return LP_OK;
 }
 
-void entry_request_begin(struct entry *entry, const struct entry_ask *ask,
+void entry_request_begin(struct entry *entry,
+			 const struct entry_request_params *ask,
 			 struct entry_request **handle)
 {
 	struct cfg_snapshot *snapshot = node_snapshot(entry->node);
@@ -560,12 +564,12 @@
 		refuse(entry, ask, LP_ERROR_FORBIDDEN, 0, NULL);
 		return;
 	}
-	error = check_rate(entry, ask, organisation, &retry_us);
+	error = check_admission(entry, ask, organisation, &retry_us);
 	if (error) {
 		refuse(entry, ask, error, retry_us, NULL);
 		return;
 	}
-	request = create(entry, ask, snapshot, plan);
+	request = create_request(entry, ask, snapshot, plan);
 	if (!request->request) {
 		free_request(request);
 		refuse(entry, ask, LP_ERROR_BAD_REQUEST, 0,
@@ -576,12 +580,12 @@
 	if (handle)
 		*handle = request;
 	if (!*request->key) {
-		run(request);
+		submit_to_flow(request);
 	} else if (ask->owned) {
-		entry_request_owned(request);
+		entry_request_begin_owned(request);
 	} else {
-		const struct entry_keyed keyed = keyed_of(request);
+		const struct entry_keyed_request keyed = keyed_of(request);
 
-		entry_owners_find(entry->owners, &keyed);
+		entry_idempotency_find_owner(entry->owners, &keyed);
 	}
 }
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -199,7 +199,7 @@
 	EXPECT_STREQ(text, "{\"a\":{\"b\":2},\"prompt\":\"hi one!\","
 			   "\"max_tokens\":10}");
 	g_free(text);
-	entry_make_stream(input, " and", 4);
+	entry_enable_streaming(input, " and", 4);
 	text = json_to_string(input, FALSE);
 	EXPECT_STREQ(text, "{\"a\":{\"b\":2},\"prompt\":\"hi one! and\","
 			   "\"max_tokens\":6,\"stream\":true}");
