--- a/entry/entry.c
+++ b/entry/entry.c
@@ -73,7 +73,7 @@
 static double grant_quota(struct entry *entry, const char *organisation,
 			  const char *host, double demand, int64_t *lease_us)
 {
-	return quota_holder_ask(entry->holder, organisation, host, demand,
+	return quota_holder_ask(entry->quota_holder, organisation, host, demand,
 				organisation_rate(entry, organisation),
 				lease_us);
 }
@@ -182,7 +182,7 @@
 	case WIRE_FORWARD:
 	case WIRE_FORWARD_SEEN:
 	case WIRE_FORWARDED:
-		entry_idempotency_message(entry->owners, peer, msg);
+		entry_idempotency_message(entry->idempotency, peer, msg);
 		break;
 	case WIRE_QUOTA_ASK:
 		handle_quota_request(entry, peer, &msg->u.quota_ask);
@@ -244,10 +244,10 @@
 {
 	enum drain_state state = drain_look(entry->drain);
 
-	if (entry->closed_us || state == DRAIN_NOT_LEAVING ||
+	if (entry->listen_stopped_us || state == DRAIN_NOT_LEAVING ||
 	    state == DRAIN_WAITING)
 		return;
-	entry->closed_us = entry_now_us(entry);
+	entry->listen_stopped_us = entry_now_us(entry);
 	log_listener_close(entry, state);
 	entry_http_stop_listening(entry->http);
 }
@@ -285,7 +285,7 @@
 
 	flow_tick(entry->flow);
 	entry_peers_tick(entry->peers);
-	entry_idempotency_tick(entry->owners);
+	entry_idempotency_tick(entry->idempotency);
 	quota_tick(entry->quota);
 	check_drain(entry);
 	entry_rearm_timer(entry);
@@ -324,7 +324,7 @@
  */
 static bool connections_done(const struct entry *entry)
 {
-	int64_t since_us = entry_now_us(entry) - entry->closed_us;
+	int64_t since_us = entry_now_us(entry) - entry->listen_stopped_us;
 
 	return !entry_http_open(entry->http) ||
 	       since_us > entry->settings->read_timeout_ms * LP_US_PER_MS;
@@ -334,9 +334,9 @@
 {
 	struct entry *entry = userdata;
 
-	return entry->closed_us && !entry->requests &&
+	return entry->listen_stopped_us && !entry->requests &&
 	       !entry_http_unanswered(entry->http) && connections_done(entry) &&
-	       entry_now_us(entry) - entry->closed_us > SOCKET_FLUSH_US;
+	       entry_now_us(entry) - entry->listen_stopped_us > SOCKET_FLUSH_US;
 }
 
 static const char *unready_reason(void *userdata)
@@ -362,7 +362,7 @@
 	lp_json_int(builder, "answered", (int64_t)stats->finished_ok);
 	lp_json_int(builder, "failed", (int64_t)stats->finished_error);
 	lp_json_int(builder, "keys",
-		    entry_idempotency_key_count(entry->owners));
+		    entry_idempotency_key_count(entry->idempotency));
 }
 
 static const struct node_role role = {
@@ -431,9 +431,9 @@
 	entry->drain = create_drain(entry);
 	entry->flow = flow_create(&flow);
 	entry->quota = quota_create(&quota);
-	entry->holder = quota_holder_create(node_clock(entry->node));
+	entry->quota_holder = quota_holder_create(node_clock(entry->node));
 	entry->peers = entry_peers_create(entry);
-	entry->owners = entry_idempotency_create(entry);
+	entry->idempotency = entry_idempotency_create(entry);
 	create_timer(entry);
 }
 
@@ -443,8 +443,8 @@
 	g_source_unref(entry->timer);
 	flow_destroy(entry->flow);
 	quota_destroy(entry->quota);
-	quota_holder_destroy(entry->holder);
-	entry_idempotency_destroy(entry->owners);
+	quota_holder_destroy(entry->quota_holder);
+	entry_idempotency_destroy(entry->idempotency);
 	entry_peers_destroy(entry->peers);
 	drain_destroy(entry->drain);
 }
--- a/entry/entry_gone.h
+++ b/entry/entry_gone.h
@@ -13,12 +13,14 @@
 struct entry_disconnect;
 
 /** gone() is called from the loop, once, for a watch whose peer hung up. */
-struct entry_disconnect *entry_disconnect_create(void (*gone)(void *userdata));
-void entry_disconnect_destroy(struct entry_disconnect *gone);
+struct entry_disconnect *
+entry_disconnect_create(void (*on_disconnect)(void *userdata));
+void entry_disconnect_destroy(struct entry_disconnect *disconnect);
 /** Watch a socket for `userdata`; it must stay open until removed. */
-void entry_disconnect_watch(struct entry_disconnect *gone, GSocket *socket,
-			    void *userdata);
+void entry_disconnect_watch(struct entry_disconnect *disconnect,
+			    GSocket *socket, void *userdata);
 /** Stop watching. A socket that is closed already needs nothing. */
-void entry_disconnect_unwatch(struct entry_disconnect *gone, GSocket *socket);
+void entry_disconnect_unwatch(struct entry_disconnect *disconnect,
+			      GSocket *socket);
 
 #endif
--- a/entry/entry_http.c
+++ b/entry/entry_http.c
@@ -27,7 +27,7 @@
 	struct entry *entry;
 	SoupServer *server;
 	struct node_listener *listener;
-	struct entry_disconnect *gone;
+	struct entry_disconnect *disconnect;
 	GHashTable *exchanges; /* of struct exchange */
 };
 
@@ -37,7 +37,7 @@
 	SoupServerMessage *msg;
 	struct entry_request *request; /* NULL once answered */
 	GSocket *socket;	       /* watched for a hang-up, or NULL */
-	bool events;		       /* the caller takes server-sent events */
+	bool wants_events;	       /* the caller takes server-sent events */
 	bool streaming; /* the head of the event stream is sent */
 };
 
@@ -58,9 +58,9 @@
 		lp_json_text(builder, "detail", answer->detail);
 	lp_json_text(builder, "kind", info->name);
 	lp_json_text(builder, "run", lp_run_name(answer->run));
-	if (answer->retry_us > 0) {
+	if (answer->retry_after_us > 0) {
 		lp_json_int(builder, "retry_after_ms",
-			    (answer->retry_us + LP_US_PER_MS - 1) /
+			    (answer->retry_after_us + LP_US_PER_MS - 1) /
 				    LP_US_PER_MS);
 	}
 	if (answer->id && *answer->id)
@@ -92,9 +92,10 @@
 		return;
 	}
 	text = format_problem(answer);
-	if (answer->retry_us > 0) {
+	if (answer->retry_after_us > 0) {
 		g_autofree char *seconds = g_strdup_printf(
-			"%.0f", ceil((double)answer->retry_us / LP_US_PER_S));
+			"%.0f",
+			ceil((double)answer->retry_after_us / LP_US_PER_S));
 
 		soup_message_headers_replace(headers, "Retry-After", seconds);
 	}
@@ -124,7 +125,7 @@
 static void free_exchange(struct exchange *exchange)
 {
 	if (exchange->socket) {
-		entry_disconnect_unwatch(exchange->http->gone,
+		entry_disconnect_unwatch(exchange->http->disconnect,
 					 exchange->socket);
 		g_object_unref(exchange->socket);
 	}
@@ -170,7 +171,7 @@
 	g_autofree char *quoted = NULL;
 	g_autofree char *data = NULL;
 
-	if (!exchange->events)
+	if (!exchange->wants_events)
 		return;
 	begin_stream(exchange, id);
 	node = json_node_new(JSON_NODE_VALUE);
@@ -202,7 +203,7 @@
 	struct exchange *exchange = userdata;
 
 	/* An error before the first token still has a status of its own. */
-	if (exchange->events && (exchange->streaming || !answer->error))
+	if (exchange->wants_events && (exchange->streaming || !answer->error))
 		answer_stream(exchange, answer);
 	else
 		respond_answer(exchange->msg, answer);
@@ -235,7 +236,7 @@
 	if (!socket)
 		return;
 	exchange->socket = g_object_ref(socket);
-	entry_disconnect_watch(exchange->http->gone, socket, exchange);
+	entry_disconnect_watch(exchange->http->disconnect, socket, exchange);
 }
 
 /* ---- reading a request ---- */
@@ -420,7 +421,7 @@
 		.organisation = org->name,
 		.key = request_header(msg, KEY_HEADER),
 		.trace = request_header(msg, "traceparent"),
-		.left_us = timeout_us,
+		.timeout_us = timeout_us,
 		.body = data ? data : "",
 		.body_size = size,
 		.ops = &caller_ops,
@@ -429,7 +430,7 @@
 
 	exchange->http = http;
 	exchange->msg = g_object_ref(msg);
-	exchange->events =
+	exchange->wants_events =
 		strstr(request_header(msg, "Accept"), "text/event-stream");
 	g_hash_table_add(http->exchanges, exchange);
 	g_signal_connect(msg, "finished", G_CALLBACK(on_finished), exchange);
@@ -500,7 +501,7 @@
 	int error;
 
 	http->entry = entry;
-	http->gone = entry_disconnect_create(on_disconnect);
+	http->disconnect = entry_disconnect_create(on_disconnect);
 	http->exchanges = g_hash_table_new(g_direct_hash, g_direct_equal);
 	http->server = soup_server_new("server-header", "linepier", NULL);
 	g_signal_connect(http->server, "request-started",
@@ -543,7 +544,7 @@
 	node_listener_destroy(http->listener);
 	soup_server_disconnect(http->server);
 	g_object_unref(http->server);
-	entry_disconnect_destroy(http->gone);
+	entry_disconnect_destroy(http->disconnect);
 	g_hash_table_unref(http->exchanges);
 	g_free(http);
 }
--- a/entry/entry_keys.c
+++ b/entry/entry_keys.c
@@ -14,8 +14,8 @@
 struct forward {
 	uint64_t serial;
 	struct entry_request *request;
-	int64_t seen_by_us; /* 0 once the owner has it */
-	int64_t until_us;
+	int64_t ack_deadline_us; /* 0 once the owner has it */
+	int64_t answer_deadline_us;
 };
 
 /* A request that another entry sent here. */
@@ -30,13 +30,13 @@
 	struct keys *keys;
 	struct claims *claims;
 	GHashTable *forwards; /* serial to forward */
-	GHashTable *keyed;    /* entry_request to struct pending, claimed now */
-	char *self;	      /* how claims name this process */
+	GHashTable *claiming; /* entry_request to struct pending, claimed now */
+	char *owner_id;	      /* how claims name this process */
 	uint64_t serial;
 	int64_t lease;
-	int64_t lease_us; /* when it was granted */
-	bool leasing;
-	bool write_waits;      /* for the lease */
+	int64_t lease_granted_us; /* when it was granted */
+	bool lease_requested;
+	bool write_pending;    /* for the lease */
 	GPtrArray *batch_keys; /* KV keys of the write that waits */
 };
 
@@ -46,7 +46,7 @@
 	char *pipeline;
 	char *organisation;
 	char *key;
-	char *scoped;
+	char *scoped_key;
 	char *body;
 };
 
@@ -57,7 +57,7 @@
 	g_free(claiming_request->pipeline);
 	g_free(claiming_request->organisation);
 	g_free(claiming_request->key);
-	g_free(claiming_request->scoped);
+	g_free(claiming_request->scoped_key);
 	g_free(claiming_request->body);
 	g_free(claiming_request);
 }
@@ -75,8 +75,8 @@
 		g_strdup(keyed->organisation);
 	claiming_request->keyed.key = claiming_request->key =
 		g_strdup(keyed->key);
-	claiming_request->keyed.scoped = claiming_request->scoped =
-		g_strdup(keyed->scoped);
+	claiming_request->keyed.scoped_key = claiming_request->scoped_key =
+		g_strdup(keyed->scoped_key);
 	claiming_request->keyed.body = claiming_request->body =
 		g_strdup(keyed->body);
 	return claiming_request;
@@ -114,7 +114,7 @@
 			     const struct entry_keyed_request *keyed)
 {
 	const struct keys_request request = {
-		.key = keyed->scoped,
+		.key = keyed->scoped_key,
 		.fingerprint = keyed->fingerprint,
 		.deadline_us = keyed->deadline_us,
 		.waiter = keyed->request,
@@ -165,7 +165,7 @@
 			      struct entry_request *request)
 {
 	claims_forget(owners->claims, request);
-	g_hash_table_remove(owners->keyed, request);
+	g_hash_table_remove(owners->claiming, request);
 	keys_forget_waiter(owners->keys, request);
 	g_hash_table_foreach_remove(owners->forwards, is_of_request, request);
 }
@@ -183,8 +183,8 @@
 
 	forward->serial = ++owners->serial;
 	forward->request = keyed->request;
-	forward->seen_by_us = entry_now_us(entry) + FORWARD_ACK_TIMEOUT_US;
-	forward->until_us = keyed->deadline_us + FORWARD_SLACK_US;
+	forward->ack_deadline_us = entry_now_us(entry) + FORWARD_ACK_TIMEOUT_US;
+	forward->answer_deadline_us = keyed->deadline_us + FORWARD_SLACK_US;
 	msg.u.forward.serial = forward->serial;
 	msg.u.forward.incarnation = incarnation;
 	msg.u.forward.pipeline = (char *)keyed->pipeline;
@@ -230,7 +230,7 @@
 		g_hash_table_lookup(owners->forwards, &wire->serial);
 
 	if (forward)
-		forward->seen_by_us = 0;
+		forward->ack_deadline_us = 0;
 }
 
 static void send_seen(struct entry *entry, const char *peer, uint64_t serial)
@@ -291,10 +291,10 @@
 		.organisation = wire->organisation,
 		.key = wire->key,
 		.trace = "",
-		.left_us = wire->left_us,
+		.timeout_us = wire->left_us,
 		.body = wire->body,
 		.body_size = strlen(wire->body),
-		.owned = true,
+		.key_owned = true,
 		.ops = &inbound_forward_ops,
 		.userdata = inbound_forward,
 	};
@@ -354,7 +354,7 @@
 	for (guint i = 0; i < count; i++) {
 		compares[i].key = g_ptr_array_index(owners->batch_keys, i);
 		puts[i].key = compares[i].key;
-		puts[i].value = owners->self;
+		puts[i].value = owners->owner_id;
 		puts[i].lease = owners->lease;
 	}
 	const struct store_txn txn = {
@@ -372,14 +372,14 @@
 {
 	struct entry_idempotency *owners = userdata;
 
-	owners->leasing = false;
+	owners->lease_requested = false;
 	if (!answer->error) {
 		owners->lease = answer->lease;
-		owners->lease_us = entry_now_us(owners->entry);
+		owners->lease_granted_us = entry_now_us(owners->entry);
 	}
-	if (!owners->write_waits)
+	if (!owners->write_pending)
 		return;
-	owners->write_waits = false;
+	owners->write_pending = false;
 	if (answer->error)
 		on_claims_written(owners, answer);
 	else
@@ -389,7 +389,7 @@
 static bool lease_is_fresh(const struct entry_idempotency *owners)
 {
 	int64_t keep_us = owners->entry->settings->key_keep_ms * LP_US_PER_MS;
-	int64_t age_us = entry_now_us(owners->entry) - owners->lease_us;
+	int64_t age_us = entry_now_us(owners->entry) - owners->lease_granted_us;
 
 	return owners->lease && age_us < keep_us / LEASE_RENEWALS_PER_KEEP;
 }
@@ -409,10 +409,10 @@
 		send_claims(owners);
 		return;
 	}
-	owners->write_waits = true;
-	if (owners->leasing)
+	owners->write_pending = true;
+	if (owners->lease_requested)
 		return;
-	owners->leasing = true;
+	owners->lease_requested = true;
 	kv->ops->lease_grant(kv, "claim_lease", ttl_s, on_lease_granted,
 			     owners);
 }
@@ -434,17 +434,17 @@
 {
 	struct entry_idempotency *owners = userdata;
 	struct claiming_request *claiming_request =
-		g_hash_table_lookup(owners->keyed, waiter);
+		g_hash_table_lookup(owners->claiming, waiter);
 	g_autofree char *host = NULL;
 	uint64_t incarnation;
 
 	if (!claiming_request)
 		return;
-	g_hash_table_steal(owners->keyed, waiter);
+	g_hash_table_steal(owners->claiming, waiter);
 	if (error)
 		end_with_error(waiter, error, LP_RUN_NOT_RUN,
 			       "the claim on the key could not be settled");
-	else if (!strcmp(owner, owners->self))
+	else if (!strcmp(owner, owners->owner_id))
 		entry_request_begin_owned(waiter);
 	else if (parse_owner(owner, &host, &incarnation))
 		forward_to(owners, host, incarnation, &claiming_request->keyed);
@@ -492,10 +492,10 @@
 		entry_request_begin_owned(keyed->request);
 		return;
 	}
-	kv_key = claim_key(keyed->scoped);
-	g_hash_table_insert(owners->keyed, keyed->request,
+	kv_key = claim_key(keyed->scoped_key);
+	g_hash_table_insert(owners->claiming, keyed->request,
 			    copy_keyed_request(keyed));
-	claims_add(owners->claims, kv_key, owners->self, keyed->deadline_us,
+	claims_add(owners->claims, kv_key, owners->owner_id, keyed->deadline_us,
 		   keyed->request);
 }
 
@@ -533,11 +533,11 @@
 	owners->claims = claims_create(&claims);
 	owners->forwards = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						 NULL, g_free);
-	owners->keyed = g_hash_table_new_full(g_direct_hash, g_direct_equal,
-					      NULL, free_claiming_request);
-	owners->self = g_strdup_printf("%s %" G_GINT64_MODIFIER "x",
-				       entry->settings->host,
-				       node_incarnation(entry->node));
+	owners->claiming = g_hash_table_new_full(g_direct_hash, g_direct_equal,
+						 NULL, free_claiming_request);
+	owners->owner_id = g_strdup_printf("%s %" G_GINT64_MODIFIER "x",
+					   entry->settings->host,
+					   node_incarnation(entry->node));
 	return owners;
 }
 
@@ -550,14 +550,14 @@
 	claims_destroy(owners->claims);
 	keys_destroy(owners->keys);
 	g_hash_table_unref(owners->forwards);
-	g_hash_table_unref(owners->keyed);
-	g_free(owners->self);
+	g_hash_table_unref(owners->claiming);
+	g_free(owners->owner_id);
 	g_free(owners);
 }
 
 static bool is_unacknowledged(const struct forward *forward, int64_t now_us)
 {
-	return forward->seen_by_us && forward->seen_by_us <= now_us;
+	return forward->ack_deadline_us && forward->ack_deadline_us <= now_us;
 }
 
 static void expire_forwards(struct entry_idempotency *owners)
@@ -574,7 +574,7 @@
 
 		if (is_unacknowledged(forward, now_us))
 			g_ptr_array_add(unacknowledged, forward->request);
-		else if (forward->until_us <= now_us)
+		else if (forward->answer_deadline_us <= now_us)
 			g_ptr_array_add(expired, forward->request);
 		else
 			continue;
--- a/entry/entry_peers.c
+++ b/entry/entry_peers.c
@@ -15,16 +15,16 @@
 	char *service; /* "" for an entry */
 	char *domain;
 	char *address;
-	int64_t hello_us; /* our last HELLO */
+	int64_t hello_sent_us; /* our last HELLO */
 	bool wanted;
 };
 
 struct entry_peers {
 	struct entry *entry;
-	GHashTable *agents;  /* host to conn */
-	GHashTable *by_name; /* connection's name to conn */
-	GHashTable *entries; /* host to conn, connected on demand */
-	GPtrArray *live;     /* hosts of live entries, self included */
+	GHashTable *agents;		  /* host to conn */
+	GHashTable *agents_by_connection; /* connection's name to conn */
+	GHashTable *entries;	 /* host to conn, connected on demand */
+	GPtrArray *live_entries; /* hosts of live entries, self included */
 	uint64_t serial;
 };
 
@@ -47,10 +47,10 @@
 	peers->entry = entry;
 	peers->agents =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_conn);
-	peers->by_name = g_hash_table_new(g_str_hash, g_str_equal);
+	peers->agents_by_connection = g_hash_table_new(g_str_hash, g_str_equal);
 	peers->entries =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_conn);
-	peers->live = g_ptr_array_new_with_free_func(g_free);
+	peers->live_entries = g_ptr_array_new_with_free_func(g_free);
 	return peers;
 }
 
@@ -58,10 +58,10 @@
 {
 	if (!peers)
 		return;
-	g_hash_table_unref(peers->by_name);
+	g_hash_table_unref(peers->agents_by_connection);
 	g_hash_table_unref(peers->agents);
 	g_hash_table_unref(peers->entries);
-	g_ptr_array_unref(peers->live);
+	g_ptr_array_unref(peers->live_entries);
 	g_free(peers);
 }
 
@@ -93,7 +93,7 @@
 	};
 
 	node_send(node, conn->name, &msg);
-	conn->hello_us = entry_now_us(peers->entry);
+	conn->hello_sent_us = entry_now_us(peers->entry);
 }
 
 static struct route_upstream *find_upstream(const struct entry_peers *peers,
@@ -109,7 +109,7 @@
 	struct conn *conn = open_conn(peers, host);
 
 	g_hash_table_insert(peers->agents, conn->host, conn);
-	g_hash_table_insert(peers->by_name, conn->name, conn);
+	g_hash_table_insert(peers->agents_by_connection, conn->name, conn);
 	route_add(flow_route(peers->entry->flow, conn->service), conn->host,
 		  conn->domain);
 	send_hello(peers, conn);
@@ -120,7 +120,7 @@
 	flow_agent_removed(peers->entry->flow, conn->service, conn->host);
 	entry_rearm_timer(peers->entry);
 	node_disconnect(peers->entry->node, conn->address);
-	g_hash_table_remove(peers->by_name, conn->name);
+	g_hash_table_remove(peers->agents_by_connection, conn->name);
 	g_hash_table_remove(peers->agents, conn->host);
 }
 
@@ -242,7 +242,7 @@
 	struct conn *conn = g_hash_table_lookup(peers->entries, host->id);
 
 	if (!host->leaving)
-		g_ptr_array_add(peers->live, g_strdup(host->id));
+		g_ptr_array_add(peers->live_entries, g_strdup(host->id));
 	if (!strcmp(host->id, self))
 		return;
 	if (conn && strcmp(conn->address, host->address) != 0) {
@@ -275,7 +275,7 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_ptr_array_set_size(peers->live, 0);
+	g_ptr_array_set_size(peers->live_entries, 0);
 	set_wanted(peers->entries, false);
 	for (uint32_t i = 0; i < hosts->count; i++)
 		if (hosts->hosts[i].role == STORE_ROLE_ENTRY)
@@ -341,7 +341,7 @@
 					   ? HELLO_RETRY_US
 					   : NODE_HELLO_US;
 
-		if (now_us - conn->hello_us >= after_us)
+		if (now_us - conn->hello_sent_us >= after_us)
 			send_hello(peers, conn);
 	}
 	close_unwanted(peers);
@@ -394,7 +394,8 @@
 			      const struct wire_load *load,
 			      struct flow_word *out)
 {
-	const struct conn *conn = g_hash_table_lookup(peers->by_name, peer);
+	const struct conn *conn =
+		g_hash_table_lookup(peers->agents_by_connection, peer);
 
 	if (!conn)
 		return false;
@@ -421,21 +422,22 @@
 
 uint32_t entry_peers_live_entry_count(const struct entry_peers *peers)
 {
-	return MAX(1, peers->live->len);
+	return MAX(1, peers->live_entries->len);
 }
 
 const char *entry_peers_quota_holder(const struct entry_peers *peers,
 				     const char *organisation)
 {
-	struct member *members = g_new0(struct member, peers->live->len + 1);
+	struct member *members =
+		g_new0(struct member, peers->live_entries->len + 1);
 	const struct member *owner;
 	const char *host = peers->entry->settings->host;
 
-	for (guint i = 0; i < peers->live->len; i++) {
-		members[i].id = g_ptr_array_index(peers->live, i);
+	for (guint i = 0; i < peers->live_entries->len; i++) {
+		members[i].id = g_ptr_array_index(peers->live_entries, i);
 		members[i].domain = "";
 	}
-	owner = member_owner(organisation, members, peers->live->len);
+	owner = member_owner(organisation, members, peers->live_entries->len);
 	if (owner)
 		host = owner->id;
 	g_free(members);
--- a/entry/entry_private.h
+++ b/entry/entry_private.h
@@ -21,13 +21,14 @@
 	struct flow *flow;
 	struct entry_peers *peers;
 	struct entry_http *http;
-	struct entry_idempotency *owners;
+	struct entry_idempotency *idempotency;
 	struct quota *quota;
 	struct drain *drain;
-	struct quota_holder *holder; /* of the quotas this entry holds */
-	GSource *timer;		     /* wakes the flow when it asks for it */
-	uint32_t requests;	     /* in this process, in any state */
-	int64_t closed_us; /* shutdown: listens no more since then; 0: does */
+	struct quota_holder *quota_holder; /* of the quotas this entry holds */
+	GSource *timer;		   /* wakes the flow when it asks for it */
+	uint32_t requests;	   /* in this process, in any state */
+	int64_t listen_stopped_us; /* shutdown: listens no more since then; 0:
+				      does */
 };
 
 static inline int64_t entry_now_us(const struct entry *entry)
@@ -50,10 +51,10 @@
 struct entry_answer {
 	int error;
 	enum lp_run run;
-	int64_t retry_us;   /**< 0: no hint */
-	const char *id;	    /**< of the request, or "" */
-	const char *detail; /**< a sentence, or NULL */
-	const char *body;   /**< the whole answer (JSON), NULL on error */
+	int64_t retry_after_us; /**< 0: no hint */
+	const char *id;		/**< of the request, or "" */
+	const char *detail;	/**< a sentence, or NULL */
+	const char *body;	/**< the whole answer (JSON), NULL on error */
 };
 
 struct entry_caller_ops {
@@ -67,12 +68,12 @@
 struct entry_request_params {
 	const char *pipeline;
 	const char *organisation;
-	const char *key;   /**< "" for none */
-	const char *trace; /**< traceparent, or "" */
-	int64_t left_us;   /**< 0: the pipeline's deadline */
+	const char *key;    /**< "" for none */
+	const char *trace;  /**< traceparent, or "" */
+	int64_t timeout_us; /**< 0: the pipeline's deadline */
 	const char *body;
 	size_t body_size;
-	bool owned; /**< forwarded: this entry owns the key */
+	bool key_owned; /**< forwarded: this entry owns the key */
 	const struct entry_caller_ops *ops;
 	void *userdata;
 };
@@ -105,8 +106,8 @@
 	struct entry_request *request;
 	const char *pipeline;
 	const char *organisation;
-	const char *key;    /**< the caller's */
-	const char *scoped; /**< organisation and key */
+	const char *key;	/**< the caller's */
+	const char *scoped_key; /**< organisation and key */
 	uint64_t fingerprint;
 	int64_t deadline_us;
 	bool needs_claim; /**< some stage may not be repeated */
--- a/entry/entry_request.c
+++ b/entry/entry_request.c
@@ -14,8 +14,8 @@
 	const struct cfg_organisation *organisation;
 	const struct entry_caller_ops *ops; /* NULL once the caller is gone */
 	void *userdata;
-	char *key;    /* "" for none */
-	char *scoped; /* organisation and key */
+	char *key;	  /* "" for none */
+	char *scoped_key; /* organisation and key */
 	char *trace;
 	char *body;   /* kept while another entry may need it */
 	char *detail; /* an upstream's last sentence */
@@ -24,7 +24,7 @@
 	int64_t deadline_us;
 	uint64_t fingerprint;
 	bool holds_key; /* entry_idempotency_end() is owed */
-	bool flowing;
+	bool submitted;
 	struct lp_call_id id; /* in the flow, once `flowing` */
 };
 
@@ -140,7 +140,7 @@
 	if (request->request)
 		json_node_unref(request->request);
 	g_free(request->key);
-	g_free(request->scoped);
+	g_free(request->scoped_key);
 	g_free(request->trace);
 	g_free(request->body);
 	g_free(request->detail);
@@ -166,12 +166,12 @@
 void entry_request_end(struct entry_request *request,
 		       const struct entry_answer *answer)
 {
-	struct entry_idempotency *owners = request->entry->owners;
+	struct entry_idempotency *owners = request->entry->idempotency;
 
 	if (*request->key)
 		entry_idempotency_forget(owners, request);
 	if (request->holds_key)
-		entry_idempotency_end(owners, request->scoped, answer);
+		entry_idempotency_end(owners, request->scoped_key, answer);
 	send_answer(request, answer);
 	free_request(request);
 }
@@ -184,7 +184,7 @@
 	clear_handle(request);
 	if (*request->key)
 		return;
-	if (request->flowing)
+	if (request->submitted)
 		flow_cancel(entry->flow, &request->id);
 	entry_rearm_timer(entry);
 	entry_increment_counter(entry, "linepier_entry_abandoned_total", NULL,
@@ -222,7 +222,7 @@
 		      const char *stage)
 {
 	if (*request->key)
-		return g_strdup_printf("%s/%s", request->scoped, stage);
+		return g_strdup_printf("%s/%s", request->scoped_key, stage);
 	return g_strdup_printf("%s/%s", id, stage);
 }
 
@@ -366,7 +366,7 @@
 	struct entry_answer answer = {
 		.error = outcome->error,
 		.run = outcome->run,
-		.retry_us = outcome->retry_us,
+		.retry_after_us = outcome->retry_us,
 		.id = id,
 	};
 
@@ -427,7 +427,7 @@
 	struct flow_outcome outcome;
 	char id[LP_REQUEST_ID_SIZE];
 
-	request->flowing = true;
+	request->submitted = true;
 	/*
 	 * On LP_OK the request may already be gone. The id stays in the
 	 * request: by it entry_request_abandon() takes back what the flow has;
@@ -442,7 +442,7 @@
 	const struct entry_answer answer = {
 		.error = outcome.error,
 		.run = outcome.run,
-		.retry_us = outcome.retry_us,
+		.retry_after_us = outcome.retry_us,
 		.id = id,
 		.detail = "at the door",
 	};
@@ -456,7 +456,7 @@
 		.pipeline = request->plan->pipeline->name,
 		.organisation = request->organisation->name,
 		.key = request->key,
-		.scoped = request->scoped,
+		.scoped_key = request->scoped_key,
 		.fingerprint = request->fingerprint,
 		.deadline_us = request->deadline_us,
 		.needs_claim = request->plan->needs_claim,
@@ -470,7 +470,7 @@
 {
 	const struct entry_keyed_request keyed = keyed_of(request);
 
-	if (!entry_idempotency_begin(request->entry->owners, &keyed))
+	if (!entry_idempotency_begin(request->entry->idempotency, &keyed))
 		return;
 	request->holds_key = true;
 	submit_to_flow(request);
@@ -483,8 +483,8 @@
 	struct entry_request *request = g_new0(struct entry_request, 1);
 	int64_t left_us = plan->pipeline->deadline_ms * LP_US_PER_MS;
 
-	if (ask->left_us)
-		left_us = MIN(left_us, ask->left_us);
+	if (ask->timeout_us)
+		left_us = MIN(left_us, ask->timeout_us);
 	request->entry = entry;
 	request->snapshot = cfg_snapshot_ref(snapshot);
 	request->plan = plan;
@@ -493,7 +493,8 @@
 	request->ops = ask->ops;
 	request->userdata = ask->userdata;
 	request->key = g_strdup(ask->key);
-	request->scoped = g_strdup_printf("%s/%s", ask->organisation, ask->key);
+	request->scoped_key =
+		g_strdup_printf("%s/%s", ask->organisation, ask->key);
 	request->trace = g_strdup(ask->trace);
 	request->body = g_strndup(ask->body, ask->body_size);
 	request->results = g_new0(JsonNode *, plan->pipeline->stages_count);
@@ -511,7 +512,7 @@
 	const struct entry_answer answer = {
 		.error = error,
 		.run = LP_RUN_NOT_RUN,
-		.retry_us = retry_us,
+		.retry_after_us = retry_us,
 		.id = "",
 		.detail = detail,
 	};
@@ -530,7 +531,7 @@
 		return LP_ERROR_OVERLOADED;
 	}
 	/* The entry that forwarded it has counted it. */
-	if (ask->owned)
+	if (ask->key_owned)
 		return LP_OK;
 	if (!quota_take(entry->quota, organisation->name,
 			organisation->rate_per_s,
@@ -581,11 +582,11 @@
 		*handle = request;
 	if (!*request->key) {
 		submit_to_flow(request);
-	} else if (ask->owned) {
+	} else if (ask->key_owned) {
 		entry_request_begin_owned(request);
 	} else {
 		const struct entry_keyed_request keyed = keyed_of(request);
 
-		entry_idempotency_find_owner(entry->owners, &keyed);
+		entry_idempotency_find_owner(entry->idempotency, &keyed);
 	}
 }
