--- a/entry/entry.h
+++ b/entry/entry.h
@@ -2,8 +2,8 @@
  * The entry: takes callers' requests and runs pipelines stage by stage.
  *
  * Glue between HTTP, the wire and the policy library. entry_http.c speaks to
- * callers, entry_request.c runs a request, entry_keys.c finds the owner of
- * an idempotency key, entry_peers.c keeps the connections.
+ * callers, entry_request.c runs a request, entry_idempotency.c finds the owner
+ * of an idempotency key, entry_peers.c keeps the connections.
  */
 #ifndef ENTRY_H
 #define ENTRY_H
--- a/entry/entry_gone.c
+++ b/entry/entry_disconnect.c
@@ -1,4 +1,4 @@
-#include "entry/entry_gone.h"
+#include "entry/entry_disconnect.h"
 
 #include <glib-unix.h>
 #include <sys/epoll.h>
--- a/entry/entry_gone.h
+++ b/entry/entry_disconnect.h
@@ -5,8 +5,8 @@
  * every descriptor it has on every turn, which at 1,000 requests in flight
  * cost more than the requests themselves.
  */
-#ifndef ENTRY_GONE_H
-#define ENTRY_GONE_H
+#ifndef ENTRY_DISCONNECT_H
+#define ENTRY_DISCONNECT_H
 
 #include <gio/gio.h>
 
--- a/entry/entry_http.c
+++ b/entry/entry_http.c
@@ -3,7 +3,7 @@
 
 #include "base/lp_json.h"
 #include "base/lp_timer.h"
-#include "entry/entry_gone.h"
+#include "entry/entry_disconnect.h"
 #include "entry/entry_private.h"
 #include "node/node_listener.h"
 
--- a/entry/entry_map.c
+++ b/entry/entry_json.c
@@ -1,4 +1,4 @@
-#include "entry/entry_map.h"
+#include "entry/entry_json.h"
 
 #include "base/lp_json.h"
 
--- a/entry/entry_map.h
+++ b/entry/entry_json.h
@@ -1,6 +1,6 @@
 /** JSON in and out of stages: paths, field mappings, templates. */
-#ifndef ENTRY_MAP_H
-#define ENTRY_MAP_H
+#ifndef ENTRY_JSON_H
+#define ENTRY_JSON_H
 
 #include "config/cfg.h"
 
--- a/entry/entry_private.h
+++ b/entry/entry_private.h
@@ -3,7 +3,7 @@
 #define ENTRY_PRIVATE_H
 
 #include "entry/entry.h"
-#include "entry/entry_map.h"
+#include "entry/entry_json.h"
 #include "policy/claim.h"
 #include "policy/drain.h"
 #include "policy/flow.h"
@@ -99,9 +99,9 @@
 /** Build the role's tables of a configuration. */
 void entry_plan_attach(struct entry *entry, struct cfg_snapshot *snapshot);
 
-/* ---- entry_keys.c ---- */
+/* ---- entry_idempotency.c ---- */
 
-/** What entry_keys.c needs to know of a request. */
+/** What entry_idempotency.c needs to know of a request. */
 struct entry_keyed_request {
 	struct entry_request *request;
 	const char *pipeline;
--- a/tests/cwrap.h
+++ b/tests/cwrap.h
@@ -25,7 +25,7 @@
 #include "direct/direct_events.h"
 #include "direct/direct_notices.h"
 #include "direct/direct_peers.h"
-#include "entry/entry_map.h"
+#include "entry/entry_json.h"
 #include "http/http_client.h"
 #include "http/http_fetch.h"
 #include "http/http_parse.h"
