--- a/entry/entry.c
+++ b/entry/entry.c
@@ -6,8 +6,9 @@
 
 #include <string.h>
 
-#define SOCKET_FLUSH_US (200 * LP_US_PER_MS) /* answers leave the sockets */
-/* Before the end of the process: what is not done by then is told so. */
+#define SOCKET_FLUSH_US (200 * LP_US_PER_MS) /* to send last answers */
+/* Time before the end of the process at which unfinished requests are failed,
+ * so that their callers still get an answer. */
 #define FINAL_ANSWERS_US (2 * SOCKET_FLUSH_US)
 
 void entry_increment_counter(struct entry *entry, const char *name,
@@ -100,14 +101,15 @@
 }
 
 static void handle_quota_request(struct entry *entry, const char *peer,
-				 const struct wire_quota_ask *ask)
+				 const struct wire_quota_ask *request)
 {
 	struct wire_msg msg = { .type = WIRE_QUOTA_GRANT };
 	int64_t lease_us;
 
-	msg.u.quota_grant.organisation = ask->organisation;
-	msg.u.quota_grant.rate_per_s = (uint32_t)grant_quota(
-		entry, ask->organisation, peer, ask->demand_per_s, &lease_us);
+	msg.u.quota_grant.organisation = request->organisation;
+	msg.u.quota_grant.rate_per_s =
+		(uint32_t)grant_quota(entry, request->organisation, peer,
+				      request->demand_per_s, &lease_us);
 	msg.u.quota_grant.lease_ms = (uint32_t)(lease_us / LP_US_PER_MS);
 	node_send(entry->node, peer, &msg);
 }
@@ -199,7 +201,7 @@
 	entry_rearm_timer(entry);
 }
 
-/* ---- the node's words ---- */
+/* ---- node callbacks ---- */
 
 static void on_configured(void *userdata, struct cfg_snapshot *snapshot)
 {
@@ -218,7 +220,7 @@
 	entry_rearm_timer(entry);
 }
 
-/* -1, for "never", stays. */
+/* Keeps -1, which means "never". */
 static int64_t age_ms(int64_t age_us)
 {
 	return age_us < 0 ? -1 : age_us / LP_US_PER_MS;
@@ -231,8 +233,8 @@
 
 	drain_get_view(entry->drain, &view);
 	lp_log(LP_LOG_INFO, "entry", NULL,
-	       "closed to callers %" G_GINT64_FORMAT " ms after leaving (%s): "
-	       "%u probers, %u told, %u informed; first told after "
+	       "stopped listening %" G_GINT64_FORMAT " ms after drain began "
+	       "(%s): %u probers, %u told, %u informed; first told after "
 	       "%" G_GINT64_FORMAT " ms, last probe %" G_GINT64_FORMAT
 	       " ms ago",
 	       view.leaving_for_us / LP_US_PER_MS, drain_state_name(state),
@@ -320,8 +322,7 @@
 	entry_record_probe(userdata, prober);
 }
 
-/* Who had connected, and sends nothing, is waited for as long as any request.
- */
+/* Connections without a request are waited for up to read_timeout_ms. */
 static bool connections_done(const struct entry *entry)
 {
 	int64_t since_us = entry_now_us(entry) - entry->listen_stopped_us;
@@ -379,9 +380,10 @@
 	.status = add_status,
 };
 
-/* ---- life ---- */
+/* ---- lifecycle ---- */
 
-/* Two probes, told and informed; what runs needs the other half of the time. */
+/* Allows for two probes and drain_wait_ms, but takes at most half of the drain
+ * time, since running requests need the rest, and at least drain_wait_ms. */
 static int64_t max_listen_us(const struct node_settings *settings)
 {
 	int64_t probed_ms =
@@ -461,7 +463,8 @@
 		error = entry_http_create(&entry, &entry.http, &why);
 		if (!error) {
 			lp_log(LP_LOG_INFO, "entry", NULL,
-			       "taking requests at %s", settings->listen);
+			       "listening for requests at %s",
+			       settings->listen);
 			node_run(entry.node);
 		}
 		entry_http_destroy(entry.http);
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -1,9 +1,10 @@
 /**
  * The entry: takes callers' requests and runs pipelines stage by stage.
  *
- * Glue between HTTP, the wire and the policy library. entry_http.c speaks to
- * callers, entry_request.c runs a request, entry_idempotency.c finds the owner
- * of an idempotency key, entry_peers.c keeps the connections.
+ * Connects HTTP, the wire and the policy library: entry_http.c serves callers,
+ * entry_request.c runs a request, entry_idempotency.c finds the owner of an
+ * idempotency key, entry_peers.c manages the connections to agents and to
+ * other entries.
  */
 #ifndef ENTRY_H
 #define ENTRY_H
--- a/entry/entry_disconnect.h
+++ b/entry/entry_disconnect.h
@@ -1,9 +1,9 @@
 /**
- * Noticing callers that hang up while their request is worked on.
+ * Detects callers that disconnect while their request is in progress.
  *
- * One epoll descriptor stands for all of them on the main loop: GLib polls
- * every descriptor it has on every turn, which at 1,000 requests in flight
- * cost more than the requests themselves.
+ * All caller sockets are watched through one epoll descriptor on the main
+ * loop: GLib polls each of its descriptors in every event-loop iteration,
+ * which at 1,000 requests in flight cost more than the requests themselves.
  */
 #ifndef ENTRY_DISCONNECT_H
 #define ENTRY_DISCONNECT_H
@@ -12,14 +12,15 @@
 
 struct entry_disconnect;
 
-/** gone() is called from the loop, once, for a watch whose peer hung up. */
+/** on_disconnect() is called from the loop, once per watch, with its userdata.
+ */
 struct entry_disconnect *
 entry_disconnect_create(void (*on_disconnect)(void *userdata));
 void entry_disconnect_destroy(struct entry_disconnect *disconnect);
 /** Watch a socket for `userdata`; it must stay open until removed. */
 void entry_disconnect_watch(struct entry_disconnect *disconnect,
 			    GSocket *socket, void *userdata);
-/** Stop watching. A socket that is closed already needs nothing. */
+/** Stop watching. Does nothing for a socket that is closed already. */
 void entry_disconnect_unwatch(struct entry_disconnect *disconnect,
 			      GSocket *socket);
 
--- a/entry/entry_http.c
+++ b/entry/entry_http.c
@@ -1,4 +1,4 @@
-/* The callers' interface: HTTP in, whole answers or event streams out. */
+/* HTTP interface for callers: whole answers or server-sent event streams. */
 #include "base/lp_log.h"
 
 #include "base/lp_json.h"
@@ -36,7 +36,7 @@
 	struct entry_http *http;
 	SoupServerMessage *msg;
 	struct entry_request *request; /* NULL once answered */
-	GSocket *socket;	       /* watched for a hang-up, or NULL */
+	GSocket *socket;	       /* watched for disconnection, or NULL */
 	bool wants_events;	       /* the caller takes server-sent events */
 	bool streaming; /* the head of the event stream is sent */
 };
@@ -202,7 +202,7 @@
 {
 	struct exchange *exchange = userdata;
 
-	/* An error before the first token still has a status of its own. */
+	/* An error before the first token still has an HTTP error status. */
 	if (exchange->wants_events && (exchange->streaming || !answer->error))
 		answer_stream(exchange, answer);
 	else
@@ -267,7 +267,7 @@
 	       path[strlen(PIPELINES_PATH)];
 }
 
-/* Everything that can be known before the body. LP_OK or the refusal. */
+/* Checks that need no body. Returns LP_OK or the error to answer with. */
 static int check_request_head(struct entry_http *http, SoupServerMessage *msg,
 			      const char *path)
 {
@@ -310,7 +310,8 @@
 	respond_error(http, msg, LP_ERROR_TOO_LARGE, NULL);
 }
 
-/* A request that trickles in is answered and cut off. */
+/* A request that does not arrive in time is answered with 408, and its
+ * connection closed. */
 static gboolean on_request_timeout(gpointer userdata)
 {
 	SoupServerMessage *msg = userdata;
@@ -416,7 +417,7 @@
 	g_autoptr(GBytes) bytes = soup_message_body_flatten(body);
 	gsize size;
 	const char *data = g_bytes_get_data(bytes, &size);
-	const struct entry_request_params ask = {
+	const struct entry_request_params params = {
 		.pipeline = path + strlen(PIPELINES_PATH),
 		.organisation = org->name,
 		.key = request_header(msg, KEY_HEADER),
@@ -435,7 +436,7 @@
 	g_hash_table_add(http->exchanges, exchange);
 	g_signal_connect(msg, "finished", G_CALLBACK(on_finished), exchange);
 	soup_server_message_pause(msg);
-	entry_request_begin(http->entry, &ask, &exchange->request);
+	entry_request_begin(http->entry, &params, &exchange->request);
 	if (exchange->request)
 		watch_caller(exchange);
 }
@@ -493,7 +494,7 @@
 		"text/plain", why ? why : "ready\n");
 }
 
-/* ---- life ---- */
+/* ---- lifecycle ---- */
 
 int entry_http_create(struct entry *entry, struct entry_http **out, char **why)
 {
--- a/entry/entry_idempotency.c
+++ b/entry/entry_idempotency.c
@@ -1,4 +1,9 @@
-/* Who owns an idempotency key: tickets, claims, forwarding to the owner. */
+/*
+ * Ownership of idempotency keys. A key is owned by the entry that issued it as
+ * a ticket or that wrote a claim on it to the KV; other entries forward
+ * requests to the owner. A pipeline that can repeat every stage needs no claim:
+ * the entry that receives the request owns the key.
+ */
 #include "base/lp_log.h"
 #include "entry/entry_private.h"
 
@@ -7,18 +12,18 @@
 #define CLAIM_PREFIX "linepier/claims/"
 #define LEASE_RENEWALS_PER_KEEP 4 /* a claim's lease is at most this old */
 #define FORWARD_SLACK_US (20 * LP_US_PER_MS)
-/* An owner that has not even seen it by then is gone, or stands still. */
+/* An owner that has not acknowledged a forward by then is down or stalled. */
 #define FORWARD_ACK_TIMEOUT_US (700 * LP_US_PER_MS)
 
-/* A request that another entry answers. */
+/* A request forwarded to another entry. */
 struct forward {
 	uint64_t serial;
 	struct entry_request *request;
-	int64_t ack_deadline_us; /* 0 once the owner has it */
+	int64_t ack_deadline_us; /* 0 once acknowledged */
 	int64_t answer_deadline_us;
 };
 
-/* A request that another entry sent here. */
+/* A request forwarded by another entry to this one. */
 struct inbound_forward {
 	struct entry *entry;
 	char *peer;
@@ -30,17 +35,17 @@
 	struct keys *keys;
 	struct claims *claims;
 	GHashTable *forwards; /* serial to forward */
-	GHashTable *claiming; /* entry_request to struct pending, claimed now */
-	char *owner_id;	      /* how claims name this process */
+	GHashTable *claiming; /* entry_request to claiming_request */
+	char *owner_id;	      /* value of this process's claims */
 	uint64_t serial;
 	int64_t lease;
-	int64_t lease_granted_us; /* when it was granted */
+	int64_t lease_granted_us; /* time of the grant */
 	bool lease_requested;
-	bool write_pending;    /* for the lease */
-	GPtrArray *batch_keys; /* KV keys of the write that waits */
+	bool write_pending;    /* until the lease is granted */
+	GPtrArray *batch_keys; /* KV keys of the pending write */
 };
 
-/* What is kept of a request while its claim is written. */
+/* Copy of a keyed request while its claim is written. */
 struct claiming_request {
 	struct entry_keyed_request keyed;
 	char *pipeline;
@@ -110,7 +115,7 @@
 	entry_request_end(waiter, &answer);
 }
 
-bool entry_idempotency_begin(struct entry_idempotency *owners,
+bool entry_idempotency_begin(struct entry_idempotency *idempotency,
 			     const struct entry_keyed_request *keyed)
 {
 	const struct keys_request request = {
@@ -121,13 +126,13 @@
 	};
 	struct keys_answer stored;
 
-	switch (keys_begin(owners->keys, &request, &stored)) {
+	switch (keys_begin(idempotency->keys, &request, &stored)) {
 	case KEYS_NEW:
 		return true;
 	case KEYS_WAIT:
 		break;
 	case KEYS_ANSWERED:
-		answer_waiter(owners, keyed->request, &stored);
+		answer_waiter(idempotency, keyed->request, &stored);
 		break;
 	case KEYS_MISMATCH:
 		end_with_error(keyed->request, LP_ERROR_KEY_MISMATCH,
@@ -136,13 +141,14 @@
 	case KEYS_FULL:
 		end_with_error(keyed->request, LP_ERROR_OVERLOADED,
 			       LP_RUN_NOT_RUN,
-			       "this entry can keep no more keys");
+			       "too many idempotency keys at this entry");
 		break;
 	}
 	return false;
 }
 
-void entry_idempotency_end(struct entry_idempotency *owners, const char *scoped,
+void entry_idempotency_end(struct entry_idempotency *idempotency,
+			   const char *scoped,
 			   const struct entry_answer *answer)
 {
 	const struct keys_answer stored = {
@@ -151,7 +157,7 @@
 		.body = answer->body,
 	};
 
-	keys_end(owners->keys, scoped, &stored);
+	keys_end(idempotency->keys, scoped, &stored);
 }
 
 static gboolean is_of_request(gpointer key, gpointer value, gpointer userdata)
@@ -161,27 +167,28 @@
 	return forward->request == userdata;
 }
 
-void entry_idempotency_forget(struct entry_idempotency *owners,
+void entry_idempotency_forget(struct entry_idempotency *idempotency,
 			      struct entry_request *request)
 {
-	claims_forget(owners->claims, request);
-	g_hash_table_remove(owners->claiming, request);
-	keys_forget_waiter(owners->keys, request);
-	g_hash_table_foreach_remove(owners->forwards, is_of_request, request);
+	claims_forget(idempotency->claims, request);
+	g_hash_table_remove(idempotency->claiming, request);
+	keys_forget_waiter(idempotency->keys, request);
+	g_hash_table_foreach_remove(idempotency->forwards, is_of_request,
+				    request);
 }
 
-/* ---- another entry owns it ---- */
+/* ---- another entry owns the key ---- */
 
-static void forward_to(struct entry_idempotency *owners, const char *host,
+static void forward_to(struct entry_idempotency *idempotency, const char *host,
 		       uint64_t incarnation,
 		       const struct entry_keyed_request *keyed)
 {
-	struct entry *entry = owners->entry;
+	struct entry *entry = idempotency->entry;
 	struct forward *forward = g_new0(struct forward, 1);
 	int64_t left_us = keyed->deadline_us - entry_now_us(entry);
 	struct wire_msg msg = { .type = WIRE_FORWARD };
 
-	forward->serial = ++owners->serial;
+	forward->serial = ++idempotency->serial;
 	forward->request = keyed->request;
 	forward->ack_deadline_us = entry_now_us(entry) + FORWARD_ACK_TIMEOUT_US;
 	forward->answer_deadline_us = keyed->deadline_us + FORWARD_SLACK_US;
@@ -200,14 +207,14 @@
 	}
 	entry_increment_counter(entry, "linepier_entry_forwarded_total", NULL,
 				NULL);
-	g_hash_table_insert(owners->forwards, &forward->serial, forward);
+	g_hash_table_insert(idempotency->forwards, &forward->serial, forward);
 }
 
-static void handle_forwarded(struct entry_idempotency *owners,
+static void handle_forwarded(struct entry_idempotency *idempotency,
 			     const struct wire_forwarded *wire)
 {
 	struct forward *forward =
-		g_hash_table_lookup(owners->forwards, &wire->serial);
+		g_hash_table_lookup(idempotency->forwards, &wire->serial);
 	const struct entry_answer answer = {
 		.error = wire->error,
 		.run = wire->run,
@@ -219,15 +226,15 @@
 	if (!forward)
 		return;
 	request = forward->request;
-	g_hash_table_remove(owners->forwards, &wire->serial);
+	g_hash_table_remove(idempotency->forwards, &wire->serial);
 	entry_request_end(request, &answer);
 }
 
-static void handle_forward_seen(struct entry_idempotency *owners,
+static void handle_forward_seen(struct entry_idempotency *idempotency,
 				const struct wire_forward_seen *wire)
 {
 	struct forward *forward =
-		g_hash_table_lookup(owners->forwards, &wire->serial);
+		g_hash_table_lookup(idempotency->forwards, &wire->serial);
 
 	if (forward)
 		forward->ack_deadline_us = 0;
@@ -270,10 +277,10 @@
 	NULL, answer_inbound_forward
 };
 
-static void handle_forward(struct entry_idempotency *owners, const char *peer,
-			   const struct wire_forward *wire)
+static void handle_forward(struct entry_idempotency *idempotency,
+			   const char *peer, const struct wire_forward *wire)
 {
-	struct entry *entry = owners->entry;
+	struct entry *entry = idempotency->entry;
 	struct inbound_forward *inbound_forward;
 
 	if (wire->incarnation != node_incarnation(entry->node)) {
@@ -286,7 +293,7 @@
 	inbound_forward->entry = entry;
 	inbound_forward->peer = g_strdup(peer);
 	inbound_forward->serial = wire->serial;
-	const struct entry_request_params ask = {
+	const struct entry_request_params params = {
 		.pipeline = wire->pipeline,
 		.organisation = wire->organisation,
 		.key = wire->key,
@@ -298,18 +305,18 @@
 		.ops = &inbound_forward_ops,
 		.userdata = inbound_forward,
 	};
-	entry_request_begin(entry, &ask, NULL);
+	entry_request_begin(entry, &params, NULL);
 }
 
-void entry_idempotency_message(struct entry_idempotency *owners,
+void entry_idempotency_message(struct entry_idempotency *idempotency,
 			       const char *peer, struct wire_msg *msg)
 {
 	if (msg->type == WIRE_FORWARD)
-		handle_forward(owners, peer, &msg->u.forward);
+		handle_forward(idempotency, peer, &msg->u.forward);
 	else if (msg->type == WIRE_FORWARD_SEEN)
-		handle_forward_seen(owners, &msg->u.forward_seen);
+		handle_forward_seen(idempotency, &msg->u.forward_seen);
 	else
-		handle_forwarded(owners, &msg->u.forwarded);
+		handle_forwarded(idempotency, &msg->u.forwarded);
 }
 
 /* ---- claims ---- */
@@ -324,14 +331,15 @@
 
 static void on_claims_written(void *userdata, const struct store_answer *answer)
 {
-	struct entry_idempotency *owners = userdata;
-	g_autoptr(GPtrArray) keys = owners->batch_keys;
+	struct entry_idempotency *idempotency = userdata;
+	g_autoptr(GPtrArray) keys = idempotency->batch_keys;
 	g_autofree struct claim_found *found = NULL;
 
-	owners->batch_keys = NULL;
+	idempotency->batch_keys = NULL;
 	if (answer->error) {
-		owners->lease = 0; /* it may be what the KV refused */
-		claims_written(owners->claims, answer->error, false, NULL, 0);
+		idempotency->lease = 0; /* the KV may have rejected it */
+		claims_written(idempotency->claims, answer->error, false, NULL,
+			       0);
 		return;
 	}
 	found = g_new0(struct claim_found, answer->pairs_count + 1);
@@ -339,82 +347,86 @@
 		found[i].key = answer->pairs[i].key;
 		found[i].owner = answer->pairs[i].value;
 	}
-	claims_written(owners->claims, LP_OK, answer->succeeded, found,
+	claims_written(idempotency->claims, LP_OK, answer->succeeded, found,
 		       answer->pairs_count);
 }
 
-static void send_claims(struct entry_idempotency *owners)
+static void send_claims(struct entry_idempotency *idempotency)
 {
-	struct store_kv *kv = node_kv(owners->entry->node);
-	guint count = owners->batch_keys->len;
+	struct store_kv *kv = node_kv(idempotency->entry->node);
+	guint count = idempotency->batch_keys->len;
 	g_autofree struct store_compare *compares =
 		g_new0(struct store_compare, count);
 	g_autofree struct store_put *puts = g_new0(struct store_put, count);
 
 	for (guint i = 0; i < count; i++) {
-		compares[i].key = g_ptr_array_index(owners->batch_keys, i);
+		compares[i].key = g_ptr_array_index(idempotency->batch_keys, i);
 		puts[i].key = compares[i].key;
-		puts[i].value = owners->owner_id;
-		puts[i].lease = owners->lease;
+		puts[i].value = idempotency->owner_id;
+		puts[i].lease = idempotency->lease;
 	}
 	const struct store_txn txn = {
 		.compares = compares,
 		.compares_count = count,
 		.puts = puts,
 		.puts_count = count,
-		.reads = (const char *const *)owners->batch_keys->pdata,
+		.reads = (const char *const *)idempotency->batch_keys->pdata,
 		.reads_count = count,
 	};
-	kv->ops->txn(kv, "claim", &txn, on_claims_written, owners);
+	kv->ops->txn(kv, "claim", &txn, on_claims_written, idempotency);
 }
 
 static void on_lease_granted(void *userdata, const struct store_answer *answer)
 {
-	struct entry_idempotency *owners = userdata;
+	struct entry_idempotency *idempotency = userdata;
 
-	owners->lease_requested = false;
+	idempotency->lease_requested = false;
 	if (!answer->error) {
-		owners->lease = answer->lease;
-		owners->lease_granted_us = entry_now_us(owners->entry);
+		idempotency->lease = answer->lease;
+		idempotency->lease_granted_us =
+			entry_now_us(idempotency->entry);
 	}
-	if (!owners->write_pending)
+	if (!idempotency->write_pending)
 		return;
-	owners->write_pending = false;
+	idempotency->write_pending = false;
 	if (answer->error)
-		on_claims_written(owners, answer);
+		on_claims_written(idempotency, answer);
 	else
-		send_claims(owners);
+		send_claims(idempotency);
 }
 
-static bool lease_is_fresh(const struct entry_idempotency *owners)
+static bool lease_is_fresh(const struct entry_idempotency *idempotency)
 {
-	int64_t keep_us = owners->entry->settings->key_keep_ms * LP_US_PER_MS;
-	int64_t age_us = entry_now_us(owners->entry) - owners->lease_granted_us;
+	int64_t keep_us =
+		idempotency->entry->settings->key_keep_ms * LP_US_PER_MS;
+	int64_t age_us = entry_now_us(idempotency->entry) -
+			 idempotency->lease_granted_us;
 
-	return owners->lease && age_us < keep_us / LEASE_RENEWALS_PER_KEEP;
+	return idempotency->lease && age_us < keep_us / LEASE_RENEWALS_PER_KEEP;
 }
 
 static void write_claims(void *userdata, const struct claim_item *items,
 			 uint32_t count)
 {
-	struct entry_idempotency *owners = userdata;
-	struct store_kv *kv = node_kv(owners->entry->node);
-	int64_t ttl_s = owners->entry->settings->key_keep_ms * 2 /
+	struct entry_idempotency *idempotency = userdata;
+	struct store_kv *kv = node_kv(idempotency->entry->node);
+	int64_t ttl_s = idempotency->entry->settings->key_keep_ms * 2 /
 			(LP_US_PER_S / LP_US_PER_MS);
 
-	owners->batch_keys = g_ptr_array_new_with_free_func(g_free);
+	idempotency->batch_keys = g_ptr_array_new_with_free_func(g_free);
 	for (uint32_t i = 0; i < count; i++)
-		g_ptr_array_add(owners->batch_keys, g_strdup(items[i].key));
-	if (lease_is_fresh(owners)) {
-		send_claims(owners);
+		g_ptr_array_add(idempotency->batch_keys,
+				g_strdup(items[i].key));
+	if (lease_is_fresh(idempotency)) {
+		send_claims(idempotency);
 		return;
 	}
-	owners->write_pending = true;
-	if (owners->lease_requested)
+	idempotency->write_pending = true;
+	if (idempotency->lease_requested)
 		return;
-	owners->lease_requested = true;
+	idempotency->lease_requested = true;
 	kv->ops->lease_grant(kv, "claim_lease", ttl_s, on_lease_granted,
-			     owners);
+			     idempotency);
 }
 
 /* "HOST INCARNATION" */
@@ -432,22 +444,24 @@
 static void on_claim_settled(void *userdata, void *waiter, int error,
 			     const char *owner)
 {
-	struct entry_idempotency *owners = userdata;
+	struct entry_idempotency *idempotency = userdata;
 	struct claiming_request *claiming_request =
-		g_hash_table_lookup(owners->claiming, waiter);
+		g_hash_table_lookup(idempotency->claiming, waiter);
 	g_autofree char *host = NULL;
 	uint64_t incarnation;
 
 	if (!claiming_request)
 		return;
-	g_hash_table_steal(owners->claiming, waiter);
+	g_hash_table_steal(idempotency->claiming, waiter);
 	if (error)
 		end_with_error(waiter, error, LP_RUN_NOT_RUN,
-			       "the claim on the key could not be settled");
-	else if (!strcmp(owner, owners->owner_id))
+			       "the owner of the idempotency key could not be "
+			       "determined");
+	else if (!strcmp(owner, idempotency->owner_id))
 		entry_request_begin_owned(waiter);
 	else if (parse_owner(owner, &host, &incarnation))
-		forward_to(owners, host, incarnation, &claiming_request->keyed);
+		forward_to(idempotency, host, incarnation,
+			   &claiming_request->keyed);
 	else
 		end_with_error(waiter, LP_ERROR_KEY_LOST, LP_RUN_MAY_HAVE_RUN,
 			       NULL);
@@ -458,18 +472,19 @@
 
 /* ---- finding the owner ---- */
 
-static void find_by_ticket(struct entry_idempotency *owners,
+static void find_by_ticket(struct entry_idempotency *idempotency,
 			   const struct entry_keyed_request *keyed,
 			   const struct keys_ticket *ticket)
 {
-	struct entry *entry = owners->entry;
+	struct entry *entry = idempotency->entry;
 	int64_t now_s = g_get_real_time() / LP_US_PER_S;
 
 	if (ticket->expires_s < now_s)
 		end_with_error(keyed->request, LP_ERROR_KEY_LOST,
 			       LP_RUN_MAY_HAVE_RUN, "the ticket has expired");
 	else if (strcmp(ticket->host, entry->settings->host) != 0)
-		forward_to(owners, ticket->host, ticket->incarnation, keyed);
+		forward_to(idempotency, ticket->host, ticket->incarnation,
+			   keyed);
 	else if (ticket->incarnation == node_incarnation(entry->node))
 		entry_request_begin_owned(keyed->request);
 	else
@@ -477,14 +492,14 @@
 			       LP_RUN_MAY_HAVE_RUN, NULL);
 }
 
-void entry_idempotency_find_owner(struct entry_idempotency *owners,
+void entry_idempotency_find_owner(struct entry_idempotency *idempotency,
 				  const struct entry_keyed_request *keyed)
 {
 	struct keys_ticket ticket;
 	g_autofree char *kv_key = NULL;
 
 	if (keys_ticket_parse(keyed->key, &ticket)) {
-		find_by_ticket(owners, keyed, &ticket);
+		find_by_ticket(idempotency, keyed, &ticket);
 		g_free(ticket.host);
 		return;
 	}
@@ -493,10 +508,10 @@
 		return;
 	}
 	kv_key = claim_key(keyed->scoped_key);
-	g_hash_table_insert(owners->claiming, keyed->request,
+	g_hash_table_insert(idempotency->claiming, keyed->request,
 			    copy_keyed_request(keyed));
-	claims_add(owners->claims, kv_key, owners->owner_id, keyed->deadline_us,
-		   keyed->request);
+	claims_add(idempotency->claims, kv_key, idempotency->owner_id,
+		   keyed->deadline_us, keyed->request);
 }
 
 char *entry_ticket_mint(struct entry *entry)
@@ -509,50 +524,51 @@
 				g_get_real_time() / LP_US_PER_S + keep_s);
 }
 
-/* ---- life ---- */
+/* ---- lifecycle ---- */
 
 struct entry_idempotency *entry_idempotency_create(struct entry *entry)
 {
-	struct entry_idempotency *owners = g_new0(struct entry_idempotency, 1);
+	struct entry_idempotency *idempotency =
+		g_new0(struct entry_idempotency, 1);
 	const struct keys_options keys = {
 		.clock = node_clock(entry->node),
-		/* Longer than tickets and claims last. */
+		/* Longer than tickets and claims are valid. */
 		.keep_us = entry->settings->key_keep_ms * LP_US_PER_MS * 2,
 		.wake = answer_waiter,
-		.userdata = owners,
+		.userdata = idempotency,
 	};
 	const struct claims_options claims = {
 		.clock = node_clock(entry->node),
 		.ops = &claims_ops,
-		.userdata = owners,
+		.userdata = idempotency,
 		.naive = entry->settings->naive,
 	};
 
-	owners->entry = entry;
-	owners->keys = keys_create(&keys);
-	owners->claims = claims_create(&claims);
-	owners->forwards = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						 NULL, g_free);
-	owners->claiming = g_hash_table_new_full(g_direct_hash, g_direct_equal,
-						 NULL, free_claiming_request);
-	owners->owner_id = g_strdup_printf("%s %" G_GINT64_MODIFIER "x",
-					   entry->settings->host,
-					   node_incarnation(entry->node));
-	return owners;
+	idempotency->entry = entry;
+	idempotency->keys = keys_create(&keys);
+	idempotency->claims = claims_create(&claims);
+	idempotency->forwards = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, NULL, g_free);
+	idempotency->claiming = g_hash_table_new_full(
+		g_direct_hash, g_direct_equal, NULL, free_claiming_request);
+	idempotency->owner_id = g_strdup_printf("%s %" G_GINT64_MODIFIER "x",
+						entry->settings->host,
+						node_incarnation(entry->node));
+	return idempotency;
 }
 
-void entry_idempotency_destroy(struct entry_idempotency *owners)
+void entry_idempotency_destroy(struct entry_idempotency *idempotency)
 {
-	if (!owners)
+	if (!idempotency)
 		return;
-	if (owners->batch_keys)
-		g_ptr_array_unref(owners->batch_keys);
-	claims_destroy(owners->claims);
-	keys_destroy(owners->keys);
-	g_hash_table_unref(owners->forwards);
-	g_hash_table_unref(owners->claiming);
-	g_free(owners->owner_id);
-	g_free(owners);
+	if (idempotency->batch_keys)
+		g_ptr_array_unref(idempotency->batch_keys);
+	claims_destroy(idempotency->claims);
+	keys_destroy(idempotency->keys);
+	g_hash_table_unref(idempotency->forwards);
+	g_hash_table_unref(idempotency->claiming);
+	g_free(idempotency->owner_id);
+	g_free(idempotency);
 }
 
 static bool is_unacknowledged(const struct forward *forward, int64_t now_us)
@@ -560,15 +576,15 @@
 	return forward->ack_deadline_us && forward->ack_deadline_us <= now_us;
 }
 
-static void expire_forwards(struct entry_idempotency *owners)
+static void expire_forwards(struct entry_idempotency *idempotency)
 {
-	int64_t now_us = entry_now_us(owners->entry);
+	int64_t now_us = entry_now_us(idempotency->entry);
 	g_autoptr(GPtrArray) unacknowledged = g_ptr_array_new();
 	g_autoptr(GPtrArray) expired = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, owners->forwards);
+	g_hash_table_iter_init(&iter, idempotency->forwards);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct forward *forward = value;
 
@@ -583,21 +599,22 @@
 	for (guint i = 0; i < unacknowledged->len; i++)
 		end_with_error(g_ptr_array_index(unacknowledged, i),
 			       LP_ERROR_KEY_LOST, LP_RUN_MAY_HAVE_RUN,
-			       "the key's owner is silent");
+			       "the key's owner does not respond");
 	for (guint i = 0; i < expired->len; i++)
 		end_with_error(g_ptr_array_index(expired, i),
 			       LP_ERROR_DEADLINE_PASSED, LP_RUN_MAY_HAVE_RUN,
 			       NULL);
 }
 
-void entry_idempotency_tick(struct entry_idempotency *owners)
+void entry_idempotency_tick(struct entry_idempotency *idempotency)
 {
-	claims_tick(owners->claims);
-	keys_tick(owners->keys);
-	expire_forwards(owners);
+	claims_tick(idempotency->claims);
+	keys_tick(idempotency->keys);
+	expire_forwards(idempotency);
 }
 
-uint32_t entry_idempotency_key_count(const struct entry_idempotency *owners)
+uint32_t
+entry_idempotency_key_count(const struct entry_idempotency *idempotency)
 {
-	return keys_count(owners->keys);
+	return keys_count(idempotency->keys);
 }
--- a/entry/entry_json.c
+++ b/entry/entry_json.c
@@ -118,7 +118,7 @@
 	return g_string_free(out, FALSE);
 }
 
-/* A literal is JSON if it reads as such, else text with places to fill. */
+/* A literal is JSON if it parses and has no "{{", else a text template. */
 static JsonNode *expand_literal(const struct entry_values *values,
 				const char *value)
 {
--- a/entry/entry_peers.c
+++ b/entry/entry_peers.c
@@ -1,21 +1,21 @@
-/* Connections of an entry: to its subset of agents, to other entries. */
+/* Connections of an entry to its subset of agents and to other entries. */
 #include "base/lp_log.h"
 #include "entry/entry_private.h"
 #include "policy/member.h"
 
 #include <string.h>
 
-#define HELLO_RETRY_US (500 * LP_US_PER_MS) /* to one we do not hear */
+#define HELLO_RETRY_US (500 * LP_US_PER_MS) /* to an unresponsive agent */
 #define HELLO_RETRY_BEATS 1.4
-#define AGENTS_PER_SERVICE_MIN 4 /* of a service, whatever the total */
+#define AGENTS_PER_SERVICE_MIN 4 /* even beyond agents_total */
 
 struct conn {
-	char *name; /* of the connection: "HOST#N", never used twice */
+	char *name; /* of the connection, unique: "HOST#N", "to:HOST#N" */
 	char *host;
 	char *service; /* "" for an entry */
 	char *domain;
 	char *address;
-	int64_t hello_sent_us; /* our last HELLO */
+	int64_t hello_sent_us; /* when the last HELLO was sent */
 	bool wanted;
 };
 
@@ -126,7 +126,7 @@
 
 /* ---- the host list ---- */
 
-/* Indices into a host list of the agents of one service. */
+/* Maps each service to the indices of its agents in the host list. */
 static GHashTable *group_by_service(const struct store_hosts *hosts)
 {
 	GHashTable *groups = g_hash_table_new_full(
@@ -169,7 +169,8 @@
 		upstream->listed_leaving = host->leaving;
 }
 
-/* Each service's part of the connections, and a few even of many services. */
+/* An equal share of agents_total, at least AGENTS_PER_SERVICE_MIN and at most
+ * agents_max. */
 static uint32_t max_agents_per_service(const struct entry_peers *peers,
 				       uint32_t services)
 {
@@ -204,7 +205,8 @@
 	g_free(chosen);
 }
 
-/* The list lags: what still speaks, or works for us, stays. */
+/* The host list lags: an unlisted agent stays connected while it sends beats
+ * or has requests in flight. */
 static bool can_close(const struct entry_peers *peers, const struct conn *conn)
 {
 	const struct route_upstream *upstream = find_upstream(peers, conn);
@@ -305,7 +307,7 @@
 	update_entries(peers, hosts);
 }
 
-/* ---- time ---- */
+/* ---- hellos ---- */
 
 static bool is_usable(const struct entry_peers *peers, const struct conn *conn)
 {
@@ -315,8 +317,8 @@
 }
 
 /*
- * An agent that said it leaves, or missed a beat, may have been replaced by
- * one that does not know us yet.
+ * An agent that is draining, or missed a beat, may have been replaced by an
+ * incarnation that has not received a HELLO from this entry.
  */
 static bool may_have_restarted(const struct entry_peers *peers,
 			       const struct conn *conn, int64_t now_us)
@@ -370,8 +372,8 @@
 }
 
 /*
- * A connection out has a name of its own ("to:HOST#N"), since the other
- * entry may have connected to us and then stands under its host id.
+ * An outgoing connection has a separate name ("to:HOST#N"), since the host id
+ * names the incoming connection if the other entry connected to this one.
  */
 int entry_peers_send_entry(struct entry_peers *peers, const char *host,
 			   const struct wire_msg *msg)
@@ -418,7 +420,7 @@
 	return true;
 }
 
-/* ---- questions ---- */
+/* ---- queries ---- */
 
 uint32_t entry_peers_live_entry_count(const struct entry_peers *peers)
 {
--- a/entry/entry_private.h
+++ b/entry/entry_private.h
@@ -1,4 +1,4 @@
-/** What the files of entry/ share. Private to entry/. */
+/** Declarations shared by the files of entry/. Private to entry/. */
 #ifndef ENTRY_PRIVATE_H
 #define ENTRY_PRIVATE_H
 
@@ -24,11 +24,10 @@
 	struct entry_idempotency *idempotency;
 	struct quota *quota;
 	struct drain *drain;
-	struct quota_holder *quota_holder; /* of the quotas this entry holds */
-	GSource *timer;		   /* wakes the flow when it asks for it */
-	uint32_t requests;	   /* in this process, in any state */
-	int64_t listen_stopped_us; /* shutdown: listens no more since then; 0:
-				      does */
+	struct quota_holder *quota_holder; /* quotas granted by this entry */
+	GSource *timer;			   /* fires at flow_next_us() */
+	uint32_t requests;	   /* requests that exist, in any state */
+	int64_t listen_stopped_us; /* 0: still listening */
 };
 
 static inline int64_t entry_now_us(const struct entry *entry)
@@ -36,18 +35,18 @@
 	return lp_now_us(node_clock(entry->node));
 }
 
-/** Count under `name` with one label, or none. */
+/** Increment the counter `name`, with one label or none (`label` NULL). */
 void entry_increment_counter(struct entry *entry, const char *name,
 			     const char *label, const char *value);
-/** `prober`, an IP address, is given an answer to its probe of our readiness.
+/** Record that `prober`, an IP address, gets an answer to its readiness probe.
  */
 void entry_record_probe(struct entry *entry, const char *prober);
-/** Call after anything that may have changed when the flow wakes next. */
+/** Set the timer to flow_next_us(); call after anything that may change it. */
 void entry_rearm_timer(struct entry *entry);
 
 /* ---- entry_request.c ---- */
 
-/** How a request ended, as its caller is told. Borrowed. */
+/** The answer to a request, as sent to its caller. Borrowed. */
 struct entry_answer {
 	int error;
 	enum lp_run run;
@@ -58,13 +57,14 @@
 };
 
 struct entry_caller_ops {
-	/** Text of the answer stage's stream; NULL: not wanted. */
+	/** Receives text of the answer stage's stream; NULL: not wanted. */
 	void (*chunk)(void *userdata, const char *id, const char *text);
-	/** Exactly once; may come from inside entry_request_begin(). */
+	/** Called exactly once, unless the request is abandoned; may be called
+	 * from inside entry_request_begin(). */
 	void (*answer)(void *userdata, const struct entry_answer *answer);
 };
 
-/** A request as a caller, or another entry, makes it. Borrowed. */
+/** Parameters of a request from a caller or another entry. Borrowed. */
 struct entry_request_params {
 	const char *pipeline;
 	const char *organisation;
@@ -79,29 +79,30 @@
 };
 
 /**
- * Begin a request. `*handle` points to it while it lives and the caller has
- * not abandoned it, and is NULL afterwards; `handle` itself may be NULL.
+ * Begin a request. `*handle` points to the request until it is answered or
+ * abandoned, and is NULL afterwards; `handle` itself may be NULL.
  */
 void entry_request_begin(struct entry *entry,
-			 const struct entry_request_params *ask,
+			 const struct entry_request_params *params,
 			 struct entry_request **handle);
 /**
- * The caller is gone. A keyed request runs on, for its second try; any
- * other is withdrawn.
+ * The caller disconnected. A request with an idempotency key continues, so
+ * that a retry gets its answer; any other is cancelled.
  */
 void entry_request_abandon(struct entry_request *request);
-/** The owner of the request's key is known: run, wait, answer or forward. */
+/** This entry owns the request's key: run the request, wait for the run in
+ * progress, or answer from the stored result. */
 void entry_request_begin_owned(struct entry_request *request);
-/** End a request that does not run in the flow. */
+/** Answer and free a request that is not, or no longer, in the flow. */
 void entry_request_end(struct entry_request *request,
 		       const struct entry_answer *answer);
 extern const struct flow_ops entry_flow_ops;
-/** Build the role's tables of a configuration. */
+/** Build this entry's pipeline tables and attach them to the snapshot. */
 void entry_plan_attach(struct entry *entry, struct cfg_snapshot *snapshot);
 
 /* ---- entry_idempotency.c ---- */
 
-/** What entry_idempotency.c needs to know of a request. */
+/** The parts of a request that entry_idempotency.c uses. Borrowed. */
 struct entry_keyed_request {
 	struct entry_request *request;
 	const char *pipeline;
@@ -115,22 +116,26 @@
 };
 
 struct entry_idempotency *entry_idempotency_create(struct entry *entry);
-void entry_idempotency_destroy(struct entry_idempotency *owners);
-/** Find the owner; answers by entry_request_begin_owned() or _end(). */
-void entry_idempotency_find_owner(struct entry_idempotency *owners,
+void entry_idempotency_destroy(struct entry_idempotency *idempotency);
+/** Find the key's owner. Calls entry_request_begin_owned() if it is this
+ * entry; else forwards the request to the owner, or ends it with an error. */
+void entry_idempotency_find_owner(struct entry_idempotency *idempotency,
 				  const struct entry_keyed_request *keyed);
-/** This entry owns the key. Returns true if the request is to be run. */
-bool entry_idempotency_begin(struct entry_idempotency *owners,
+/** Register a request whose key this entry owns. Returns true if the caller
+ * must run it; else it waits, or has been answered. */
+bool entry_idempotency_begin(struct entry_idempotency *idempotency,
 			     const struct entry_keyed_request *keyed);
-void entry_idempotency_end(struct entry_idempotency *owners, const char *scoped,
+void entry_idempotency_end(struct entry_idempotency *idempotency,
+			   const char *scoped,
 			   const struct entry_answer *answer);
-void entry_idempotency_forget(struct entry_idempotency *owners,
+void entry_idempotency_forget(struct entry_idempotency *idempotency,
 			      struct entry_request *request);
-void entry_idempotency_tick(struct entry_idempotency *owners);
+void entry_idempotency_tick(struct entry_idempotency *idempotency);
 /** A FORWARD, FORWARD_SEEN or FORWARDED message. */
-void entry_idempotency_message(struct entry_idempotency *owners,
+void entry_idempotency_message(struct entry_idempotency *idempotency,
 			       const char *peer, struct wire_msg *msg);
-uint32_t entry_idempotency_key_count(const struct entry_idempotency *owners);
+uint32_t
+entry_idempotency_key_count(const struct entry_idempotency *idempotency);
 char *entry_ticket_mint(struct entry *entry);
 
 /* ---- entry_peers.c ---- */
@@ -148,15 +153,16 @@
 int entry_peers_send_entry(struct entry_peers *peers, const char *host,
 			   const struct wire_msg *msg);
 /**
- * An agent's word, from a BEAT or a RESULT. False: no agent of ours. The
- * strings are borrowed until the connection is closed.
+ * Convert the load report of an agent's BEAT or RESULT. False if `peer` is
+ * not a connected agent. The strings are borrowed until the connection is
+ * closed.
  */
 bool entry_peers_agent_report(struct entry_peers *peers, const char *peer,
 			      const struct wire_load *load,
 			      struct flow_word *out);
-/** Live entries, this one included. */
+/** Number of entries that are not draining; at least 1. */
 uint32_t entry_peers_live_entry_count(const struct entry_peers *peers);
-/** The entry that holds an organisation's quota. */
+/** Host id of the entry that grants an organisation's quota. */
 const char *entry_peers_quota_holder(const struct entry_peers *peers,
 				     const char *organisation);
 uint32_t entry_peers_agent_count(const struct entry_peers *peers);
@@ -168,9 +174,9 @@
 void entry_http_destroy(struct entry_http *http);
 /** Stop listening; open connections stay until answered. */
 void entry_http_stop_listening(struct entry_http *http);
-/** Requests whose answer is owed, or is being written. */
+/** Number of requests whose answer is not completely written. */
 uint32_t entry_http_unanswered(const struct entry_http *http);
-/** Connections that have a request to send, or an answer to get. */
+/** Number of connections with a request to send or an answer to receive. */
 uint32_t entry_http_open(const struct entry_http *http);
 
 #endif
--- a/entry/entry_request.c
+++ b/entry/entry_request.c
@@ -1,4 +1,4 @@
-/* A request from the door to its answer. */
+/* A request from admission to its answer. */
 #include "base/lp_log.h"
 
 #include "base/lp_json.h"
@@ -12,25 +12,25 @@
 	struct cfg_snapshot *snapshot;
 	const struct plan *plan;
 	const struct cfg_organisation *organisation;
-	const struct entry_caller_ops *ops; /* NULL once the caller is gone */
+	const struct entry_caller_ops *ops; /* NULL once disconnected */
 	void *userdata;
 	char *key;	  /* "" for none */
 	char *scoped_key; /* organisation and key */
 	char *trace;
-	char *body;   /* kept while another entry may need it */
-	char *detail; /* an upstream's last sentence */
+	char *body;   /* may be forwarded to another entry */
+	char *detail; /* error text of an upstream */
 	JsonNode *request;
 	JsonNode **results;
 	int64_t deadline_us;
 	uint64_t fingerprint;
-	bool holds_key; /* entry_idempotency_end() is owed */
+	bool holds_key; /* entry_idempotency_end() must be called */
 	bool submitted;
-	struct lp_call_id id; /* in the flow, once `flowing` */
+	struct lp_call_id id; /* in the flow, once `submitted` */
 };
 
 /* ---- the tables of a configuration ---- */
 
-/* Counters of one stage, looked up once a configuration. */
+/* Counters of one stage, looked up once per configuration. */
 struct stage_counters {
 	int64_t *answers;
 	int64_t *queue_us;
@@ -39,7 +39,7 @@
 	int64_t *attempts;
 };
 
-/* One pipeline as the flow wants it. */
+/* One pipeline in the form that flow_submit() takes. */
 struct plan {
 	const struct cfg_pipeline *pipeline;
 	struct flow_stage stages[CFG_STAGES_MAX];
@@ -119,7 +119,7 @@
 
 /* ---- ending ---- */
 
-/* The caller's pointer to this request is of no use any more. */
+/* Clears the caller's pointer to this request. */
 static void clear_handle(struct entry_request *request)
 {
 	if (request->handle)
@@ -166,12 +166,12 @@
 void entry_request_end(struct entry_request *request,
 		       const struct entry_answer *answer)
 {
-	struct entry_idempotency *owners = request->entry->idempotency;
+	struct entry_idempotency *idempotency = request->entry->idempotency;
 
 	if (*request->key)
-		entry_idempotency_forget(owners, request);
+		entry_idempotency_forget(idempotency, request);
 	if (request->holds_key)
-		entry_idempotency_end(owners, request->scoped_key, answer);
+		entry_idempotency_end(idempotency, request->scoped_key, answer);
 	send_answer(request, answer);
 	free_request(request);
 }
@@ -192,7 +192,7 @@
 	free_request(request);
 }
 
-/* ---- what the flow asks for ---- */
+/* ---- flow callbacks ---- */
 
 static struct entry_values values_of(const struct entry_request *request)
 {
@@ -217,7 +217,8 @@
 	return json_to_string(input, FALSE);
 }
 
-/* The key an upstream sees: the caller's, or the request, for its stage. */
+/* The idempotency key sent to an upstream: the caller's scoped key, else the
+ * request id, with the stage's name. */
 static char *call_key(const struct entry_request *request, const char *id,
 		      const char *stage)
 {
@@ -394,7 +395,8 @@
 
 /* ---- beginning ---- */
 
-/* What shares a prefix: same organisation, pipeline and named value. */
+/* Requests that share a prefix have one hash: that of the organisation, the
+ * pipeline and the value at the pipeline's affinity path. */
 static uint64_t affinity_hash(const struct entry_request *request)
 {
 	const struct cfg_pipeline *pipeline = request->plan->pipeline;
@@ -429,10 +431,9 @@
 
 	request->submitted = true;
 	/*
-	 * On LP_OK the request may already be gone. The id stays in the
-	 * request: by it entry_request_abandon() takes back what the flow has;
-	 * a flow that keeps a request of a caller who hung up goes on to use
-	 * it after it is freed.
+	 * On LP_OK the request may already be freed. The flow writes the id
+	 * into the request itself, because entry_request_abandon() cancels by
+	 * it; without that the flow would use the request after it is freed.
 	 */
 	if (!flow_submit(entry->flow, &submit, &request->id, &outcome)) {
 		entry_rearm_timer(entry);
@@ -444,7 +445,7 @@
 		.run = outcome.run,
 		.retry_after_us = outcome.retry_us,
 		.id = id,
-		.detail = "at the door",
+		.detail = "at admission",
 	};
 	entry_request_end(request, &answer);
 }
@@ -477,37 +478,38 @@
 }
 
 static struct entry_request *
-create_request(struct entry *entry, const struct entry_request_params *ask,
+create_request(struct entry *entry, const struct entry_request_params *params,
 	       struct cfg_snapshot *snapshot, const struct plan *plan)
 {
 	struct entry_request *request = g_new0(struct entry_request, 1);
 	int64_t left_us = plan->pipeline->deadline_ms * LP_US_PER_MS;
 
-	if (ask->timeout_us)
-		left_us = MIN(left_us, ask->timeout_us);
+	if (params->timeout_us)
+		left_us = MIN(left_us, params->timeout_us);
 	request->entry = entry;
 	request->snapshot = cfg_snapshot_ref(snapshot);
 	request->plan = plan;
 	request->organisation =
-		cfg_organisation_find(snapshot->doc, ask->organisation);
-	request->ops = ask->ops;
-	request->userdata = ask->userdata;
-	request->key = g_strdup(ask->key);
+		cfg_organisation_find(snapshot->doc, params->organisation);
+	request->ops = params->ops;
+	request->userdata = params->userdata;
+	request->key = g_strdup(params->key);
 	request->scoped_key =
-		g_strdup_printf("%s/%s", ask->organisation, ask->key);
-	request->trace = g_strdup(ask->trace);
-	request->body = g_strndup(ask->body, ask->body_size);
+		g_strdup_printf("%s/%s", params->organisation, params->key);
+	request->trace = g_strdup(params->trace);
+	request->body = g_strndup(params->body, params->body_size);
 	request->results = g_new0(JsonNode *, plan->pipeline->stages_count);
-	request->request = entry_json_parse(ask->body, ask->body_size);
+	request->request = entry_json_parse(params->body, params->body_size);
 	request->deadline_us = entry_now_us(entry) + left_us;
 	request->fingerprint = lp_hash_pair(lp_hash_str(request->body),
-					    lp_hash_str(ask->pipeline));
+					    lp_hash_str(params->pipeline));
 	entry->requests += 1;
 	return request;
 }
 
-static void refuse(struct entry *entry, const struct entry_request_params *ask,
-		   int error, int64_t retry_us, const char *detail)
+static void refuse(struct entry *entry,
+		   const struct entry_request_params *params, int error,
+		   int64_t retry_us, const char *detail)
 {
 	const struct entry_answer answer = {
 		.error = error,
@@ -518,11 +520,11 @@
 	};
 
 	count_answer(entry, &answer);
-	ask->ops->answer(ask->userdata, &answer);
+	params->ops->answer(params->userdata, &answer);
 }
 
 static int check_admission(struct entry *entry,
-			   const struct entry_request_params *ask,
+			   const struct entry_request_params *params,
 			   const struct cfg_organisation *organisation,
 			   int64_t *retry_us)
 {
@@ -530,8 +532,8 @@
 		*retry_us = LP_US_PER_S;
 		return LP_ERROR_OVERLOADED;
 	}
-	/* The entry that forwarded it has counted it. */
-	if (ask->key_owned)
+	/* The forwarding entry has taken a forwarded request off the quota. */
+	if (params->key_owned)
 		return LP_OK;
 	if (!quota_take(entry->quota, organisation->name,
 			organisation->rate_per_s,
@@ -541,7 +543,7 @@
 }
 
 void entry_request_begin(struct entry *entry,
-			 const struct entry_request_params *ask,
+			 const struct entry_request_params *params,
 			 struct entry_request **handle)
 {
 	struct cfg_snapshot *snapshot = node_snapshot(entry->node);
@@ -552,28 +554,29 @@
 	int error;
 
 	if (!snapshot) {
-		refuse(entry, ask, LP_ERROR_NO_CONFIG, LP_US_PER_S, NULL);
+		refuse(entry, params, LP_ERROR_NO_CONFIG, LP_US_PER_S, NULL);
 		return;
 	}
-	plan = g_hash_table_lookup(snapshot->attached, ask->pipeline);
-	organisation = cfg_organisation_find(snapshot->doc, ask->organisation);
+	plan = g_hash_table_lookup(snapshot->attached, params->pipeline);
+	organisation =
+		cfg_organisation_find(snapshot->doc, params->organisation);
 	if (!plan) {
-		refuse(entry, ask, LP_ERROR_UNKNOWN_PIPELINE, 0, NULL);
+		refuse(entry, params, LP_ERROR_UNKNOWN_PIPELINE, 0, NULL);
 		return;
 	}
-	if (!organisation || !cfg_may_call(organisation, ask->pipeline)) {
-		refuse(entry, ask, LP_ERROR_FORBIDDEN, 0, NULL);
+	if (!organisation || !cfg_may_call(organisation, params->pipeline)) {
+		refuse(entry, params, LP_ERROR_FORBIDDEN, 0, NULL);
 		return;
 	}
-	error = check_admission(entry, ask, organisation, &retry_us);
+	error = check_admission(entry, params, organisation, &retry_us);
 	if (error) {
-		refuse(entry, ask, error, retry_us, NULL);
+		refuse(entry, params, error, retry_us, NULL);
 		return;
 	}
-	request = create_request(entry, ask, snapshot, plan);
+	request = create_request(entry, params, snapshot, plan);
 	if (!request->request) {
 		free_request(request);
-		refuse(entry, ask, LP_ERROR_BAD_REQUEST, 0,
+		refuse(entry, params, LP_ERROR_BAD_REQUEST, 0,
 		       "the body must be a JSON object, at most 32 deep");
 		return;
 	}
@@ -582,7 +585,7 @@
 		*handle = request;
 	if (!*request->key) {
 		submit_to_flow(request);
-	} else if (ask->key_owned) {
+	} else if (params->key_owned) {
 		entry_request_begin_owned(request);
 	} else {
 		const struct entry_keyed_request keyed = keyed_of(request);
