--- a/agent/agent.c
+++ b/agent/agent.c
@@ -12,7 +12,7 @@
 
 #define PEER_FORGET_US (60 * LP_US_PER_S)
 /* An entry without a HELLO for this long is no longer connected. */
-#define HELLO_TIMEOUT_US (NODE_HELLO_US + 5 * LP_US_PER_S)
+#define HELLO_TIMEOUT_US (NODE_HELLO_INTERVAL_US + 5 * LP_US_PER_S)
 
 /* An entry that has sent a message to this agent. */
 struct peer {
@@ -313,13 +313,14 @@
 
 	peer->last_received_us = now_us(agent);
 	if (msg->type == WIRE_HELLO) {
-		node_heard_revision(agent->node, name, msg->u.hello.revision,
-				    msg->u.hello.kv_age_ms);
+		node_report_peer_revision(agent->node, name,
+					  msg->u.hello.revision,
+					  msg->u.hello.kv_age_ms);
 		drain_probed(agent->drain, name);
 		send_beat(agent, peer);
 	} else if (msg->type == WIRE_CALL) {
-		node_heard_revision(agent->node, name, msg->u.call.revision,
-				    G_MAXUINT32);
+		node_report_peer_revision(agent->node, name,
+					  msg->u.call.revision, G_MAXUINT32);
 		offer_call(agent, name, &msg->u.call);
 	} else if (msg->type == WIRE_QUERY) {
 		const struct worker_question question = {
@@ -436,9 +437,9 @@
 	.hosts = on_hosts,
 	.tick = on_tick,
 	.announce = send_beats,
-	.leave = on_drain,
+	.drain = on_drain,
 	.idle = is_idle,
-	.unready = unready_reason,
+	.unready_reason = unready_reason,
 	.status = add_status,
 };
 
@@ -462,7 +463,8 @@
 
 static struct drain *create_drain(const struct agent *agent)
 {
-	double silent_ms = NODE_BEATS_SILENT * (double)agent->settings->beat_ms;
+	double silent_ms =
+		NODE_SILENCE_BEATS * (double)agent->settings->beat_ms;
 
 	return drain_create(&(struct drain_options){
 		.clock = node_clock(agent->node),
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -131,20 +131,20 @@
 		.body = wire->body,
 	};
 
-	struct flow_word word;
+	struct flow_word report;
 	bool known = entry_peers_agent_report(entry->peers, peer, &wire->load,
-					      &word);
+					      &report);
 
-	flow_result(entry->flow, &result, known ? &word : NULL);
+	flow_result(entry->flow, &result, known ? &report : NULL);
 }
 
 static void handle_beat(struct entry *entry, const char *peer,
 			const struct wire_load *load)
 {
-	struct flow_word word;
+	struct flow_word report;
 
-	if (entry_peers_agent_report(entry->peers, peer, load, &word))
-		flow_heard(entry->flow, &word);
+	if (entry_peers_agent_report(entry->peers, peer, load, &report))
+		flow_heard(entry->flow, &report);
 }
 
 static void handle_call_state(struct entry *entry,
@@ -305,7 +305,8 @@
 	struct entry *entry = userdata;
 
 	drain_begin(entry->drain);
-	flow_end_by(entry->flow, node_ends_us(entry->node) - FINAL_ANSWERS_US);
+	flow_end_by(entry->flow,
+		    node_drain_deadline_us(entry->node) - FINAL_ANSWERS_US);
 	entry_rearm_timer(entry);
 }
 
@@ -313,8 +314,8 @@
 {
 	drain_probed(entry->drain, prober);
 	entry_increment_counter(entry, "linepier_probes_total", "answer",
-				node_leaving(entry->node) ? "leaving"
-							  : "other");
+				node_is_draining(entry->node) ? "leaving"
+							      : "other");
 }
 
 static void on_probed(void *userdata, const char *prober)
@@ -372,9 +373,9 @@
 	.hosts = on_hosts,
 	.tick = on_tick,
 	.announce = send_hellos,
-	.leave = on_drain,
+	.drain = on_drain,
 	.idle = is_idle,
-	.unready = unready_reason,
+	.unready_reason = unready_reason,
 	.probed = on_probed,
 	.gauges = set_gauges,
 	.status = add_status,
@@ -420,7 +421,7 @@
 		.domain = settings->domain,
 		.seed = incarnation,
 		.silence_us = (int64_t)((double)settings->beat_ms *
-					LP_US_PER_MS * NODE_BEATS_SILENT),
+					LP_US_PER_MS * NODE_SILENCE_BEATS),
 		.naive = settings->naive,
 		.no_affinity = !settings->affinity,
 	};
--- a/entry/entry_http.c
+++ b/entry/entry_http.c
@@ -484,7 +484,7 @@
 
 	clear_request_timer(msg);
 	entry_record_probe(entry, soup_server_message_get_remote_host(msg));
-	if (node_leaving(entry->node))
+	if (node_is_draining(entry->node))
 		why = "leaving\n";
 	else if (!node_snapshot(entry->node))
 		why = "no configuration received yet\n";
@@ -535,7 +535,7 @@
 
 uint32_t entry_http_open(const struct entry_http *http)
 {
-	return node_listener_open(http->listener);
+	return node_listener_open_count(http->listener);
 }
 
 void entry_http_destroy(struct entry_http *http)
--- a/entry/entry_peers.c
+++ b/entry/entry_peers.c
@@ -341,7 +341,7 @@
 		struct conn *conn = value;
 		int64_t after_us = may_have_restarted(peers, conn, now_us)
 					   ? HELLO_RETRY_US
-					   : NODE_HELLO_US;
+					   : NODE_HELLO_INTERVAL_US;
 
 		if (now_us - conn->hello_sent_us >= after_us)
 			send_hello(peers, conn);
@@ -415,8 +415,8 @@
 		.run_us = load->run_us,
 		.leaving = load->leaving,
 	};
-	node_heard_revision(peers->entry->node, peer, load->revision,
-			    load->kv_age_ms);
+	node_report_peer_revision(peers->entry->node, peer, load->revision,
+				  load->kv_age_ms);
 	return true;
 }
 
--- a/node/node.c
+++ b/node/node.c
@@ -13,10 +13,11 @@
 #include <signal.h>
 #include <string.h>
 
-#define READERS 3 /* of a failure domain, holding a watch on the KV */
-/* Entries hear of the KV with every beat, agents only with their hellos. */
-#define AGENT_PATIENCE_US (40 * LP_US_PER_S)
-#define LEAVE_MIN_US (500 * LP_US_PER_MS) /* peers hear of it meanwhile */
+#define CONFIG_READERS_PER_DOMAIN 3 /* processes that watch the KV */
+/* An agent reads the KV itself if the last known access is older than this.
+ * Entries learn of KV accesses with every beat, agents only with HELLOs. */
+#define AGENT_KV_AGE_MAX_US (40 * LP_US_PER_S)
+#define DRAIN_MIN_US (500 * LP_US_PER_MS) /* for drain notices to arrive */
 
 struct node {
 	struct node_options options;
@@ -32,16 +33,16 @@
 	struct node_admin *admin;
 	GMainLoop *loop;
 	uint64_t incarnation;
-	int64_t leave_us; /* when shutdown began, or 0 */
-	bool interrupted; /* by SIGINT */
+	int64_t drain_started_us; /* 0: not draining */
+	bool interrupted;	  /* by SIGINT */
 	guint tick_timer;
 	guint signals[2];
 };
 
 /* ---- configuration ---- */
 
-static void take_snapshot(struct node *node, struct cfg_snapshot *snapshot,
-			  const char *from)
+static void install_snapshot(struct node *node, struct cfg_snapshot *snapshot,
+			     const char *from)
 {
 	if (!spread_take(node->spread, snapshot->revision)) {
 		cfg_snapshot_unref(snapshot);
@@ -53,7 +54,7 @@
 	       "configuration %" G_GUINT64_FORMAT " in force, from %s",
 	       snapshot->revision, from);
 	node->options.role->configured(node->options.userdata, snapshot);
-	/* Parsing took many times what is kept. */
+	/* Parsing used many times the memory that is kept. */
 	malloc_trim(0);
 	node->options.role->announce(node->options.userdata);
 }
@@ -63,11 +64,12 @@
 	*lp_counter(node->counters, "linepier_config_rejected_total", NULL) +=
 		1;
 	lp_log(LP_LOG_ERROR, "node", NULL,
-	       "a configuration from %s does not check; the last one stays",
+	       "rejected an invalid configuration from %s; the last valid one "
+	       "stays in force",
 	       from);
 }
 
-static void take_pair(struct node *node, const struct store_pair *pair)
+static void handle_record(struct node *node, const struct store_pair *pair)
 {
 	struct cfg_record *record;
 	struct cfg_snapshot *snapshot;
@@ -83,27 +85,27 @@
 		if (cfg_snapshot_create(record, &snapshot))
 			reject_record(node, "the KV");
 		else
-			take_snapshot(node, snapshot, "the KV");
+			install_snapshot(node, snapshot, "the KV");
 	}
 	cfg_record_destroy(record);
 }
 
-static void on_read(void *userdata, const struct store_answer *answer)
+static void on_record_read(void *userdata, const struct store_answer *answer)
 {
 	struct node *node = userdata;
 
 	if (!answer->error && answer->pairs_count)
-		take_pair(node, &answer->pairs[0]);
+		handle_record(node, &answer->pairs[0]);
 	spread_read_done(node->spread, !answer->error);
 }
 
-static void read_whole(struct node *node)
+static void read_record(struct node *node)
 {
-	node->kv->ops->range(node->kv, "config_read", CFG_KEY, false, on_read,
-			     node);
+	node->kv->ops->range(node->kv, "config_read", CFG_KEY, false,
+			     on_record_read, node);
 }
 
-static void on_number(void *userdata, const struct store_answer *answer)
+static void on_revision_read(void *userdata, const struct store_answer *answer)
 {
 	struct node *node = userdata;
 	uint64_t revision = 0;
@@ -111,23 +113,23 @@
 	if (!answer->error && answer->pairs_count)
 		revision = g_ascii_strtoull(answer->pairs[0].value, NULL, 10);
 	if (revision > spread_revision(node->spread))
-		read_whole(node);
+		read_record(node);
 	else
 		spread_read_done(node->spread, !answer->error);
 }
 
-/* The number is a key of its own: looking often costs little. */
-static void spread_read(void *userdata)
+/* The revision number has a separate key, so polling it often is cheap. */
+static void read_revision(void *userdata)
 {
 	struct node *node = userdata;
 
 	node->kv->ops->range(node->kv, "config_number", CFG_NUMBER_KEY, false,
-			     on_number, node);
+			     on_revision_read, node);
 }
 
-static void on_changed(void *userdata, const struct store_pair *pair)
+static void on_record_changed(void *userdata, const struct store_pair *pair)
 {
-	take_pair(userdata, pair);
+	handle_record(userdata, pair);
 }
 
 static void on_watch_ended(void *userdata, int error)
@@ -137,12 +139,12 @@
 	spread_watch_ended(node->spread);
 }
 
-static void spread_watch(void *userdata, bool on)
+static void set_config_watch(void *userdata, bool on)
 {
 	struct node *node = userdata;
 	const struct store_watch watch = {
 		.key = CFG_KEY,
-		.changed = on_changed,
+		.changed = on_record_changed,
 		.ended = on_watch_ended,
 		.userdata = node,
 	};
@@ -153,7 +155,7 @@
 		node->kv->ops->unwatch(node->kv);
 }
 
-static void spread_pull(void *userdata, const char *peer)
+static void request_config(void *userdata, const char *peer)
 {
 	struct node *node = userdata;
 	const struct wire_msg msg = {
@@ -165,13 +167,13 @@
 }
 
 static const struct spread_ops spread_ops = {
-	.read = spread_read,
-	.watch = spread_watch,
-	.pull = spread_pull,
+	.read = read_revision,
+	.watch = set_config_watch,
+	.pull = request_config,
 };
 
-static void send_body(struct node *node, const char *peer,
-		      const struct wire_config_get *get)
+static void send_config_body(struct node *node, const char *peer,
+			     const struct wire_config_get *get)
 {
 	struct wire_msg msg = { .type = WIRE_CONFIG_BODY };
 
@@ -184,8 +186,8 @@
 		    NULL) += 1;
 }
 
-static void take_body(struct node *node, const char *peer,
-		      const struct wire_config_body *body)
+static void handle_config_body(struct node *node, const char *peer,
+			       const struct wire_config_body *body)
 {
 	struct cfg_snapshot *snapshot;
 
@@ -194,11 +196,11 @@
 	if (cfg_snapshot_unpack(body->packed, &snapshot))
 		reject_record(node, peer);
 	else
-		take_snapshot(node, snapshot, peer);
+		install_snapshot(node, snapshot, peer);
 }
 
-void node_heard_revision(struct node *node, const char *peer, uint64_t revision,
-			 uint32_t kv_age_ms)
+void node_report_peer_revision(struct node *node, const char *peer,
+			       uint64_t revision, uint32_t kv_age_ms)
 {
 	spread_heard(node->spread, peer, revision);
 	spread_heard_age(node->spread, kv_age_ms * LP_US_PER_MS);
@@ -218,9 +220,9 @@
 	struct node *node = userdata;
 
 	if (msg->type == WIRE_CONFIG_GET)
-		send_body(node, peer, &msg->u.config_get);
+		send_config_body(node, peer, &msg->u.config_get);
 	else if (msg->type == WIRE_CONFIG_BODY)
-		take_body(node, peer, &msg->u.config_body);
+		handle_config_body(node, peer, &msg->u.config_body);
 	else
 		node->options.role->message(node->options.userdata, peer, msg);
 }
@@ -242,7 +244,7 @@
 
 /* ---- hosts ---- */
 
-static void elect(struct node *node, const struct store_hosts *hosts)
+static void elect_readers(struct node *node, const struct store_hosts *hosts)
 {
 	struct member *members = g_new0(struct member, hosts->count + 1);
 	uint32_t count = 0;
@@ -257,7 +259,7 @@
 	spread_elected(node->spread,
 		       member_is_reader(node->settings->host,
 					node->settings->domain, members, count,
-					READERS),
+					CONFIG_READERS_PER_DOMAIN),
 		       hosts->count);
 	g_free(members);
 }
@@ -266,7 +268,7 @@
 {
 	struct node *node = userdata;
 
-	elect(node, hosts);
+	elect_readers(node, hosts);
 	node->options.role->hosts(node->options.userdata, hosts);
 }
 
@@ -312,18 +314,18 @@
 	lp_counters_print(node->counters, out);
 }
 
-static const char *admin_unready(void *userdata)
+static const char *admin_unready_reason(void *userdata)
 {
 	struct node *node = userdata;
 
-	if (node->leave_us)
+	if (node->drain_started_us)
 		return "leaving\n";
 	if (!node->snapshot)
 		return "no configuration received yet\n";
-	return node->options.role->unready(node->options.userdata);
+	return node->options.role->unready_reason(node->options.userdata);
 }
 
-static void admin_probed(void *userdata, const char *prober)
+static void admin_probe(void *userdata, const char *prober)
 {
 	struct node *node = userdata;
 
@@ -334,7 +336,7 @@
 static void admin_status(void *userdata, JsonBuilder *builder)
 {
 	struct node *node = userdata;
-	const char *why = admin_unready(node);
+	const char *why = admin_unready_reason(node);
 
 	lp_json_text(builder, "host", node->settings->host);
 	lp_json_text(builder, "domain", node->settings->domain);
@@ -348,56 +350,57 @@
 		    (int64_t)spread_highest(node->spread));
 	lp_json_bool(builder, "reader", spread_is_reader(node->spread));
 	lp_json_text(builder, "state",
-		     node->leave_us ? "leaving"
-		     : why	    ? "unready"
-				    : "ready");
+		     node->drain_started_us ? "leaving"
+		     : why		    ? "unready"
+					    : "ready");
 	node->options.role->status(node->options.userdata, builder);
 }
 
-/* ---- life ---- */
+/* ---- lifecycle ---- */
 
-void node_leave(struct node *node)
+void node_begin_drain(struct node *node)
 {
-	if (node->leave_us)
+	if (node->drain_started_us)
 		return;
-	node->leave_us = lp_now_us(node->clock);
-	lp_log(LP_LOG_INFO, "node", NULL, "leaving");
-	node->options.role->leave(node->options.userdata);
+	node->drain_started_us = lp_now_us(node->clock);
+	lp_log(LP_LOG_INFO, "node", NULL, "draining");
+	node->options.role->drain(node->options.userdata);
 	node->options.role->announce(node->options.userdata);
 }
 
-/* Comes again from service managers, and after a drain by an operator. */
+/* SIGTERM may be repeated by a service manager, or follow an operator's drain.
+ */
 static gboolean on_term(gpointer userdata)
 {
-	node_leave(userdata);
+	node_begin_drain(userdata);
 	return G_SOURCE_CONTINUE;
 }
 
-/* A second one is a person at a terminal who does not want to wait. */
+/* A second SIGINT, from a user at a terminal, skips the drain. */
 static gboolean on_interrupt(gpointer userdata)
 {
 	struct node *node = userdata;
 
 	if (node->interrupted) {
 		lp_log(LP_LOG_WARN, "node", NULL,
-		       "interrupted twice: ending at once");
+		       "interrupted twice: exiting at once");
 		g_main_loop_quit(node->loop);
 	}
 	node->interrupted = true;
-	node_leave(node);
+	node_begin_drain(node);
 	return G_SOURCE_CONTINUE;
 }
 
-static void check_left(struct node *node)
+static void check_drained(struct node *node)
 {
 	int64_t now_us = lp_now_us(node->clock);
 
-	if (now_us - node->leave_us < LEAVE_MIN_US)
+	if (now_us - node->drain_started_us < DRAIN_MIN_US)
 		return;
 	if (!node->options.role->idle(node->options.userdata) &&
-	    now_us < node_ends_us(node))
+	    now_us < node_drain_deadline_us(node))
 		return;
-	lp_log(LP_LOG_INFO, "node", NULL, "left");
+	lp_log(LP_LOG_INFO, "node", NULL, "drained");
 	g_main_loop_quit(node->loop);
 }
 
@@ -407,8 +410,8 @@
 
 	spread_tick(node->spread);
 	node->options.role->tick(node->options.userdata);
-	if (node->leave_us)
-		check_left(node);
+	if (node->drain_started_us)
+		check_drained(node);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -441,15 +444,15 @@
 		.node = node,
 		.metrics = admin_metrics,
 		.status = admin_status,
-		.unready = admin_unready,
-		.probed = admin_probed,
+		.unready_reason = admin_unready_reason,
+		.probed = admin_probe,
 		.userdata = node,
 	};
 
 	return node_admin_create(&options, &node->admin, why);
 }
 
-static void open_platform(struct node *node)
+static void create_platform_clients(struct node *node)
 {
 	const struct store_etcd_options kv = {
 		.url = node->settings->kv_url,
@@ -470,7 +473,7 @@
 		.userdata = node,
 		.seed = node->incarnation,
 		.patience_us = node->settings->role == NODE_ROLE_AGENT
-				       ? AGENT_PATIENCE_US
+				       ? AGENT_KV_AGE_MAX_US
 				       : 0,
 		.watch_always = node->settings->config_watch_all,
 	};
@@ -500,7 +503,7 @@
 		node_destroy(node);
 		return error;
 	}
-	open_platform(node);
+	create_platform_clients(node);
 	node->tick_timer = lp_timer_add(NODE_TICK_MS, on_tick, node);
 	node->signals[0] = g_unix_signal_add(SIGTERM, on_term, node);
 	node->signals[1] = g_unix_signal_add(SIGINT, on_interrupt, node);
@@ -574,14 +577,15 @@
 	return node->incarnation;
 }
 
-bool node_leaving(const struct node *node)
+bool node_is_draining(const struct node *node)
 {
-	return node->leave_us;
+	return node->drain_started_us;
 }
 
-int64_t node_ends_us(const struct node *node)
+int64_t node_drain_deadline_us(const struct node *node)
 {
-	if (!node->leave_us)
+	if (!node->drain_started_us)
 		return INT64_MAX;
-	return node->leave_us + node->settings->drain_max_ms * LP_US_PER_MS;
+	return node->drain_started_us +
+	       node->settings->drain_max_ms * LP_US_PER_MS;
 }
--- a/node/node.h
+++ b/node/node.h
@@ -1,7 +1,7 @@
 /**
- * What every linepierd process has, whatever its role: settings, the wire
- * socket, the configuration in force, the host list, the admin interface,
- * and the order of shutting down.
+ * The parts common to every linepierd process, entry or agent: settings, the
+ * wire socket, the configuration in force, the host list, the admin interface
+ * and graceful shutdown. A role is added by callbacks (struct node_role).
  */
 #ifndef NODE_H
 #define NODE_H
@@ -61,42 +61,44 @@
 
 extern const struct lp_setting node_settings_table[];
 extern const size_t node_settings_count;
-/** Checks across settings; adds lines to `errors`. */
+/** Check settings and their combinations; appends messages to `errors`. */
 void node_settings_check(const struct node_settings *settings,
 			 GPtrArray *errors);
 
 struct node;
 
-/** What a role brings. Every callback gets the role's own userdata. */
+/** Callbacks of a role. Each gets the role's own userdata. */
 struct node_role {
-	/** A message that the node did not take care of itself. */
+	/** A message that the node did not handle itself. */
 	void (*message)(void *userdata, const char *peer, struct wire_msg *msg);
 	/** A configuration came into force. */
 	void (*configured)(void *userdata, struct cfg_snapshot *snapshot);
 	void (*hosts)(void *userdata, const struct store_hosts *hosts);
 	/** Every NODE_TICK_MS. */
 	void (*tick)(void *userdata);
-	/** Tell peers of a new revision or of leaving. */
+	/** Notify peers of a new configuration revision or of the drain. */
 	void (*announce)(void *userdata);
-	/** Shutdown has begun. */
-	void (*leave)(void *userdata);
-	/** May the process end now? */
+	/** Graceful shutdown began. */
+	void (*drain)(void *userdata);
+	/** Returns whether a draining process may exit now. */
 	bool (*idle)(void *userdata);
-	/** NULL when ready for work, else why not. */
-	const char *(*unready)(void *userdata);
-	/** `prober`, an IP address, is given that as an answer; or NULL. */
+	/** NULL when ready, else the reason as a line of text. */
+	const char *(*unready_reason)(void *userdata);
+	/** `prober`, an IP address, gets the answer to a readiness probe. The
+	 * callback may be NULL. */
 	void (*probed)(void *userdata, const char *prober);
-	/** Set the role's gauges, which are about to be printed; or NULL. */
+	/** Update the role's gauges before metrics are printed. The callback
+	 * may be NULL. */
 	void (*gauges)(void *userdata);
 	/** Add members to the status object. */
 	void (*status)(void *userdata, JsonBuilder *builder);
 };
 
 #define NODE_TICK_MS 100
-/** Without a word of an agent for so many beats an entry sends it no calls. */
-#define NODE_BEATS_SILENT 2.8
-/** An entry says hello to each of its agents at least so often. */
-#define NODE_HELLO_US (15 * LP_US_PER_S)
+/** An entry sends no calls to an agent that was silent for this many beats. */
+#define NODE_SILENCE_BEATS 2.8
+/** Longest interval between an entry's HELLO messages to an agent. */
+#define NODE_HELLO_INTERVAL_US (15 * LP_US_PER_S)
 
 struct node_options {
 	const struct node_settings *settings;
@@ -104,14 +106,14 @@
 	void *userdata;
 };
 
-/** Returns LP_OK or a negative error with a line in `*why` (g_free). */
+/** Returns LP_OK or a negative error with a message in `*why` (g_free). */
 int node_create(const struct node_options *options, struct node **out,
 		char **why);
 void node_destroy(struct node *node);
-/** Run until shut down. */
+/** Run the event loop until the shutdown is complete. */
 void node_run(struct node *node);
 /** Begin a graceful shutdown, as SIGTERM does. */
-void node_leave(struct node *node);
+void node_begin_drain(struct node *node);
 
 const struct node_settings *node_settings(const struct node *node);
 const struct lp_clock *node_clock(const struct node *node);
@@ -121,18 +123,20 @@
 /** Configuration in force, or NULL. Borrowed. */
 struct cfg_snapshot *node_snapshot(const struct node *node);
 uint64_t node_revision(const struct node *node);
-/** Random, of this process's start; never 0. */
+/** Random number that identifies this start of the process. */
 uint64_t node_incarnation(const struct node *node);
-bool node_leaving(const struct node *node);
-/** When the process ends though work is left; INT64_MAX unless it leaves. */
-int64_t node_ends_us(const struct node *node);
+bool node_is_draining(const struct node *node);
+/** Time at which a draining process exits even with work left; INT64_MAX
+ * unless draining. */
+int64_t node_drain_deadline_us(const struct node *node);
 int node_send(struct node *node, const char *peer, const struct wire_msg *msg);
 int node_connect(struct node *node, const char *peer, const char *address);
 void node_disconnect(struct node *node, const char *address);
-/** A peer showed this revision, and how long ago someone reached the KV. */
-void node_heard_revision(struct node *node, const char *peer, uint64_t revision,
-			 uint32_t kv_age_ms);
-/** What to tell peers of that. */
+/** Record the configuration revision a peer has, and the age of the last
+ * successful KV access that it knows of. */
+void node_report_peer_revision(struct node *node, const char *peer,
+			       uint64_t revision, uint32_t kv_age_ms);
+/** Age of the last successful KV access known here, to report to peers. */
 uint32_t node_kv_age_ms(const struct node *node);
 
 #endif
--- a/node/node_admin.c
+++ b/node/node_admin.c
@@ -39,7 +39,8 @@
 		     const char *path, GHashTable *query, gpointer userdata)
 {
 	struct node_admin *admin = userdata;
-	const char *why = admin->options.unready(admin->options.userdata);
+	const char *why =
+		admin->options.unready_reason(admin->options.userdata);
 
 	admin->options.probed(admin->options.userdata,
 			      soup_server_message_get_remote_host(msg));
@@ -86,7 +87,7 @@
 	json_builder_end_object(builder);
 }
 
-/* ?id=REQUEST: its events; ?since=N: all from a sequence number on. */
+/* ?id=REQUEST: events of a request; ?since=N: all from sequence number N. */
 static void on_explain(SoupServer *server, SoupServerMessage *msg,
 		       const char *path, GHashTable *query, gpointer userdata)
 {
@@ -128,7 +129,7 @@
 			"expected POST\n");
 		return;
 	}
-	node_leave(admin->options.node);
+	node_begin_drain(admin->options.node);
 	respond(msg, SOUP_STATUS_ACCEPTED, "text/plain", "leaving\n");
 }
 
--- a/node/node_admin.h
+++ b/node/node_admin.h
@@ -1,17 +1,18 @@
-/** The admin interface of a process. Private to node/. */
+/** HTTP admin interface: metrics, probes, status, explain, drain. Private to
+ * node/. */
 #ifndef NODE_ADMIN_H
 #define NODE_ADMIN_H
 
 #include "node/node.h"
 
-/** What the admin interface shows and does. */
+/** Address and callbacks of the admin interface. */
 struct node_admin_options {
 	const char *address; /**< IP:PORT */
 	struct node *node;
 	void (*metrics)(void *userdata, GString *out);
 	void (*status)(void *userdata, JsonBuilder *builder);
-	const char *(*unready)(void *userdata);
-	/** Readiness is answered to this IP address. */
+	const char *(*unready_reason)(void *userdata);
+	/** `prober`, an IP address, gets the answer to a readiness probe. */
 	void (*probed)(void *userdata, const char *prober);
 	void *userdata;
 };
--- a/tests/serve_test.cc
+++ b/tests/serve_test.cc
@@ -239,12 +239,12 @@
 {
 	Waiting waiting(3, false);
 
-	EXPECT_EQ(node_listener_open(waiting.listener), 0u);
+	EXPECT_EQ(node_listener_open_count(waiting.listener), 0u);
 	node_listener_close(waiting.listener);
-	EXPECT_EQ(node_listener_open(waiting.listener), 3u);
+	EXPECT_EQ(node_listener_open_count(waiting.listener), 3u);
 	for (GSocket *caller : waiting.callers)
 		Waiting::ask(caller);
 	waiting.turns_until_answered(200);
 	EXPECT_EQ(waiting.answered(), 3u);
-	EXPECT_EQ(node_listener_open(waiting.listener), 0u);
+	EXPECT_EQ(node_listener_open_count(waiting.listener), 0u);
 }
