--- a/node/node.h
+++ b/node/node.h
@@ -123,7 +123,7 @@
 /** Configuration in force, or NULL. Borrowed. */
 struct cfg_snapshot *node_snapshot(const struct node *node);
 uint64_t node_revision(const struct node *node);
-/** Random number that identifies this start of the process. */
+/** Random number that identifies this start of the process; never 0. */
 uint64_t node_incarnation(const struct node *node);
 bool node_is_draining(const struct node *node);
 /** Time at which a draining process exits even with work left; INT64_MAX
--- a/node/node_listener.c
+++ b/node/node_listener.c
@@ -87,7 +87,7 @@
 		return;
 	if (!listener->accept_failing)
 		lp_log(LP_LOG_WARN, "listener", NULL,
-		       "cannot accept a connection: %s", gerror->message);
+		       "cannot accept connection: %s", gerror->message);
 	listener->accept_failing = true;
 }
 
