--- a/agent/agent_orders.c
+++ b/agent/agent_orders.c
@@ -96,7 +96,7 @@
 		end = ORDER_FENCED_OFF;
 	order_done(orders->order, end);
 	lp_log(LP_LOG_INFO, "agent", NULL, "order: %s",
-	       end == ORDER_TAKEN	 ? "accepted"
+	       end == ORDER_TAKEN	 ? "taken"
 	       : end == ORDER_FENCED_OFF ? "rejected: fencing number outdated"
 					 : "failed");
 }
--- a/entry/linepierd_main.c
+++ b/entry/linepierd_main.c
@@ -1,4 +1,4 @@
-/* linepierd: an entry or an agent, as --role says. */
+/* linepierd: runs an entry or an agent, as --role selects. */
 #include "agent/agent.h"
 #include "base/lp_error.h"
 #include "base/lp_log.h"
--- a/node/node.c
+++ b/node/node.c
@@ -363,7 +363,7 @@
 	if (node->drain_started_us)
 		return;
 	node->drain_started_us = lp_now_us(node->clock);
-	lp_log(LP_LOG_INFO, "node", NULL, "draining");
+	lp_log(LP_LOG_INFO, "node", NULL, "leaving");
 	node->options.role->drain(node->options.userdata);
 	node->options.role->announce(node->options.userdata);
 }
@@ -400,7 +400,7 @@
 	if (!node->options.role->idle(node->options.userdata) &&
 	    now_us < node_drain_deadline_us(node))
 		return;
-	lp_log(LP_LOG_INFO, "node", NULL, "drained");
+	lp_log(LP_LOG_INFO, "node", NULL, "left");
 	g_main_loop_quit(node->loop);
 }
 
