--- a/direct/direct.c
+++ b/direct/direct.c
@@ -1,5 +1,5 @@
-#include "direct/direct_closures.h"
-#include "direct/direct_places.h"
+#include "direct/direct_closed_domains.h"
+#include "direct/direct_placement.h"
 #include "direct/direct_private.h"
 #include "direct/direct_relay.h"
 
@@ -10,7 +10,7 @@
 	direct_request_begin(userdata, call);
 }
 
-static void on_refused(void *userdata, int error, uint32_t status)
+static void on_request_unreadable(void *userdata, int error, uint32_t status)
 {
 	struct direct *direct = userdata;
 	struct lp_event_log *log = direct->options.log;
@@ -24,38 +24,42 @@
 	lp_event_end(log);
 }
 
-static void on_restarted(void *userdata, const struct pool_upstream *before,
-			 const struct pool_upstream *after)
+static void on_upstream_restarted(void *userdata,
+				  const struct pool_upstream *before,
+				  const struct pool_upstream *after)
 {
 	struct direct *direct = userdata;
 	struct lp_event_log *log = direct->options.log;
 
 	*lp_counter(direct->options.counters,
 		    "linepier_upstream_restarts_total", NULL) += 1;
-	direct_ends_saw(direct->ends, before, DIRECT_END_RESTARTED);
+	direct_terminations_confirm(direct->terminations, before,
+				    DIRECT_TERMINATION_RESTARTED);
 	if (!lp_event_begin(log, "upstream_restarted", NULL))
 		return;
-	lp_event_text(log, "upstream", after->entry.id);
-	lp_event_text(log, "service", after->entry.service);
-	lp_event_int(log, "born_ms", after->entry.born_ms);
-	lp_event_int(log, "born_before_ms", before->entry.born_ms);
+	lp_event_text(log, "upstream", after->info.id);
+	lp_event_text(log, "service", after->info.service);
+	lp_event_int(log, "born_ms", after->info.born_ms);
+	lp_event_int(log, "born_before_ms", before->info.born_ms);
 	lp_event_int(log, "in_flight", before->in_flight);
 	lp_event_int(log, "list_age_us",
-		     lp_now_us(direct->options.clock) - direct->listed_us);
+		     lp_now_us(direct->options.clock) -
+			     direct->upstreams_updated_us);
 	lp_event_end(log);
 }
 
-static void on_upstream_ended(void *userdata, const struct loss *lost,
-			      guint count)
+static void on_upstream_terminated(void *userdata,
+				   const struct lost_request *losses,
+				   guint count)
 {
 	struct direct *direct = userdata;
 
-	direct_quarantine_ended(direct->quarantine, lost, count);
+	direct_quarantine_add_terminations(direct->quarantine, losses, count);
 }
 
-/* `act` may end the request that it is given. */
-static void each_request(struct direct *direct,
-			 void (*act)(struct direct_request *request))
+/* `act` may free the request that it is given. */
+static void for_each_request(struct direct *direct,
+			     void (*act)(struct direct_request *request))
 {
 	g_autoptr(GList) requests = g_hash_table_get_keys(direct->requests);
 
@@ -63,21 +67,24 @@
 		act(at->data);
 }
 
-static void open_to_peers(struct direct *direct);
+static void update_peer_service(struct direct *direct);
 
-static void on_closures(void *userdata)
+static void on_closed_domains_changed(void *userdata)
 {
 	struct direct *direct = userdata;
 
-	open_to_peers(direct);
-	if (!pool_close(direct->pool, direct_closures_known(direct->closures)))
+	update_peer_service(direct);
+	if (!pool_set_closed_domains(
+		    direct->pool,
+		    direct_closed_domains_known(direct->closed_domains)))
 		return;
-	each_request(direct, direct_request_domain_closed);
+	for_each_request(direct, direct_request_refuse_if_closed);
 	direct_calls_run(direct->calls);
 }
 
-/* Until a configuration says more: what keeps a stranger from filling us. */
-static const struct http_limits first_limits = {
+/* Limits until the first configuration: they bound the memory and connections
+ * that unknown clients can occupy. */
+static const struct http_limits initial_limits = {
 	.head_bytes = 16384,
 	.body_bytes = 4194304,
 	.read_us = 10 * LP_US_PER_S,
@@ -90,12 +97,12 @@
 	const struct http_server_options server = {
 		.address = options->address,
 		.clock = options->clock,
-		.limits = first_limits,
+		.limits = initial_limits,
 		.request = on_request,
-		.refused = on_refused,
+		.refused = on_request_unreadable,
 		.userdata = direct,
 	};
-	const struct retries_options retries = {
+	const struct retry_budget_options retry_budget = {
 		.clock = options->clock,
 		.ratio = options->retry_ratio,
 		.slack = options->retry_slack,
@@ -110,12 +117,12 @@
 	direct->options = *options;
 	direct->domain = g_strdup(options->domain);
 	direct->pool = pool_create(options->clock, options->domain);
-	pool_hear_restarts(direct->pool, on_restarted, direct);
-	direct->closures =
-		direct_closures_create(&(struct direct_closures_options){
+	pool_set_restart_callback(direct->pool, on_upstream_restarted, direct);
+	direct->closed_domains = direct_closed_domains_create(
+		&(struct direct_closed_domains_options){
 			.log = options->log,
 			.counters = options->counters,
-			.changed = on_closures,
+			.changed = on_closed_domains_changed,
 			.userdata = direct,
 		});
 	direct->notices =
@@ -125,29 +132,31 @@
 			.counters = options->counters,
 			.pool = direct->pool,
 		});
-	direct->retries = retries_create(&retries);
+	direct->retry_budget = retry_budget_create(&retry_budget);
 	direct->requests = g_hash_table_new(NULL, NULL);
-	direct->learnt =
+	direct->route_estimates =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	direct->quarantine = direct_quarantine_create(direct);
-	direct->ends = direct_ends_create(&(struct direct_ends_options){
-		.direct = direct,
-		.ended = on_upstream_ended,
-		.userdata = direct,
-	});
+	direct->terminations = direct_terminations_create(
+		&(struct direct_terminations_options){
+			.direct = direct,
+			.terminated = on_upstream_terminated,
+			.userdata = direct,
+		});
 	direct->calls = direct_calls_create(direct);
 	direct->results = direct_results_create(direct);
-	direct->memory = direct_memory_create(&(struct direct_memory_options){
-		.clock = options->clock,
-		.log = options->log,
-		.codec = options->codec,
-		.pool = direct->pool,
-		.notices = direct->notices,
-	});
+	direct->prefix_cache = direct_prefix_cache_create(
+		&(struct direct_prefix_cache_options){
+			.clock = options->clock,
+			.log = options->log,
+			.codec = options->codec,
+			.pool = direct->pool,
+			.notices = direct->notices,
+		});
 	direct->stages = direct_stages_create(direct);
 	direct->answer_times = lp_histogram_create(
 		options->counters, "linepier_answer_milliseconds");
-	direct->first_times = lp_histogram_create(
+	direct->first_event_times = lp_histogram_create(
 		options->counters, "linepier_first_event_milliseconds");
 	return direct;
 }
@@ -156,32 +165,33 @@
 {
 	if (!direct)
 		return;
-	each_request(direct, direct_request_drop);
+	for_each_request(direct, direct_request_discard);
 	http_server_destroy(direct->server);
 	if (direct->peers)
-		direct_peers_listen_none(direct->peers);
-	direct_places_destroy(direct->places);
+		direct_peers_remove_listeners(direct->peers);
+	direct_placement_destroy(direct->placement);
 	direct_relay_destroy(direct->relay);
 	direct_calls_destroy(direct->calls);
 	direct_results_destroy(direct->results);
 	direct_stages_destroy(direct->stages);
-	direct_ends_destroy(direct->ends);
+	direct_terminations_destroy(direct->terminations);
 	direct_quarantine_destroy(direct->quarantine);
-	direct_memory_destroy(direct->memory);
+	direct_prefix_cache_destroy(direct->prefix_cache);
 	direct_notices_destroy(direct->notices);
 	pool_destroy(direct->pool);
-	direct_closures_destroy(direct->closures);
-	retries_destroy(direct->retries);
+	direct_closed_domains_destroy(direct->closed_domains);
+	retry_budget_destroy(direct->retry_budget);
 	direct_config_unref(direct->config);
 	g_hash_table_unref(direct->requests);
-	g_hash_table_unref(direct->learnt);
+	g_hash_table_unref(direct->route_estimates);
 	lp_histogram_destroy(direct->answer_times);
-	lp_histogram_destroy(direct->first_times);
+	lp_histogram_destroy(direct->first_event_times);
 	g_free(direct->domain);
 	g_free(direct);
 }
 
-static gboolean is_dropped(gpointer name, gpointer learnt, gpointer userdata)
+static gboolean is_route_removed(gpointer name, gpointer estimates,
+				 gpointer userdata)
 {
 	const struct direct_config *config = userdata;
 
@@ -208,11 +218,11 @@
 	lp_event_end(log);
 }
 
-/* We dispatch for others while we know services and upstreams. */
-static void open_to_peers(struct direct *direct)
+/* This entry dispatches for its peers only while it is ready to serve. */
+static void update_peer_service(struct direct *direct)
 {
 	if (direct->peers)
-		direct_peers_open(direct->peers, direct_ready(direct));
+		direct_peers_set_ready(direct->peers, direct_ready(direct));
 }
 
 bool direct_set_config(struct direct *direct, struct direct_config *config)
@@ -231,9 +241,10 @@
 	direct->config = direct_config_ref(config);
 	http_server_set_limits(direct->server, &limits);
 	direct_calls_configure(direct->calls, config);
-	open_to_peers(direct);
+	update_peer_service(direct);
 	direct_stages_configure(direct->stages, config);
-	g_hash_table_foreach_remove(direct->learnt, is_dropped, config);
+	g_hash_table_foreach_remove(direct->route_estimates, is_route_removed,
+				    config);
 	log_config(direct, before);
 	return true;
 }
@@ -244,14 +255,15 @@
 }
 
 void direct_set_upstreams(struct direct *direct,
-			  const struct pool_entry *entries, uint32_t count)
+			  const struct pool_upstream_info *entries,
+			  uint32_t count)
 {
 	struct lp_event_log *log = direct->options.log;
 	uint32_t changes = pool_update(direct->pool, entries, count);
 
 	direct->has_upstreams = true;
-	direct->listed_us = lp_now_us(direct->options.clock);
-	open_to_peers(direct);
+	direct->upstreams_updated_us = lp_now_us(direct->options.clock);
+	update_peer_service(direct);
 	if (!changes)
 		return;
 	if (lp_event_begin(log, "upstreams", NULL)) {
@@ -271,54 +283,57 @@
 void direct_set_closed_domains(struct direct *direct, int64_t revision,
 			       const char *const *domains, uint32_t count)
 {
-	direct_closures_set_all(direct->closures, revision, domains, count);
+	direct_closed_domains_set_all(direct->closed_domains, revision, domains,
+				      count);
 }
 
-void direct_set_domain(struct direct *direct, int64_t revision,
-		       const char *domain, bool closed)
+void direct_set_domain_closed(struct direct *direct, int64_t revision,
+			      const char *domain, bool closed)
 {
-	direct_closures_set(direct->closures, revision, domain, closed);
+	direct_closed_domains_set(direct->closed_domains, revision, domain,
+				  closed);
 }
 
-bool direct_in_doubt(const struct direct *direct)
+bool direct_needs_upstream_list(const struct direct *direct)
 {
-	return pool_in_doubt(direct->pool);
+	return pool_needs_reapply(direct->pool);
 }
 
-void direct_set_retries(struct direct *direct, double ratio, double slack)
+void direct_set_retry_budget(struct direct *direct, double ratio, double slack)
 {
-	retries_set(direct->retries, ratio, slack);
+	retry_budget_set_bounds(direct->retry_budget, ratio, slack);
 }
 
 void direct_set_peers(struct direct *direct, struct direct_peers *peers)
 {
 	direct->peers = peers;
 	if (peers)
-		direct->places = direct_places_create(direct, peers);
-	direct_closures_set_peers(direct->closures, peers);
+		direct->placement = direct_placement_create(direct, peers);
+	direct_closed_domains_set_peers(direct->closed_domains, peers);
 	direct_notices_set_peers(direct->notices, peers);
 	direct_quarantine_set_peers(direct->quarantine, peers);
 	direct_stages_set_peers(direct->stages, peers);
-	open_to_peers(direct);
+	update_peer_service(direct);
 }
 
-void direct_hear_unreachable(struct direct *direct, uint64_t upstream,
-			     int64_t aside_us)
+void direct_report_unreachable(struct direct *direct, uint64_t upstream,
+			       int64_t ejection_us)
 {
-	struct pool_upstream *heard = pool_find_life(direct->pool, upstream);
+	struct pool_upstream *target =
+		pool_find_incarnation(direct->pool, upstream);
 
-	if (heard)
-		pool_heard_unreachable(direct->pool, heard, aside_us);
+	if (target)
+		pool_note_unreachable(direct->pool, target, ejection_us);
 }
 
-void direct_set_quarantine(struct direct *direct, bool on)
+void direct_enforce_quarantine(struct direct *direct, bool on)
 {
-	direct_quarantine_turn(direct->quarantine, on);
+	direct_quarantine_set_enabled(direct->quarantine, on);
 }
 
-void direct_let_in(struct direct *direct, uint64_t content)
+void direct_unblock_request(struct direct *direct, uint64_t content)
 {
-	direct_quarantine_let_in(direct->quarantine, content);
+	direct_quarantine_clear(direct->quarantine, content);
 }
 
 void direct_print_quarantine(const struct direct *direct, GString *out)
@@ -326,43 +341,45 @@
 	direct_quarantine_print(direct->quarantine, out);
 }
 
-bool direct_look_at_ends(const struct direct *direct, uint64_t content,
+bool direct_find_suspect(const struct direct *direct, uint64_t content,
 			 struct quarantine_view *out)
 {
-	return direct_quarantine_look(direct->quarantine, content, out);
+	return direct_quarantine_get_view(direct->quarantine, content, out);
 }
 
-void direct_offer_end(struct direct *direct, const struct quarantine_end *end)
+void direct_restore_termination(struct direct *direct,
+				const struct quarantine_termination *end)
 {
-	direct_quarantine_offer(direct->quarantine, end);
+	direct_quarantine_restore(direct->quarantine, end);
 }
 
-uint32_t direct_kept_out(const struct direct *direct)
+uint32_t direct_blocked_count(const struct direct *direct)
 {
-	return direct_quarantine_count(direct->quarantine);
+	return direct_quarantine_blocked_count(direct->quarantine);
 }
 
 bool direct_ready(const struct direct *direct)
 {
 	return direct->config && direct->has_upstreams &&
-	       closures_is_known(direct_closures_known(direct->closures));
+	       closed_domains_is_known(
+		       direct_closed_domains_known(direct->closed_domains));
 }
 
 void direct_drain(struct direct *direct)
 {
 	http_server_drain(direct->server);
 	if (direct->peers)
-		direct_peers_end_work(direct->peers);
+		direct_peers_drain(direct->peers);
 }
 
-void direct_end_by(struct direct *direct, int64_t end_us)
+void direct_set_shutdown_time(struct direct *direct, int64_t end_us)
 {
-	direct->end_us = end_us;
+	direct->shutdown_us = end_us;
 }
 
 void direct_refuse_unsent(struct direct *direct)
 {
-	each_request(direct, direct_request_entry_ends);
+	for_each_request(direct, direct_request_refuse_unsent);
 }
 
 void direct_stop_listening(struct direct *direct)
@@ -370,7 +387,7 @@
 	http_server_stop_listening(direct->server);
 }
 
-uint32_t direct_busy(const struct direct *direct)
+uint32_t direct_open_requests(const struct direct *direct)
 {
-	return http_server_busy(direct->server);
+	return http_server_busy_count(direct->server);
 }
--- /dev/null
+++ b/direct/direct_closed_domains.c
@@ -0,0 +1,142 @@
+#include "direct/direct_closed_domains.h"
+
+#include "base/lp_texts.h"
+
+#define KIND_CLOSURES 'V'
+#define CLOSURES_TYPE "(xas)" /* revision, domains */
+
+struct direct_closed_domains {
+	struct direct_closed_domains_options options;
+	struct closed_domains *closures;
+	struct direct_peers *peers; /* NULL: no peers */
+};
+
+/* ---- sending to peers ---- */
+
+static GVariant *
+write_closures(const struct direct_closed_domains *closed_domains)
+{
+	g_autoptr(GPtrArray) domains =
+		closed_domains_list(closed_domains->closures);
+	GVariantBuilder names;
+
+	g_variant_builder_init(&names, G_VARIANT_TYPE("as"));
+	for (guint i = 0; i < domains->len; i++)
+		g_variant_builder_add(&names, "s",
+				      g_ptr_array_index(domains, i));
+	return g_variant_new(
+		CLOSURES_TYPE,
+		(gint64)closed_domains_revision(closed_domains->closures),
+		&names);
+}
+
+static void on_peer_discovered(void *userdata, uint64_t peer)
+{
+	struct direct_closed_domains *closed_domains = userdata;
+	g_autoptr(GVariant) body = NULL;
+
+	if (!closed_domains_is_known(closed_domains->closures))
+		return;
+	body = g_variant_ref_sink(write_closures(closed_domains));
+	direct_peers_send(closed_domains->peers, peer, KIND_CLOSURES, body);
+}
+
+/* ---- receiving ---- */
+
+static void report_change(struct direct_closed_domains *closed_domains,
+			  const char *source)
+{
+	g_autoptr(GPtrArray) domains =
+		closed_domains_list(closed_domains->closures);
+	struct lp_event_log *log = closed_domains->options.log;
+
+	*lp_counter(closed_domains->options.counters, "linepier_closed_domains",
+		    NULL) = domains->len;
+	if (lp_event_begin(log, "closed_domains", NULL)) {
+		g_autofree char *names = lp_texts_join(domains, ",");
+
+		lp_event_text(log, "domains", names);
+		lp_event_text(log, "source", source);
+		lp_event_int(log, "revision",
+			     closed_domains_revision(closed_domains->closures));
+		lp_event_end(log);
+	}
+	closed_domains->options.changed(closed_domains->options.userdata);
+}
+
+static void publish_change(struct direct_closed_domains *closed_domains)
+{
+	report_change(closed_domains, "key_value");
+	if (closed_domains->peers)
+		direct_peers_send_all(closed_domains->peers, KIND_CLOSURES,
+				      write_closures(closed_domains));
+}
+
+static void on_peer_closures(void *userdata, uint64_t peer, GVariant *body)
+{
+	struct direct_closed_domains *closed_domains = userdata;
+	g_autofree const char **domains = NULL;
+	gint64 revision;
+
+	g_variant_get(body, "(x^a&s)", &revision, &domains);
+	if (closed_domains_replace(closed_domains->closures, revision, domains,
+				   g_strv_length((char **)domains)))
+		report_change(closed_domains, "peer");
+}
+
+void direct_closed_domains_set_all(struct direct_closed_domains *closed_domains,
+				   int64_t revision, const char *const *domains,
+				   uint32_t count)
+{
+	if (closed_domains_replace(closed_domains->closures, revision, domains,
+				   count))
+		publish_change(closed_domains);
+}
+
+void direct_closed_domains_set(struct direct_closed_domains *closed_domains,
+			       int64_t revision, const char *domain,
+			       bool closed)
+{
+	if (closed_domains_set(closed_domains->closures, revision, domain,
+			       closed))
+		publish_change(closed_domains);
+}
+
+const struct closed_domains *
+direct_closed_domains_known(const struct direct_closed_domains *closed_domains)
+{
+	return closed_domains->closures;
+}
+
+/* ---- creation ---- */
+
+void direct_closed_domains_set_peers(
+	struct direct_closed_domains *closed_domains,
+	struct direct_peers *peers)
+{
+	closed_domains->peers = peers;
+	if (!peers)
+		return;
+	direct_peers_listen(peers, KIND_CLOSURES, CLOSURES_TYPE,
+			    on_peer_closures, closed_domains);
+	direct_peers_on_discovered(peers, on_peer_discovered, closed_domains);
+}
+
+struct direct_closed_domains *direct_closed_domains_create(
+	const struct direct_closed_domains_options *options)
+{
+	struct direct_closed_domains *closed_domains =
+		g_new0(struct direct_closed_domains, 1);
+
+	closed_domains->options = *options;
+	closed_domains->closures = closed_domains_create();
+	return closed_domains;
+}
+
+void direct_closed_domains_destroy(struct direct_closed_domains *closed_domains)
+{
+	if (!closed_domains)
+		return;
+	closed_domains_destroy(closed_domains->closures);
+	g_free(closed_domains);
+}
--- a/direct/direct_config.c
+++ b/direct/direct_config.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* What is compared first, and what then. */
+/* Sort key of priorities: `second` decides between equal `first`. */
 struct rank {
 	int32_t first;
 	int32_t second;
@@ -15,12 +15,12 @@
 	g_free(route->name);
 	g_free(route->host);
 	g_free(route->prefix);
-	for (uint32_t i = 0; i < route->shares_count; i++)
-		g_free(route->shares[i].service);
-	g_free(route->shares);
+	for (uint32_t i = 0; i < route->weighted_services_count; i++)
+		g_free(route->weighted_services[i].service);
+	g_free(route->weighted_services);
 	for (uint32_t i = 0; i < route->stages_count; i++) {
 		g_free(route->stages[i].service);
-		g_free(route->stages[i].after);
+		g_free(route->stages[i].input_stages);
 	}
 	g_free(route->stages);
 	g_free(route);
@@ -52,7 +52,7 @@
 						 free_service);
 	config->organisations =
 		g_ptr_array_new_with_free_func(free_organisation);
-	config->by_place =
+	config->routes_by_prefix =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	config->ranks = g_array_new(FALSE, FALSE, sizeof(struct rank));
 	config->keys =
@@ -60,33 +60,34 @@
 	return config;
 }
 
-/* No host and no path has an end of line: no two places share a name. */
-static char *place_name(const char *host, const char *path, size_t size)
+/* Key of routes_by_prefix: host and path prefix. Neither contains a line feed,
+ * so keys are unique. */
+static char *prefix_key(const char *host, const char *path, size_t prefix_size)
 {
 	g_autofree char *lower = g_ascii_strdown(host, -1);
-	g_autofree char *prefix = g_strndup(path, size);
+	g_autofree char *prefix = g_strndup(path, prefix_size);
 
 	return g_strconcat(lower, "\n", prefix, NULL);
 }
 
-/* Of two routes of one place the first counts. */
+/* Of two routes with the same host and prefix the first one is used. */
 static void index_route(struct direct_config *config,
 			struct direct_route *route)
 {
-	size_t size = strlen(route->prefix);
-	char *name = place_name(route->host, route->prefix, size);
+	size_t prefix_size = strlen(route->prefix);
+	char *name = prefix_key(route->host, route->prefix, prefix_size);
 
-	config->prefix_max = MAX(config->prefix_max, size);
-	if (g_hash_table_contains(config->by_place, name))
+	config->prefix_max = MAX(config->prefix_max, prefix_size);
+	if (g_hash_table_contains(config->routes_by_prefix, name))
 		g_free(name);
 	else
-		g_hash_table_insert(config->by_place, name, route);
+		g_hash_table_insert(config->routes_by_prefix, name, route);
 }
 
 /* ---- ranks ---- */
 
-static struct rank rank_of(const struct direct_route *route,
-			   const struct direct_organisation *organisation)
+static struct rank make_rank(const struct direct_route *route,
+			     const struct direct_organisation *organisation)
 {
 	struct rank rank = { route->priority, route->priority };
 
@@ -97,12 +98,13 @@
 
 static int compare_ranks(gconstpointer left, gconstpointer right)
 {
-	const struct rank *one = left;
-	const struct rank *two = right;
+	const struct rank *left_rank = left;
+	const struct rank *right_rank = right;
 
-	if (one->first != two->first)
-		return one->first < two->first ? -1 : 1;
-	return (one->second > two->second) - (one->second < two->second);
+	if (left_rank->first != right_rank->first)
+		return left_rank->first < right_rank->first ? -1 : 1;
+	return (left_rank->second > right_rank->second) -
+	       (left_rank->second < right_rank->second);
 }
 
 static void add_rank(GArray *ranks, struct rank rank)
@@ -113,7 +115,8 @@
 	}
 }
 
-/* One organisation of each priority: there are few of them, and many routes. */
+/* One organisation of each priority, since routes are many and priorities few.
+ */
 static GPtrArray *distinct_organisations(const struct direct_config *config)
 {
 	GPtrArray *distinct = g_ptr_array_new();
@@ -121,20 +124,20 @@
 	for (guint i = 0; i < config->organisations->len; i++) {
 		const struct direct_organisation *organisation =
 			g_ptr_array_index(config->organisations, i);
-		guint at = 0;
+		guint index = 0;
 
-		while (at < distinct->len &&
+		while (index < distinct->len &&
 		       ((const struct direct_organisation *)g_ptr_array_index(
-				distinct, at))
+				distinct, index))
 				       ->priority != organisation->priority)
-			at++;
-		if (at == distinct->len)
+			index++;
+		if (index == distinct->len)
 			g_ptr_array_add(distinct, (gpointer)organisation);
 	}
 	return distinct;
 }
 
-static void list_ranks(struct direct_config *config)
+static void index_ranks(struct direct_config *config)
 {
 	g_autoptr(GPtrArray) organisations = distinct_organisations(config);
 
@@ -143,12 +146,12 @@
 			g_ptr_array_index(config->routes, i);
 
 		if (route->is_public || !organisations->len)
-			add_rank(config->ranks, rank_of(route, NULL));
+			add_rank(config->ranks, make_rank(route, NULL));
 		for (guint j = 0; !route->is_public && j < organisations->len;
 		     j++)
 			add_rank(config->ranks,
-				 rank_of(route,
-					 g_ptr_array_index(organisations, j)));
+				 make_rank(route, g_ptr_array_index(
+							  organisations, j)));
 	}
 }
 
@@ -156,21 +159,21 @@
 			   const struct direct_route *route,
 			   const struct direct_organisation *organisation)
 {
-	struct rank rank = rank_of(route, organisation);
-	guint at = 0;
+	struct rank rank = make_rank(route, organisation);
+	guint index = 0;
 
-	while (at < config->ranks->len &&
-	       compare_ranks(&g_array_index(config->ranks, struct rank, at),
+	while (index < config->ranks->len &&
+	       compare_ranks(&g_array_index(config->ranks, struct rank, index),
 			     &rank) < 0)
-		at++;
-	return (int32_t)at;
+		index++;
+	return (int32_t)index;
 }
 
 void direct_config_seal(struct direct_config *config)
 {
 	for (guint i = 0; i < config->routes->len; i++)
 		index_route(config, g_ptr_array_index(config->routes, i));
-	list_ranks(config);
+	index_ranks(config);
 }
 
 struct direct_config *direct_config_ref(struct direct_config *config)
@@ -183,7 +186,7 @@
 {
 	if (!config || --config->refs)
 		return;
-	g_hash_table_unref(config->by_place);
+	g_hash_table_unref(config->routes_by_prefix);
 	g_array_unref(config->ranks);
 	g_ptr_array_unref(config->routes);
 	g_hash_table_unref(config->services);
@@ -226,18 +229,18 @@
 direct_config_route(const struct direct_config *config, const char *host,
 		    const char *path)
 {
-	/* A prefix ends with a slash; the longest that begins the path wins. */
-	size_t size = MIN(strlen(path), config->prefix_max);
-	g_autofree char *name = place_name(host, path, size);
+	/* Prefixes end with a slash; the longest one is tried first. */
+	size_t prefix_size = MIN(strlen(path), config->prefix_max);
+	g_autofree char *name = prefix_key(host, path, prefix_size);
 	char *begin = name + strlen(host) + 1;
 
-	for (char *end = begin + size; end > begin; end--) {
+	for (char *end = begin + prefix_size; end > begin; end--) {
 		const struct direct_route *route;
 
 		if (end[-1] != '/')
 			continue;
 		*end = '\0';
-		route = g_hash_table_lookup(config->by_place, name);
+		route = g_hash_table_lookup(config->routes_by_prefix, name);
 		if (route)
 			return route;
 	}
@@ -250,21 +253,23 @@
 	return g_hash_table_lookup(config->services, name);
 }
 
-const char *direct_route_service(const struct direct_route *route,
-				 uint64_t hash)
+const char *direct_route_pick_service(const struct direct_route *route,
+				      uint64_t hash)
 {
 	uint64_t total = 0;
 	uint64_t point;
 
-	for (uint32_t i = 0; i < route->shares_count; i++)
-		total += route->shares[i].weight;
+	for (uint32_t i = 0; i < route->weighted_services_count; i++)
+		total += route->weighted_services[i].weight;
 	if (!total)
-		return route->shares_count ? route->shares[0].service : NULL;
+		return route->weighted_services_count
+			       ? route->weighted_services[0].service
+			       : NULL;
 	point = hash % total;
-	for (uint32_t i = 0; i < route->shares_count; i++) {
-		if (point < route->shares[i].weight)
-			return route->shares[i].service;
-		point -= route->shares[i].weight;
+	for (uint32_t i = 0; i < route->weighted_services_count; i++) {
+		if (point < route->weighted_services[i].weight)
+			return route->weighted_services[i].service;
+		point -= route->weighted_services[i].weight;
 	}
 	return NULL;
 }
--- a/direct/direct_fetch.c
+++ b/direct/direct_fetch.c
@@ -8,7 +8,7 @@
 
 static void free_fetch(struct direct_fetch *fetch)
 {
-	pool_release(fetch->options.upstream);
+	pool_upstream_unref(fetch->options.upstream);
 	g_free(fetch);
 }
 
@@ -19,7 +19,8 @@
 	const struct direct_fetch_options *options = &fetch->options;
 
 	options->codec->read_reply(status, fields, NULL, &fetch->reply);
-	direct_notices_hear(options->notices, options->upstream, &fetch->reply);
+	direct_notices_receive(options->notices, options->upstream,
+			       &fetch->reply);
 }
 
 static void on_done(void *userdata, const struct http_fetch_answer *answer)
@@ -39,9 +40,9 @@
 	struct http_fetch *http;
 
 	http_fields_init(&fields);
-	options->codec->write_call(options->upstream->entry.id, &fields);
+	options->codec->write_call_fields(options->upstream->info.id, &fields);
 	http = http_fetch_start(&(struct http_fetch_options){
-		.address = options->upstream->entry.address,
+		.address = options->upstream->info.address,
 		.method = options->method,
 		.target = options->target,
 		.fields = &fields,
@@ -64,7 +65,7 @@
 	fetch->options = *options;
 	fetch->reply.running = -1;
 	fetch->reply.waiting = -1;
-	pool_hold(fetch->options.upstream);
+	pool_upstream_ref(fetch->options.upstream);
 	fetch->http = start_http(fetch);
 	if (fetch->http)
 		return fetch;
--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -1,71 +1,74 @@
-/** What the files of direct/ share. */
+/** Internal declarations shared by the files of direct/. */
 #ifndef DIRECT_PRIVATE_H
 #define DIRECT_PRIVATE_H
 
 #include "base/lp_histogram.h"
 #include "direct/direct.h"
 #include "direct/direct_calls.h"
-#include "direct/direct_ends.h"
 #include "direct/direct_fetch.h"
-#include "direct/direct_memory.h"
 #include "direct/direct_notices.h"
 #include "direct/direct_peers.h"
+#include "direct/direct_prefix_cache.h"
 #include "direct/direct_quarantine.h"
+#include "direct/direct_terminations.h"
 #include "http/http_client.h"
 #include "http/http_server.h"
 #include "http/http_sock.h"
+#include "policy/client_wait.h"
 #include "policy/graph.h"
-#include "policy/patience.h"
 #include "policy/pieces.h"
-#include "policy/remaining.h"
-#include "policy/retries.h"
-#include "policy/verdict.h"
+#include "policy/remaining_latency.h"
+#include "policy/retry.h"
+#include "policy/retry_budget.h"
 
-/** Part of an engine's memory that is believed to hold prompts. */
-#define DIRECT_MEMORY_SHARE 0.8
+/** Fraction of an engine's prefix cache that is assumed to hold prompts. */
+#define DIRECT_PREFIX_CACHE_FRACTION 0.8
 
-struct direct_closures;
-struct direct_ends;
-struct direct_places;
+struct direct_closed_domains;
+struct direct_terminations;
+struct direct_placement;
 struct direct_relay;
 struct direct_results;
 struct direct_stages;
 struct direct_request;
 
-/** Stages of one route that are learnt of. */
-#define DIRECT_LEARNT_STAGES 8
+/** Only the first stages of a route, this many, have estimates. */
+#define DIRECT_ESTIMATED_STAGES_MAX 8
 
-/** What is learnt of a route, for as long as it is in force. */
-struct direct_learnt {
-	struct patience patience;
-	struct remaining remaining[DIRECT_LEARNT_STAGES]; /* a stage */
+/** Estimates learnt from the requests of one route, kept until a configuration
+ * removes the route. */
+struct direct_route_estimates {
+	struct client_wait client_wait;
+	struct remaining_latency
+		remaining[DIRECT_ESTIMATED_STAGES_MAX]; /* per stage */
 };
 
 struct direct {
 	struct direct_options options;
 	char *domain;
 	struct http_server *server;
-	struct direct_config *config; /* NULL: none yet */
+	struct direct_config *config; /* NULL: not configured yet */
 	struct pool *pool;
 	bool has_upstreams;
-	int64_t listed_us; /* when the list was handed in last */
-	int64_t end_us;	   /* about to end then; 0: it is not */
-	struct retries *retries;
-	struct direct_closures *closures;
+	int64_t upstreams_updated_us; /* time of the last list */
+	int64_t shutdown_us;	      /* planned termination; 0: none */
+	struct retry_budget *retry_budget;
+	struct direct_closed_domains *closed_domains;
 	struct direct_notices *notices;
-	struct direct_ends *ends;
+	struct direct_terminations *terminations;
 	struct direct_quarantine *quarantine;
 	struct direct_stages *stages;
 	struct direct_calls *calls;
 	struct direct_results *results;
-	struct direct_memory *memory;
-	struct direct_peers *peers;   /* NULL: no other entries are known */
-	struct direct_relay *relay;   /* NULL: likewise */
-	struct direct_places *places; /* NULL: likewise */
-	GHashTable *requests;	      /* of struct direct_request */
-	GHashTable *learnt;	      /* route's name -> struct direct_learnt */
+	struct direct_prefix_cache *prefix_cache;
+	struct direct_peers *peers;	    /* NULL: no peers */
+	struct direct_relay *relay;	    /* NULL: no peers */
+	struct direct_placement *placement; /* NULL: no peers */
+	GHashTable *requests;		    /* of struct direct_request */
+	GHashTable *route_estimates;	    /* name of a route -> struct
+					       direct_route_estimates */
 	struct lp_histogram *answer_times;
-	struct lp_histogram *first_times;
+	struct lp_histogram *first_event_times;
 };
 
 static inline int64_t *direct_counter(struct direct *direct, const char *name,
@@ -81,83 +84,93 @@
 	*timer = 0;
 }
 
-/** Tokens of prompts that an engine of this service keeps; 0: not known. */
-static inline int64_t direct_prompt_tokens(const struct direct *direct,
-					   const char *service)
+/** Prompt tokens that an engine of this service is assumed to keep in its
+ * prefix cache; 0: unknown. */
+static inline int64_t direct_prefix_cache_capacity(const struct direct *direct,
+						   const char *service)
 {
 	const struct direct_service *figures =
 		direct_config_service(direct->config, service);
 
-	return figures ? (int64_t)(DIRECT_MEMORY_SHARE *
-				   (double)figures->engine_tokens)
+	return figures ? (int64_t)(DIRECT_PREFIX_CACHE_FRACTION *
+				   (double)figures->prefix_cache_tokens)
 		       : 0;
 }
 
-/* ---- direct_request.c: the life of a request ---- */
+/* ---- direct_request.c: requests of callers, from admission to answer ---- */
 
-/** Take a whole request from its caller. */
+/** Serve a request that has been read completely. */
 void direct_request_begin(struct direct *direct, struct http_call *call);
-/** The entry ends: drop it without an answer. */
-void direct_request_drop(struct direct_request *request);
-/** Its pieces have moved on; called by the stages. */
+/** Free a request without answering it, when the entry is destroyed. */
+void direct_request_discard(struct direct_request *request);
+/** Continue a request: to its next stages, or to an upstream once all its
+ * stages are completed. Called whenever the state of its pieces changes. */
 void direct_request_advance(struct direct_request *request);
-/** Operators have closed a domain: if nothing is left that could serve it, it
- * is refused. */
-void direct_request_domain_closed(struct direct_request *request);
-/** The entry ends: it is refused unless an upstream has it. */
-void direct_request_entry_ends(struct direct_request *request);
-/** A piece cannot be made in time. */
-void direct_request_pieces_late(struct direct_request *request);
+/** Refuse a request whose stages are in progress if closed domains leave no
+ * upstream for a service that it still needs. */
+void direct_request_refuse_if_closed(struct direct_request *request);
+/** Refuse a request that has not been sent, because the entry terminates. */
+void direct_request_refuse_unsent(struct direct_request *request);
+/** Refuse a request because a piece of it cannot be completed in time. */
+void direct_request_refuse_late(struct direct_request *request);
 
-/* ---- direct_results.c: results that nobody needs any more ---- */
+/* ---- direct_results.c: freeing results that nobody needs any more ---- */
 
 struct direct_results *direct_results_create(struct direct *direct);
-/** What is gathered is dropped. */
+/** Drops the results that are gathered. */
 void direct_results_destroy(struct direct_results *results);
-/** Have a result of so many bytes dropped by its maker, by way of whoever
- * dispatches there. Takes the handle. */
-void direct_results_give_up(struct direct_results *results, uint64_t maker,
-			    char *handle, int64_t bytes);
-/** A peer gives results up that we dispatched. Copies the handles. */
-void direct_results_take(struct direct_results *results, uint64_t maker,
-			 GPtrArray *handles, int64_t bytes);
-
-/* ---- direct_stages.c: pieces of our requests ---- */
+/** Have a result of `bytes` freed at its producer, by way of the dispatcher of
+ * that upstream. Takes the handle. */
+void direct_results_free(struct direct_results *results, uint64_t producer,
+			 char *handle, int64_t bytes);
+/** Free results of a peer whose dispatcher this entry is. `bytes`: of all of
+ * them. Copies the handles. */
+void direct_results_free_for_peer(struct direct_results *results,
+				  uint64_t producer, GPtrArray *handles,
+				  int64_t bytes);
+
+/* ---- direct_stages.c: pieces of this entry's requests, dispatchers ---- */
 
 struct direct_stages *direct_stages_create(struct direct *direct);
 void direct_stages_destroy(struct direct_stages *stages);
-/** Other entries dispatch for us and we for them. */
+/** Let this entry and its peers dispatch for each other. NULL: no peers. */
 void direct_stages_set_peers(struct direct_stages *stages,
 			     struct direct_peers *peers);
-/** Services may have come. */
+/** Take over the services of a new configuration. */
 void direct_stages_configure(struct direct_stages *stages,
 			     const struct direct_config *config);
-/** Who dispatches at this upstream; 0: we do. */
+/** Hash of the peer that dispatches to this upstream; 0: this entry does. */
 uint64_t direct_stages_dispatcher(struct direct_stages *stages,
 				  const struct pool_upstream *upstream);
-/** Set the share of a service's engines at which a prompt is placed. */
-void direct_stages_share(struct direct_stages *stages, struct pool_ask *ask);
-/** Who places this prompt; 0: we do. */
+/** Set the shard of a service's engines at which a prompt is placed. */
+void direct_stages_set_shard(struct direct_stages *stages,
+			     struct pool_pick_args *ask);
+/** Hash of the peer that places this prompt; 0: this entry does. */
 uint64_t direct_stages_placer(struct direct_stages *stages,
-			      const struct pool_ask *ask);
-/** Have pieces made. Takes over the fields of `work`. */
-void direct_stages_ask(struct direct_stages *stages,
-		       struct direct_request *request,
-		       struct direct_work *work);
-/** A request has ended; its results are given up. */
-void direct_stages_drop(struct direct_stages *stages,
-			struct direct_request *request);
-/** Give up what a request does not need any more. */
+			      const struct pool_pick_args *ask);
+/** Submit pieces to their dispatcher. Takes over the fields of `work`. The
+ * graph of `request` gets the results. */
+void direct_stages_submit(struct direct_stages *stages,
+			  struct direct_request *request,
+			  struct direct_work *work);
+/** A request has ended: cancel its pieces and free its results. */
+void direct_stages_cancel(struct direct_stages *stages,
+			  struct direct_request *request);
+/** Free the results that a request does not need any more; `all`: every one. */
 void direct_stages_free_results(struct direct_stages *stages,
 				struct direct_request *request, bool all);
-/** Inputs of a stage of a request are gone: have them made again. */
-void direct_stages_lost_inputs(struct direct_stages *stages,
-			       struct direct_request *request, uint32_t stage);
-/** Time until a piece for this service that came now would be made. */
+/** Inputs of a stage of a request are gone: cancel the stage's pieces, free the
+ * other inputs and mark them all as missing, to be computed again. */
+void direct_stages_recompute_inputs(struct direct_stages *stages,
+				    struct direct_request *request,
+				    uint32_t stage);
+/** Estimated time until a piece submitted now to this service is completed. */
 int64_t direct_stages_estimate_us(struct direct_stages *stages,
 				  const char *service, int32_t priority);
-/** The pieces of a stage that were asked for in time took so long. */
-void direct_stages_learn(struct direct_stages *stages, const char *service,
-			 int32_t priority, int64_t took_us);
+/** Record how long the pieces of a stage took that were submitted before their
+ * request's target time. */
+void direct_stages_record_latency(struct direct_stages *stages,
+				  const char *service, int32_t priority,
+				  int64_t took_us);
 
 #endif
--- a/direct/direct_sending.c
+++ b/direct/direct_sending.c
@@ -1,106 +1,112 @@
-/** A request on its way to an upstream and back. */
-#include "direct/direct_events.h"
+/** Sends a request to upstreams and handles their answers. */
+#include "direct/direct_event_stream.h"
 
 #include "base/lp_timer.h"
 #include "direct/direct_request.h"
 
 #include <string.h>
 
-/* A further try needs at least this much time. */
-#define TRY_MIN_US (50 * LP_US_PER_MS)
-/* What may be repeated is sent elsewhere when this much of the target has
- * passed without an answer, within these bounds. */
-#define STALL_TARGETS 2
+/* A request is sent again only if this much time is left until its deadline. */
+#define RETRY_TIME_MIN_US (50 * LP_US_PER_MS)
+/* A repeatable request is sent to another upstream if this multiple of the
+ * route's target time passes without an answer: at least STALL_MIN_US, but at
+ * most half of the time left. */
+#define STALL_TARGET_MULTIPLE 2
 #define STALL_MIN_US (300 * LP_US_PER_MS)
-/* A stream that may resume: no event for this many of its longest pauses. */
-#define STALL_GAPS 3
+/* A resumable stream is moved if no event comes for this multiple of the
+ * route's longest pause; before the first event, of its expected time. */
+#define STALL_GAP_MULTIPLE 3
 #define STALL_FIRST_MIN_US (1000 * LP_US_PER_MS)
-#define STALL_EXPECTED 4
-/* An answer of this size is not buffered any further. */
-#define ANSWER_MAX (8 << 20)
-/* A caller that takes nothing holds no more than this. */
-#define UNSENT_MAX (1 << 20)
+#define STALL_EXPECTED_MULTIPLE 4
+/* Bytes of an answer, or of an incomplete event, that are buffered at most. */
+#define BUFFERED_ANSWER_MAX (8 << 20)
+/* Bytes that a caller may leave unread before its answer is aborted. */
+#define UNSENT_ANSWER_MAX (1 << 20)
 
-static void note_lost(struct direct_request *request)
+static void record_lost_sending(struct direct_request *request)
 {
-	request->losses++;
-	direct_request_lost(request, request->upstream, request->round,
-			    request->sent_us);
+	request->lost_sendings++;
+	direct_request_report_lost(request, request->upstream,
+				   request->quarantine_round, request->sent_us);
 }
 
-/* End the sending under way; nothing is learnt from it but by `outcome`. */
-void direct_sending_leave(struct direct_request *request,
-			  enum pool_outcome outcome)
+void direct_sending_end(struct direct_request *request,
+			enum pool_outcome outcome)
 {
 	struct pool_upstream *upstream = request->upstream;
 
 	direct_clear_timer(&request->stall_timer);
-	if (request->question)
-		direct_places_drop(request->direct->places, request->question);
-	request->question = 0;
+	if (request->placement_query)
+		direct_placement_cancel(request->direct->placement,
+					request->placement_query);
+	request->placement_query = 0;
 	if (request->exchange)
 		http_exchange_cancel(request->exchange);
 	request->exchange = NULL;
 	if (!upstream)
 		return;
 	upstream->in_flight--;
-	if (!request->heard)
-		upstream->tokens_ahead -= request->cold_tokens;
-	pool_learn(request->direct->pool, upstream, outcome, 0, 0);
-	if (request->place.peer)
-		direct_places_ended(request->direct->places, &request->place,
-				    outcome);
-	pool_release(upstream);
+	if (!request->upstream_responded)
+		upstream->pending_prefill_tokens -= request->cold_tokens;
+	pool_record_outcome(request->direct->pool, upstream, outcome, 0, 0);
+	if (request->placement.placer)
+		direct_placement_report_end(request->direct->placement,
+					    &request->placement, outcome);
+	pool_upstream_unref(upstream);
 	request->upstream = NULL;
 }
 
-/* ---- what the pool is asked ---- */
+/* ---- query to the pool ---- */
 
-static const char *domain_of_maker(void *userdata, uint64_t maker)
+static const char *producer_domain(void *userdata, uint64_t producer)
 {
 	const struct pool *pool = userdata;
-	const struct pool_upstream *upstream = pool_find_life(pool, maker);
+	const struct pool_upstream *upstream =
+		pool_find_incarnation(pool, producer);
 
-	return upstream ? upstream->entry.domain : NULL;
+	return upstream ? upstream->info.domain : NULL;
 }
 
-static void write_pool_ask(const struct direct_request *request,
-			   struct pool_ask *ask)
+static void fill_pick_args(const struct direct_request *request,
+			   struct pool_pick_args *pick_args)
 {
-	*ask = (struct pool_ask){
+	*pick_args = (struct pool_pick_args){
 		.service = request->service,
-		.homes = request->homes,
-		.parts = (struct pool_part *)request->ask.parts->data,
-		.parts_count = request->ask.parts->len,
-		.tried = (const char *const *)request->tried->pdata,
-		.tried_count = request->tried->len,
+		.allowed_regions = request->allowed_regions,
+		.blocks = (struct pool_prefix_block *)
+				  request->info.prefix_blocks->data,
+		.blocks_count = request->info.prefix_blocks->len,
+		.tried = (const char *const *)request->tried_upstreams->pdata,
+		.tried_count = request->tried_upstreams->len,
 		.target_us = request->arrived_us + request->route->target_us -
 			     direct_request_now_us(request),
 	};
-	direct_stages_share(request->direct->stages, ask);
+	direct_stages_set_shard(request->direct->stages, pick_args);
 	if (request->graph)
-		ask->domain = graph_main_domain(request->graph, domain_of_maker,
-						request->direct->pool,
-						&ask->fetch_bytes);
-	/* Late in any case. */
-	if (ask->target_us < 0)
-		ask->target_us = 0;
+		pick_args->preferred_domain = graph_main_domain(
+			request->graph, producer_domain, request->direct->pool,
+			&pick_args->fetch_bytes);
+	/* The target time has passed already. */
+	if (pick_args->target_us < 0)
+		pick_args->target_us = 0;
 }
 
-/* ---- what follows a sending ---- */
+/* ---- after a sending ---- */
 
-static bool take_retry(void *userdata)
+static bool take_from_retry_budget(void *userdata)
 {
 	struct direct_request *request = userdata;
-	bool taken = retries_take(request->direct->retries, request->service);
+	bool taken = retry_budget_take(request->direct->retry_budget,
+				       request->service);
 
 	*direct_counter(request->direct, "linepier_retries_total",
 			taken ? "budget=\"taken\"" : "budget=\"spent\"") += 1;
 	return taken;
 }
 
-static void log_step(struct direct_request *request, enum verdict_event event,
-		     enum verdict_step step, const char *why)
+static void log_sending_end(struct direct_request *request,
+			    enum retry_event event, enum retry_step step,
+			    const char *why)
 {
 	static const char *const events[] = { "not_sent", "not_run",
 					      "answered", "error",
@@ -110,26 +116,27 @@
 					     "cut" };
 	struct lp_event_log *log = request->direct->options.log;
 
-	if (step == VERDICT_PASS ||
+	if (step == RETRY_STEP_FORWARD ||
 	    !lp_event_begin(log, "sending_end", request->id))
 		return;
 	lp_event_text(log, "ended", events[event]);
 	lp_event_text(log, "why", why);
 	lp_event_text(log, "outcome", steps[step]);
-	lp_event_text(log, "upstream",
-		      request->tried->len
-			      ? g_ptr_array_index(request->tried,
-						  request->tried->len - 1)
-			      : "");
+	lp_event_text(
+		log, "upstream",
+		request->tried_upstreams->len
+			? g_ptr_array_index(request->tried_upstreams,
+					    request->tried_upstreams->len - 1)
+			: "");
 	lp_event_int(log, "status", request->status);
-	lp_event_int(log, "rest_us", request->reply.rest_us);
+	lp_event_int(log, "rest_us", request->reply.pushback_us);
 	lp_event_int(log, "after_us",
 		     direct_request_now_us(request) - request->sent_us);
-	lp_event_int(log, "sendings", request->moves);
+	lp_event_int(log, "sendings", request->sendings);
 	lp_event_end(log);
 }
 
-static void pass_answer(struct direct_request *request)
+static void forward_answer(struct direct_request *request)
 {
 	direct_request_log_end(request, "answered", request->status, NULL);
 	http_call_answer(request->call, request->status, &request->fields,
@@ -137,100 +144,103 @@
 	direct_request_free(request);
 }
 
-static void remake_inputs(struct direct_request *request)
+static void recompute_inputs(struct direct_request *request)
 {
 	if (!request->graph) {
-		direct_request_refuse(request, DIRECT_WAIT_FULL_US,
+		direct_request_refuse(request, DIRECT_RETRY_AFTER_FULL_US,
 				      "inputs_gone");
 		return;
 	}
-	direct_stages_lost_inputs(request->direct->stages, request,
-				  request->route->stages_count);
+	direct_stages_recompute_inputs(request->direct->stages, request,
+				       request->route->stages_count);
 	request->state = DIRECT_STATE_STAGES;
 	direct_request_advance(request);
 }
 
-/* It may have ended the upstreams that it was lost with: no more of them in
- * this try. */
+/* A suspect request may have terminated the upstreams that it was lost with, so
+ * it is not sent to further ones in this attempt of its caller. */
 static bool is_suspect(const struct direct_request *request)
 {
-	return request->was_try || request->losses >= QUARANTINE_SUSPECT_ENDS;
+	return request->was_trial ||
+	       request->lost_sendings >= QUARANTINE_SUSPECT_TERMINATIONS;
 }
 
-/* Not run, and not sent again: back when some upstream may take it. */
+/* Refuses a request that did not run. Retry-After is the time until some
+ * upstream can take it. */
 static void refuse_not_run(struct direct_request *request, const char *why)
 {
-	struct pool_ask ask;
+	struct pool_pick_args pick_args;
 	int64_t wait_us;
 
-	write_pool_ask(request, &ask);
-	wait_us = pool_turn_us(request->direct->pool, &ask);
-	direct_request_refuse(request, wait_us ? wait_us : DIRECT_WAIT_FULL_US,
-			      why);
+	fill_pick_args(request, &pick_args);
+	wait_us = pool_retry_after_us(request->direct->pool, &pick_args);
+	direct_request_refuse(
+		request, wait_us ? wait_us : DIRECT_RETRY_AFTER_FULL_US, why);
 }
 
-/* The sending has ended (the upstream is left); decide and act. */
-static void step_on(struct direct_request *request, enum verdict_event event,
-		    const char *why)
+/* Decides and performs the step that follows a sending (policy/retry.h). To
+ * be called after direct_sending_end(). May free the request. */
+static void handle_sending_end(struct direct_request *request,
+			       enum retry_event event, const char *why)
 {
 	bool repeatable = (request->route->kind == DIRECT_IDEMPOTENT ||
-			   request->route->resumes) &&
+			   request->route->is_resumable) &&
 			  !is_suspect(request);
-	struct verdict_state state = {
+	struct retry_state state = {
 		.repeatable = repeatable,
-		.resumes = request->route->resumes,
-		.begun = request->begun,
+		.resumable = request->route->is_resumable,
+		.response_started = request->answer_begun,
 		.may_have_run = request->may_have_run,
-		.runs = request->runs + 1,
-		.runs_max = MAX(request->route->attempts_max, 1),
-		.moves = request->moves,
-		.has_time = direct_request_now_us(request) + TRY_MIN_US <
-			    request->give_up_us,
+		.executions = request->possible_runs + 1,
+		.executions_max = MAX(request->route->attempts_max, 1),
+		.attempts = request->sendings,
+		.has_time = direct_request_now_us(request) + RETRY_TIME_MIN_US <
+			    request->deadline_us,
 	};
-	enum verdict_step step =
-		verdict_next(&state, event, take_retry, request);
+	enum retry_step step =
+		retry_next_step(&state, event, take_from_retry_budget, request);
 
-	if (event == VERDICT_BROKEN || event == VERDICT_ERROR) {
+	if (event == RETRY_EVENT_BROKEN || event == RETRY_EVENT_ERROR) {
 		request->may_have_run = true;
-		request->runs++;
+		request->possible_runs++;
 	}
-	log_step(request, event, step, why);
+	log_sending_end(request, event, step, why);
 	switch (step) {
-	case VERDICT_PASS:
-		pass_answer(request);
+	case RETRY_STEP_FORWARD:
+		forward_answer(request);
 		break;
-	case VERDICT_AGAIN:
-	case VERDICT_RESUME:
+	case RETRY_STEP_RETRY:
+	case RETRY_STEP_RESUME:
 		direct_sending_start(request);
 		break;
-	case VERDICT_REMAKE:
-		remake_inputs(request);
+	case RETRY_STEP_RECOMPUTE_INPUTS:
+		recompute_inputs(request);
 		break;
-	case VERDICT_REFUSE:
+	case RETRY_STEP_REFUSE:
 		refuse_not_run(request, why);
 		break;
-	case VERDICT_FAIL:
-		direct_request_answer_own(request, 502, 0, why);
+	case RETRY_STEP_FAIL:
+		direct_request_reply_locally(request, 502, 0, why);
 		break;
-	case VERDICT_CUT:
-		direct_request_cut(request, why);
+	case RETRY_STEP_ABORT:
+		direct_request_abort(request, why);
 		break;
 	}
 }
 
-/* ---- hearing from the upstream ---- */
+/* ---- answers of upstreams ---- */
 
-static int64_t stall_us(const struct direct_request *request)
+static int64_t stall_timeout_us(const struct direct_request *request)
 {
 	const struct direct_route *route = request->route;
-	int64_t left_us = request->give_up_us - direct_request_now_us(request);
+	int64_t left_us = request->deadline_us - direct_request_now_us(request);
 
-	if (route->kind == DIRECT_STREAM && request->heard)
-		return MAX(STALL_GAPS * route->gap_us, STALL_MIN_US);
+	if (route->kind == DIRECT_STREAM && request->upstream_responded)
+		return MAX(STALL_GAP_MULTIPLE * route->gap_us, STALL_MIN_US);
 	if (route->kind == DIRECT_STREAM)
-		return MAX(STALL_EXPECTED * request->expected_us,
+		return MAX(STALL_EXPECTED_MULTIPLE * request->expected_us,
 			   STALL_FIRST_MIN_US);
-	return MIN(MAX(STALL_TARGETS * route->target_us, STALL_MIN_US),
+	return MIN(MAX(STALL_TARGET_MULTIPLE * route->target_us, STALL_MIN_US),
 		   left_us / 2);
 }
 
@@ -239,52 +249,56 @@
 	struct direct_request *request = userdata;
 
 	request->stall_timer = 0;
-	note_lost(request);
-	direct_sending_leave(request, POOL_UNREACHABLE);
-	step_on(request, VERDICT_BROKEN, "silent");
+	record_lost_sending(request);
+	direct_sending_end(request, POOL_UNREACHABLE);
+	handle_sending_end(request, RETRY_EVENT_BROKEN, "silent");
 	return G_SOURCE_REMOVE;
 }
 
-/* Only what may be repeated is taken from an upstream that is silent, and
- * only while a repeat is still allowed. */
+/* Only requests that may be repeated are moved away from a silent upstream, and
+ * only while another attempt is allowed. */
 static void set_stall_timer(struct direct_request *request)
 {
 	const struct direct_route *route = request->route;
 
 	direct_clear_timer(&request->stall_timer);
-	if (route->kind != DIRECT_IDEMPOTENT && !route->resumes)
+	if (route->kind != DIRECT_IDEMPOTENT && !route->is_resumable)
 		return;
-	if (request->runs + 1 >= route->attempts_max)
+	if (request->possible_runs + 1 >= route->attempts_max)
 		return;
-	request->stall_timer = lp_timer_add(
-		(guint)(stall_us(request) / LP_US_PER_MS), on_stall, request);
+	request->stall_timer =
+		lp_timer_add((guint)(stall_timeout_us(request) / LP_US_PER_MS),
+			     on_stall, request);
 }
 
-/* The upstream has begun to answer: it has read the prompt and its inputs. */
-static void note_heard(struct direct_request *request)
+/* An upstream that answers has read the prompt and the inputs of the request.
+ */
+static void record_first_response(struct direct_request *request)
 {
 	struct direct *direct = request->direct;
 	int64_t took_us = direct_request_now_us(request) - request->sent_us;
 
-	if (request->heard)
+	if (request->upstream_responded)
 		return;
-	request->heard = true;
-	if (!request->first_us) {
-		request->first_us = direct_request_now_us(request);
-		direct_prepare_learn(request);
+	request->upstream_responded = true;
+	if (!request->first_event_us) {
+		request->first_event_us = direct_request_now_us(request);
+		direct_stage_plan_learn(request);
 	}
-	request->upstream->tokens_ahead -= request->cold_tokens;
-	pool_learn(direct->pool, request->upstream, POOL_SERVED, took_us,
-		   request->expected_us);
-	if (request->place.peer)
-		direct_places_heard(direct->places, &request->place, took_us,
-				    request->expected_us);
+	request->upstream->pending_prefill_tokens -= request->cold_tokens;
+	pool_record_outcome(direct->pool, request->upstream, POOL_SERVED,
+			    took_us, request->expected_us);
+	if (request->placement.placer)
+		direct_placement_report_answering(direct->placement,
+						  &request->placement, took_us,
+						  request->expected_us);
 	if (request->route->kind == DIRECT_STREAM)
-		lp_histogram_add(direct->first_times,
+		lp_histogram_add(direct->first_event_times,
 				 direct_request_now_us(request) -
 					 request->arrived_us);
-	/* A stream that resumes has them made again: that is rare, and their
-	 * makers' room is scarce. */
+	/* Results are freed although a resumed stream has to recompute them:
+	 * resumption is rare, and the result memory of their producers is
+	 * scarce. */
 	if (request->graph)
 		direct_stages_free_results(direct->stages, request, true);
 }
@@ -295,47 +309,50 @@
 	struct direct_request *request = userdata;
 
 	request->status = status;
-	request->unframed = !http_fields_get(fields, "Content-Length") &&
-			    !http_fields_get(fields, "Transfer-Encoding");
+	request->ends_with_connection =
+		!http_fields_get(fields, "Content-Length") &&
+		!http_fields_get(fields, "Transfer-Encoding");
 	request->direct->options.codec->read_reply(status, fields, request->id,
 						   &request->reply);
-	direct_notices_hear(request->direct->notices, request->upstream,
-			    &request->reply);
-	/* A resumed stream keeps the head of its first upstream. */
-	if (request->begun)
+	direct_notices_receive(request->direct->notices, request->upstream,
+			       &request->reply);
+	/* A resumed stream keeps the header fields of its first upstream. */
+	if (request->answer_begun)
 		return;
 	http_fields_clear(&request->fields);
 	http_fields_init(&request->fields);
 	http_fields_copy_end_to_end(&request->fields, fields);
 }
 
-static bool is_stream(const struct direct_request *request)
+static bool is_event_stream(const struct direct_request *request)
 {
-	return request->status / 100 == 2 && request->reply.is_events &&
-	       request->reply.is_ours && request->reply.is_genuine;
+	return request->status / 100 == 2 && request->reply.is_event_stream &&
+	       request->reply.matches_request &&
+	       request->reply.has_upstream_seal;
 }
 
 static void begin_answer(struct direct_request *request)
 {
-	if (request->begun)
+	if (request->answer_begun)
 		return;
-	request->begun = true;
+	request->answer_begun = true;
 	http_call_start(request->call, request->status, &request->fields);
 }
 
-static void pass_events(struct direct_request *request)
+static void forward_events(struct direct_request *request)
 {
-	size_t size =
-		direct_events_whole(request->body->str, request->body->len,
-				    &request->last_event_id);
+	size_t size = direct_event_stream_complete_size(
+		request->body->str, request->body->len,
+		&request->last_event_id);
 
 	if (!size)
 		return;
-	note_heard(request);
+	record_first_response(request);
 	begin_answer(request);
 	http_call_write(request->call, request->body->str, size);
 	g_string_erase(request->body, 0, (gssize)size);
-	direct_quarantine_goes_on(request->direct->quarantine, request);
+	direct_quarantine_request_progressed(request->direct->quarantine,
+					     request);
 	set_stall_timer(request);
 }
 
@@ -344,31 +361,32 @@
 	struct direct_request *request = userdata;
 
 	g_string_append_len(request->body, bytes, (gssize)size);
-	if (is_stream(request))
-		pass_events(request);
-	if (request->body->len > ANSWER_MAX ||
-	    http_call_unsent(request->call) > UNSENT_MAX) {
-		if (request->begun)
-			direct_request_cut(request, "too_large");
+	if (is_event_stream(request))
+		forward_events(request);
+	if (request->body->len > BUFFERED_ANSWER_MAX ||
+	    http_call_unsent_bytes(request->call) > UNSENT_ANSWER_MAX) {
+		if (request->answer_begun)
+			direct_request_abort(request, "too_large");
 		else
-			direct_request_answer_own(request, 502, 0, "too_large");
+			direct_request_reply_locally(request, 502, 0,
+						     "too_large");
 	}
 }
 
-static void end_stream(struct direct_request *request)
+static void finish_stream(struct direct_request *request)
 {
-	bool torn = request->unframed && request->body->len;
+	bool truncated = request->ends_with_connection && request->body->len;
 
-	note_heard(request);
-	if (torn)
-		note_lost(request);
-	direct_sending_leave(request, torn ? POOL_UNREACHABLE : POOL_SERVED);
-	if (torn) {
+	record_first_response(request);
+	if (truncated)
+		record_lost_sending(request);
+	direct_sending_end(request, truncated ? POOL_UNREACHABLE : POOL_SERVED);
+	if (truncated) {
 		g_string_truncate(request->body, 0);
-		step_on(request, VERDICT_BROKEN, "torn");
+		handle_sending_end(request, RETRY_EVENT_BROKEN, "torn");
 		return;
 	}
-	direct_quarantine_served(request->direct->quarantine, request);
+	direct_quarantine_request_served(request->direct->quarantine, request);
 	begin_answer(request);
 	http_call_write(request->call, request->body->str, request->body->len);
 	direct_request_log_end(request, "answered", request->status, NULL);
@@ -376,38 +394,44 @@
 	direct_request_free(request);
 }
 
-static void end_plain(struct direct_request *request)
+static void finish_answer(struct direct_request *request)
 {
 	const struct direct_reply *reply = &request->reply;
 	bool success = request->status / 100 == 2;
 
 	if (reply->other_process) {
-		direct_ends_saw(request->direct->ends, request->upstream,
-				DIRECT_END_REPLACED);
-		direct_sending_leave(request, POOL_WRONG);
-		step_on(request, VERDICT_NOT_RUN, "other_process");
+		direct_terminations_confirm(request->direct->terminations,
+					    request->upstream,
+					    DIRECT_TERMINATION_REPLACED);
+		direct_sending_end(request, POOL_WRONG_PROCESS);
+		handle_sending_end(request, RETRY_EVENT_NOT_RUN,
+				   "other_process");
 	} else if (reply->not_run) {
-		direct_sending_leave(request, POOL_FULL);
-		step_on(request,
-			reply->input_gone ? VERDICT_INPUT_GONE
-					  : VERDICT_NOT_RUN,
-			"not_run");
-	} else if (!reply->is_ours || (success && !reply->is_genuine)) {
-		direct_sending_leave(request, POOL_UNREACHABLE);
-		step_on(request, VERDICT_BROKEN, "not_ours");
-	} else if (request->begun) {
-		direct_quarantine_served(request->direct->quarantine, request);
-		direct_sending_leave(request, POOL_ERROR);
-		step_on(request, VERDICT_BROKEN, "no_stream");
+		direct_sending_end(request, POOL_OVERLOADED);
+		handle_sending_end(request,
+				   reply->input_gone ? RETRY_EVENT_INPUT_LOST
+						     : RETRY_EVENT_NOT_RUN,
+				   "not_run");
+	} else if (!reply->matches_request ||
+		   (success && !reply->has_upstream_seal)) {
+		direct_sending_end(request, POOL_UNREACHABLE);
+		handle_sending_end(request, RETRY_EVENT_BROKEN, "not_ours");
+	} else if (request->answer_begun) {
+		direct_quarantine_request_served(request->direct->quarantine,
+						 request);
+		direct_sending_end(request, POOL_ERROR_ANSWER);
+		handle_sending_end(request, RETRY_EVENT_BROKEN, "no_stream");
 	} else if (request->status >= 500) {
-		direct_quarantine_served(request->direct->quarantine, request);
-		direct_sending_leave(request, POOL_ERROR);
-		step_on(request, VERDICT_ERROR, "error");
+		direct_quarantine_request_served(request->direct->quarantine,
+						 request);
+		direct_sending_end(request, POOL_ERROR_ANSWER);
+		handle_sending_end(request, RETRY_EVENT_ERROR, "error");
 	} else {
-		direct_quarantine_served(request->direct->quarantine, request);
-		note_heard(request);
-		direct_sending_leave(request, POOL_SERVED);
-		step_on(request, VERDICT_ANSWERED, "answered");
+		direct_quarantine_request_served(request->direct->quarantine,
+						 request);
+		record_first_response(request);
+		direct_sending_end(request, POOL_SERVED);
+		handle_sending_end(request, RETRY_EVENT_ANSWERED, "answered");
 	}
 }
 
@@ -419,17 +443,20 @@
 	if (error) {
 		g_string_truncate(request->body, 0);
 		if (sent)
-			note_lost(request);
+			record_lost_sending(request);
 		else if (error == LP_ERROR_NOT_LISTENING)
-			direct_ends_saw(request->direct->ends,
-					request->upstream, DIRECT_END_REFUSED);
-		direct_sending_leave(request, POOL_UNREACHABLE);
-		step_on(request, sent ? VERDICT_BROKEN : VERDICT_NOT_SENT,
+			direct_terminations_confirm(
+				request->direct->terminations,
+				request->upstream, DIRECT_TERMINATION_REFUSED);
+		direct_sending_end(request, POOL_UNREACHABLE);
+		handle_sending_end(
+			request,
+			sent ? RETRY_EVENT_BROKEN : RETRY_EVENT_NOT_SENT,
 			error == LP_ERROR_PROTOCOL ? "garbled" : "connection");
-	} else if (is_stream(request)) {
-		end_stream(request);
+	} else if (is_event_stream(request)) {
+		finish_stream(request);
 	} else {
-		end_plain(request);
+		finish_answer(request);
 	}
 }
 
@@ -441,105 +468,115 @@
 
 /* ---- sending ---- */
 
-static void write_fields(struct direct_request *request,
-			 struct http_fields *fields)
+static void write_request_fields(struct direct_request *request,
+				 struct http_fields *fields)
 {
 	GPtrArray *inputs = NULL;
-	struct direct_offer offer = {
-		.from = http_call_fields(request->call),
-		.upstream = request->upstream->entry.id,
+	struct direct_upstream_request upstream_request = {
+		.caller_fields = http_call_fields(request->call),
+		.upstream = request->upstream->info.id,
 		.organisation = request->organisation
 					? request->organisation->name
 					: NULL,
-		.left_us = request->give_up_us - direct_request_now_us(request),
+		.time_left_us =
+			request->deadline_us - direct_request_now_us(request),
 		.priority = request->priority,
 		.last_event_id = request->last_event_id
 					 ? request->last_event_id
-					 : request->ask.last_event_id,
+					 : request->info.last_event_id,
 		.copy_from = request->copy_from
-				     ? request->copy_from->entry.address
+				     ? request->copy_from->info.address
 				     : NULL,
 	};
 
 	if (request->graph) {
 		inputs = g_ptr_array_new();
-		graph_inputs(request->graph, request->route->stages_count,
-			     inputs);
-		offer.inputs = inputs;
+		graph_input_handles(request->graph,
+				    request->route->stages_count, inputs);
+		upstream_request.inputs = inputs;
 	}
-	request->direct->options.codec->write_offer(&offer, fields);
+	request->direct->options.codec->write_request(&upstream_request,
+						      fields);
 	if (inputs)
 		g_ptr_array_unref(inputs);
 }
 
-/* What the engine lacks of the prompt and copies: by ourselves, or as its
- * placer says. */
-static struct pool_copy find_copy(const struct direct_request *request)
+/* Where the engine copies a part of the prompt's prefix from, and what it has
+ * to read: from the placer's answer, or by this entry's own knowledge. */
+static struct pool_cache_copy
+find_prefix_copy(const struct direct_request *request)
 {
 	const struct pool *pool = request->direct->pool;
-	const struct direct_place *place = &request->place;
-	struct pool_ask ask;
+	const struct direct_placement_result *placement = &request->placement;
+	struct pool_pick_args pick_args;
 
-	if (!place->peer) {
-		write_pool_ask(request, &ask);
-		return pool_find_copy(pool, request->upstream, &ask);
+	if (!placement->placer) {
+		fill_pick_args(request, &pick_args);
+		return pool_find_cache_copy(pool, request->upstream,
+					    &pick_args);
 	}
-	return (struct pool_copy){
-		.from = place->source ? pool_find_life(pool, place->source)
-				      : NULL,
-		.tokens = place->copied_tokens,
-		.cold_tokens = place->cold_tokens,
+	return (struct pool_cache_copy){
+		.source = placement->copy_source
+				  ? pool_find_incarnation(
+					    pool, placement->copy_source)
+				  : NULL,
+		.copied_tokens = placement->copied_tokens,
+		.prefill_tokens = placement->cold_tokens,
 	};
 }
 
-/* By ourselves, or as its placer counts. */
-static void count_tokens(struct direct_request *request)
-{
-	const struct direct_place *place = &request->place;
-	struct pool_copy copy = find_copy(request);
-	int64_t ahead = place->peer ? place->tokens_ahead
-				    : request->upstream->tokens_ahead;
-
-	request->copy_from = copy.from;
-	request->cold_tokens = copy.cold_tokens;
-	request->expected_us = DIRECT_ENGINE_FIRST_US / 4 +
-			       (ahead + request->cold_tokens) * LP_US_PER_MS /
-				       POOL_TOKENS_PER_MS +
-			       pool_copy_us(request->direct->pool,
-					    request->service, copy.tokens);
+/* Estimates what the engine has to read of the prompt, and the time until its
+ * first response. */
+static void estimate_prompt_read(struct direct_request *request)
+{
+	const struct direct_placement_result *placement = &request->placement;
+	struct pool_cache_copy copy = find_prefix_copy(request);
+	int64_t ahead = placement->placer
+				? placement->tokens_ahead
+				: request->upstream->pending_prefill_tokens;
+
+	request->copy_from = copy.source;
+	request->cold_tokens = copy.prefill_tokens;
+	request->expected_us =
+		DIRECT_ENGINE_FIRST_EVENT_US / 4 +
+		(ahead + request->cold_tokens) * LP_US_PER_MS /
+			POOL_PREFILL_TOKENS_PER_MS +
+		pool_cache_copy_us(request->direct->pool, request->service,
+				   copy.copied_tokens);
 	*direct_counter(request->direct, "linepier_prompt_tokens_total",
-			"cached=\"copied\"") += copy.tokens;
+			"cached=\"copied\"") += copy.copied_tokens;
 }
 
 static void prepare_sending(struct direct_request *request,
 			    struct pool_upstream *upstream)
 {
-	const GArray *parts = request->ask.parts;
+	const GArray *blocks = request->info.prefix_blocks;
 
 	request->state = DIRECT_STATE_SENT;
-	request->upstream = pool_hold(upstream);
+	request->upstream = pool_upstream_ref(upstream);
 	request->sent_us = direct_request_now_us(request);
-	request->round = direct_request_round(request);
-	request->heard = false;
+	request->quarantine_round = direct_request_quarantine_round(request);
+	request->upstream_responded = false;
 	request->status = 0;
 	memset(&request->reply, 0, sizeof(request->reply));
 	g_string_truncate(request->body, 0);
 	request->cold_tokens = 0;
 	request->expected_us = 0;
 	request->copy_from = NULL;
-	if (parts->len) {
-		count_tokens(request);
-		pool_remember(request->direct->pool, upstream,
-			      (struct pool_part *)parts->data, parts->len,
-			      direct_prompt_tokens(request->direct,
-						   request->service));
+	if (blocks->len) {
+		estimate_prompt_read(request);
+		pool_note_cached_blocks(
+			request->direct->pool, upstream,
+			(struct pool_prefix_block *)blocks->data, blocks->len,
+			direct_prefix_cache_capacity(request->direct,
+						     request->service));
 	}
 	*direct_counter(request->direct, "linepier_prompt_tokens_total",
 			"cached=\"no\"") += request->cold_tokens;
 	upstream->in_flight++;
-	upstream->tokens_ahead += request->cold_tokens;
-	request->moves++;
-	g_ptr_array_add(request->tried, g_strdup(upstream->entry.id));
+	upstream->pending_prefill_tokens += request->cold_tokens;
+	request->sendings++;
+	g_ptr_array_add(request->tried_upstreams, g_strdup(upstream->info.id));
 }
 
 static void log_sending(struct direct_request *request)
@@ -549,23 +586,24 @@
 	if (!lp_event_begin(log, "sending", request->id))
 		return;
 	lp_event_text(log, "service", request->service);
-	lp_event_text(log, "upstream", request->upstream->entry.id);
-	lp_event_text(log, "domain", request->upstream->entry.domain);
+	lp_event_text(log, "upstream", request->upstream->info.id);
+	lp_event_text(log, "domain", request->upstream->info.domain);
 	lp_event_int(log, "cold_tokens", request->cold_tokens);
 	lp_event_text(log, "copy_from",
-		      request->copy_from ? request->copy_from->entry.id : "");
-	lp_event_int(log, "tokens_ahead", request->upstream->tokens_ahead);
+		      request->copy_from ? request->copy_from->info.id : "");
+	lp_event_int(log, "tokens_ahead",
+		     request->upstream->pending_prefill_tokens);
 	lp_event_int(log, "expected_us", request->expected_us);
 	lp_event_text(log, "placer",
-		      request->place.peer
+		      request->placement.placer
 			      ? direct_peers_ip(request->direct->peers,
-						request->place.peer)
+						request->placement.placer)
 			      : "");
 	lp_event_int(log, "in_flight", request->upstream->in_flight);
 	lp_event_int(log, "waited_us", request->sent_us - request->arrived_us);
 	lp_event_int(log, "config", request->config->version);
 	lp_event_int(log, "list_age_us",
-		     request->sent_us - request->direct->listed_us);
+		     request->sent_us - request->direct->upstreams_updated_us);
 	lp_event_end(log);
 }
 
@@ -577,9 +615,9 @@
 	const char *body = http_call_body(request->call, &size);
 
 	http_fields_init(&fields);
-	write_fields(request, &fields);
+	write_request_fields(request, &fields);
 	request->exchange = http_exchange_start(&(struct http_exchange_options){
-		.address = request->upstream->entry.address,
+		.address = request->upstream->info.address,
 		.method = method,
 		.target = http_call_target(request->call),
 		.fields = &fields,
@@ -594,102 +632,107 @@
 	http_fields_clear(&fields);
 }
 
-/* Nobody may take it; some upstream may in `wait_us`; 0: that is not known. */
+/* Refuses a request that no upstream can take. `wait_us`: time until one can;
+ * 0: unknown. */
 static void refuse_unplaced(struct direct_request *request, int64_t wait_us)
 {
 	const char *why = wait_us ? "limited" : "no_upstream";
 
-	if (request->begun)
-		direct_request_cut(request, why);
+	if (request->answer_begun)
+		direct_request_abort(request, why);
 	else
 		direct_request_refuse(
-			request, wait_us ? wait_us : DIRECT_WAIT_FULL_US, why);
+			request, wait_us ? wait_us : DIRECT_RETRY_AFTER_FULL_US,
+			why);
 }
 
-static void send_to(struct direct_request *request,
-		    struct pool_upstream *upstream)
+static void send_to_upstream(struct direct_request *request,
+			     struct pool_upstream *upstream)
 {
 	prepare_sending(request, upstream);
 	log_sending(request);
 	start_exchange(request);
 	if (!request->exchange) {
-		direct_sending_leave(request, POOL_UNREACHABLE);
-		step_on(request, VERDICT_NOT_SENT, "connection");
+		direct_sending_end(request, POOL_UNREACHABLE);
+		handle_sending_end(request, RETRY_EVENT_NOT_SENT, "connection");
 		return;
 	}
 	set_stall_timer(request);
 }
 
-/* `wait_us`: its placer had none and says when some may take it; else 0. */
-static void place_by_ourselves(struct direct_request *request,
-			       struct pool_ask *ask, int64_t wait_us)
+/* Selects an upstream without a placer. `wait_us`: time after which the placer
+ * expects an upstream to be available; 0: no such answer. */
+static void place_locally(struct direct_request *request,
+			  struct pool_pick_args *pick_args, int64_t wait_us)
 {
 	struct pool *pool = request->direct->pool;
 	struct pool_upstream *upstream;
 
-	request->place = (struct direct_place){ 0 };
-	upstream = pool_pick(pool, ask);
-	if (!upstream) { /* none of its share is left */
-		ask->share_count = 0;
-		upstream = pool_pick(pool, ask);
+	request->placement = (struct direct_placement_result){ 0 };
+	upstream = pool_pick(pool, pick_args);
+	if (!upstream) { /* no usable upstream in the shard */
+		pick_args->shard_count = 0;
+		upstream = pool_pick(pool, pick_args);
 	}
 	if (!upstream) {
 		refuse_unplaced(request,
-				wait_us ? wait_us : pool_turn_us(pool, ask));
+				wait_us ? wait_us
+					: pool_retry_after_us(pool, pick_args));
 		return;
 	}
-	pool_sent(pool, upstream);
-	send_to(request, upstream);
+	pool_note_sent(pool, upstream);
+	send_to_upstream(request, upstream);
 }
 
 static void on_placed(void *userdata, struct pool_upstream *upstream,
-		      const struct direct_place *place)
+		      const struct direct_placement_result *placement)
 {
 	struct direct_request *request = userdata;
-	struct pool_ask ask;
+	struct pool_pick_args pick_args;
 
-	request->question = 0;
+	request->placement_query = 0;
 	if (!upstream) {
-		write_pool_ask(request, &ask);
-		place_by_ourselves(request, &ask, place->wait_us);
+		fill_pick_args(request, &pick_args);
+		place_locally(request, &pick_args, placement->wait_us);
 		return;
 	}
-	request->place = *place;
-	send_to(request, upstream);
+	request->placement = *placement;
+	send_to_upstream(request, upstream);
 }
 
-/* Returns whether a peer was asked where the prompt goes. */
-static bool ask_placer(struct direct_request *request,
-		       const struct pool_ask *ask)
+/* Returns whether a peer was asked to place the prompt. */
+static bool query_placer(struct direct_request *request,
+			 const struct pool_pick_args *pick_args)
 {
 	struct direct *direct = request->direct;
 	uint64_t placer;
 
-	if (!direct->places || !request->ask.parts->len)
+	if (!direct->placement || !request->info.prefix_blocks->len)
 		return false;
-	placer = direct_stages_placer(direct->stages, ask);
+	placer = direct_stages_placer(direct->stages, pick_args);
 	if (!placer)
 		return false;
-	request->question = direct_places_ask(direct->places, placer, ask,
-					      on_placed, request);
-	if (!request->question)
+	request->placement_query = direct_placement_query(
+		direct->placement, placer, pick_args, on_placed, request);
+	if (!request->placement_query)
 		return false;
-	request->state = DIRECT_STATE_PLACED;
+	request->state = DIRECT_STATE_PLACING;
 	return true;
 }
 
 void direct_sending_start(struct direct_request *request)
 {
-	struct pool_ask ask;
+	struct pool_pick_args pick_args;
 
-	if (!direct_request_passes(request))
+	if (!direct_request_check_quarantine(request))
 		return;
 	if (request->graph &&
-	    !graph_inputs_kept(request->graph, request->route->stages_count)) {
-		remake_inputs(request);
+	    !graph_inputs_available(request->graph,
+				    request->route->stages_count)) {
+		recompute_inputs(request);
 		return;
 	}
-	write_pool_ask(request, &ask);
-	if (!ask_placer(request, &ask))
-		place_by_ourselves(request, &ask, 0);
+	fill_pick_args(request, &pick_args);
+	if (!query_placer(request, &pick_args))
+		place_locally(request, &pick_args, 0);
 }
--- a/entry/entry_peers.c
+++ b/entry/entry_peers.c
@@ -1,30 +1,30 @@
-/* Connections of an entry: to its subset of agents, to other entries. */
+/* Connections of an entry to its subset of agents and to other entries. */
 #include "base/lp_log.h"
 #include "entry/entry_private.h"
-#include "policy/member.h"
+#include "policy/rendezvous.h"
 
 #include <string.h>
 
-#define HELLO_AGAIN_US (500 * LP_US_PER_MS) /* to one we do not hear */
-#define BEATS_MISSED 1.4
-#define AGENTS_MIN 4 /* of a service, whatever the total */
+#define HELLO_RETRY_US (500 * LP_US_PER_MS) /* to an unresponsive agent */
+#define HELLO_RETRY_BEATS 1.4
+#define AGENTS_PER_SERVICE_MIN 4 /* even beyond agents_total */
 
 struct conn {
-	char *name; /* of the connection: "HOST#N", never used twice */
+	char *name; /* of the connection, unique: "HOST#N", "to:HOST#N" */
 	char *host;
 	char *service; /* "" for an entry */
 	char *domain;
 	char *address;
-	int64_t hello_us; /* our last HELLO */
+	int64_t hello_sent_us; /* when the last HELLO was sent */
 	bool wanted;
 };
 
 struct entry_peers {
 	struct entry *entry;
-	GHashTable *agents;  /* host to conn */
-	GHashTable *by_name; /* connection's name to conn */
-	GHashTable *entries; /* host to conn, connected on demand */
-	GPtrArray *live;     /* hosts of live entries, self included */
+	GHashTable *agents;		  /* host to conn */
+	GHashTable *agents_by_connection; /* connection's name to conn */
+	GHashTable *entries;	 /* host to conn, connected on demand */
+	GPtrArray *live_entries; /* hosts of live entries, self included */
 	uint64_t serial;
 };
 
@@ -47,10 +47,10 @@
 	peers->entry = entry;
 	peers->agents =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_conn);
-	peers->by_name = g_hash_table_new(g_str_hash, g_str_equal);
+	peers->agents_by_connection = g_hash_table_new(g_str_hash, g_str_equal);
 	peers->entries =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_conn);
-	peers->live = g_ptr_array_new_with_free_func(g_free);
+	peers->live_entries = g_ptr_array_new_with_free_func(g_free);
 	return peers;
 }
 
@@ -58,10 +58,10 @@
 {
 	if (!peers)
 		return;
-	g_hash_table_unref(peers->by_name);
+	g_hash_table_unref(peers->agents_by_connection);
 	g_hash_table_unref(peers->agents);
 	g_hash_table_unref(peers->entries);
-	g_ptr_array_unref(peers->live);
+	g_ptr_array_unref(peers->live_entries);
 	g_free(peers);
 }
 
@@ -82,7 +82,7 @@
 	return conn;
 }
 
-static void hello(struct entry_peers *peers, struct conn *conn)
+static void send_hello(struct entry_peers *peers, struct conn *conn)
 {
 	struct node *node = peers->entry->node;
 	const struct wire_msg msg = {
@@ -93,11 +93,11 @@
 	};
 
 	node_send(node, conn->name, &msg);
-	conn->hello_us = entry_now_us(peers->entry);
+	conn->hello_sent_us = entry_now_us(peers->entry);
 }
 
-static struct route_upstream *upstream_of(const struct entry_peers *peers,
-					  const struct conn *conn)
+static struct route_upstream *find_upstream(const struct entry_peers *peers,
+					    const struct conn *conn)
 {
 	struct route *route = flow_route(peers->entry->flow, conn->service);
 
@@ -109,24 +109,24 @@
 	struct conn *conn = open_conn(peers, host);
 
 	g_hash_table_insert(peers->agents, conn->host, conn);
-	g_hash_table_insert(peers->by_name, conn->name, conn);
-	route_add(flow_route(peers->entry->flow, conn->service), conn->host,
-		  conn->domain);
-	hello(peers, conn);
+	g_hash_table_insert(peers->agents_by_connection, conn->name, conn);
+	route_find_or_add(flow_route(peers->entry->flow, conn->service),
+			  conn->host, conn->domain);
+	send_hello(peers, conn);
 }
 
 static void close_agent(struct entry_peers *peers, struct conn *conn)
 {
 	flow_agent_removed(peers->entry->flow, conn->service, conn->host);
-	entry_rearm(peers->entry);
+	entry_rearm_timer(peers->entry);
 	node_disconnect(peers->entry->node, conn->address);
-	g_hash_table_remove(peers->by_name, conn->name);
+	g_hash_table_remove(peers->agents_by_connection, conn->name);
 	g_hash_table_remove(peers->agents, conn->host);
 }
 
 /* ---- the host list ---- */
 
-/* Indices into a host list of the agents of one service. */
+/* Maps each service to the indices of its agents in the host list. */
 static GHashTable *group_by_service(const struct store_hosts *hosts)
 {
 	GHashTable *groups = g_hash_table_new_full(
@@ -148,7 +148,8 @@
 	return groups;
 }
 
-static void take_host(struct entry_peers *peers, const struct store_host *host)
+static void update_agent(struct entry_peers *peers,
+			 const struct store_host *host)
 {
 	struct conn *conn = g_hash_table_lookup(peers->agents, host->id);
 	struct route_upstream *upstream;
@@ -163,26 +164,29 @@
 		conn = g_hash_table_lookup(peers->agents, host->id);
 	}
 	conn->wanted = true;
-	upstream = upstream_of(peers, conn);
+	upstream = find_upstream(peers, conn);
 	if (upstream)
-		upstream->listed_leaving = host->leaving;
+		upstream->listed_draining = host->leaving;
 }
 
-/* Each service's part of the connections, and a few even of many services. */
-static uint32_t most_of_service(const struct entry_peers *peers,
-				uint32_t services)
+/* An equal share of agents_total, at least AGENTS_PER_SERVICE_MIN and at most
+ * agents_max. */
+static uint32_t max_agents_per_service(const struct entry_peers *peers,
+				       uint32_t services)
 {
 	const struct node_settings *settings = peers->entry->settings;
-	int64_t part = settings->agents_total / MAX(1, services);
+	int64_t service_share = settings->agents_total / MAX(1, services);
 
-	return (uint32_t)MIN(settings->agents_max, MAX(part, AGENTS_MIN));
+	return (uint32_t)MIN(settings->agents_max,
+			     MAX(service_share, AGENTS_PER_SERVICE_MIN));
 }
 
-static void choose_of_service(struct entry_peers *peers,
-			      const struct store_hosts *hosts,
-			      const GArray *group, uint32_t most)
+static void select_agents(struct entry_peers *peers,
+			  const struct store_hosts *hosts, const GArray *group,
+			  uint32_t max_agents)
 {
-	struct member *members = g_new0(struct member, group->len + 1);
+	struct rendezvous_host *members =
+		g_new0(struct rendezvous_host, group->len + 1);
 	bool *chosen = g_new0(bool, group->len + 1);
 	const char *self = peers->entry->settings->host;
 
@@ -193,19 +197,20 @@
 		members[i].id = host->id;
 		members[i].domain = host->domain;
 	}
-	member_subset(self, members, group->len, most, chosen);
+	rendezvous_subset(self, members, group->len, max_agents, chosen);
 	for (guint i = 0; i < group->len; i++)
 		if (chosen[i])
-			take_host(peers, &hosts->hosts[g_array_index(
-						 group, uint32_t, i)]);
+			update_agent(peers, &hosts->hosts[g_array_index(
+						    group, uint32_t, i)]);
 	g_free(members);
 	g_free(chosen);
 }
 
-/* The list lags: what still speaks, or works for us, stays. */
-static bool may_close(const struct entry_peers *peers, const struct conn *conn)
+/* The host list lags: an unlisted agent stays connected while it sends beats
+ * or has requests in flight. */
+static bool can_close(const struct entry_peers *peers, const struct conn *conn)
 {
-	const struct route_upstream *upstream = upstream_of(peers, conn);
+	const struct route_upstream *upstream = find_upstream(peers, conn);
 
 	return !upstream || (upstream->silent && !upstream->inflight);
 }
@@ -220,7 +225,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct conn *conn = value;
 
-		if (!conn->wanted && may_close(peers, conn))
+		if (!conn->wanted && can_close(peers, conn))
 			g_ptr_array_add(unwanted, conn);
 	}
 	for (guint i = 0; i < unwanted->len; i++)
@@ -233,13 +238,14 @@
 	g_hash_table_remove(peers->entries, conn->host);
 }
 
-static void take_entry(struct entry_peers *peers, const struct store_host *host)
+static void update_entry(struct entry_peers *peers,
+			 const struct store_host *host)
 {
 	const char *self = peers->entry->settings->host;
 	struct conn *conn = g_hash_table_lookup(peers->entries, host->id);
 
 	if (!host->leaving)
-		g_ptr_array_add(peers->live, g_strdup(host->id));
+		g_ptr_array_add(peers->live_entries, g_strdup(host->id));
 	if (!strcmp(host->id, self))
 		return;
 	if (conn && strcmp(conn->address, host->address) != 0) {
@@ -265,63 +271,65 @@
 		((struct conn *)conn)->wanted = wanted;
 }
 
-static void take_entries(struct entry_peers *peers,
-			 const struct store_hosts *hosts)
+static void update_entries(struct entry_peers *peers,
+			   const struct store_hosts *hosts)
 {
-	g_autoptr(GPtrArray) gone = g_ptr_array_new();
+	g_autoptr(GPtrArray) unlisted = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer value;
 
-	g_ptr_array_set_size(peers->live, 0);
+	g_ptr_array_set_size(peers->live_entries, 0);
 	set_wanted(peers->entries, false);
 	for (uint32_t i = 0; i < hosts->count; i++)
 		if (hosts->hosts[i].role == STORE_ROLE_ENTRY)
-			take_entry(peers, &hosts->hosts[i]);
+			update_entry(peers, &hosts->hosts[i]);
 	g_hash_table_iter_init(&iter, peers->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		if (!((struct conn *)value)->wanted)
-			g_ptr_array_add(gone, value);
-	for (guint i = 0; i < gone->len; i++)
-		close_entry(peers, g_ptr_array_index(gone, i));
+			g_ptr_array_add(unlisted, value);
+	for (guint i = 0; i < unlisted->len; i++)
+		close_entry(peers, g_ptr_array_index(unlisted, i));
 }
 
-void entry_peers_hosts(struct entry_peers *peers,
-		       const struct store_hosts *hosts)
+void entry_peers_set_hosts(struct entry_peers *peers,
+			   const struct store_hosts *hosts)
 {
 	g_autoptr(GHashTable) groups = group_by_service(hosts);
-	uint32_t most = most_of_service(peers, g_hash_table_size(groups));
+	uint32_t max_agents =
+		max_agents_per_service(peers, g_hash_table_size(groups));
 	GHashTableIter iter;
 	gpointer group;
 
 	set_wanted(peers->agents, false);
 	g_hash_table_iter_init(&iter, groups);
 	while (g_hash_table_iter_next(&iter, NULL, &group))
-		choose_of_service(peers, hosts, group, most);
+		select_agents(peers, hosts, group, max_agents);
 	close_unwanted(peers);
-	take_entries(peers, hosts);
+	update_entries(peers, hosts);
 }
 
-/* ---- time ---- */
+/* ---- hellos ---- */
 
-static bool usable(const struct entry_peers *peers, const struct conn *conn)
+static bool is_usable(const struct entry_peers *peers, const struct conn *conn)
 {
-	const struct route_upstream *upstream = upstream_of(peers, conn);
+	const struct route_upstream *upstream = find_upstream(peers, conn);
 
-	return upstream && !upstream->silent && !upstream->leaving;
+	return upstream && !upstream->silent && !upstream->draining;
 }
 
 /*
- * An agent that said it leaves, or missed a beat, may have been replaced by
- * one that does not know us yet.
+ * An agent that is draining, or missed a beat, may have been replaced by an
+ * incarnation that has not received a HELLO from this entry.
  */
-static bool may_be_new(const struct entry_peers *peers, const struct conn *conn,
-		       int64_t now_us)
+static bool may_have_restarted(const struct entry_peers *peers,
+			       const struct conn *conn, int64_t now_us)
 {
-	const struct route_upstream *upstream = upstream_of(peers, conn);
+	const struct route_upstream *upstream = find_upstream(peers, conn);
 	int64_t beat_us = peers->entry->settings->beat_ms * LP_US_PER_MS;
 
-	return !usable(peers, conn) ||
-	       now_us - upstream->heard_us > beat_us * BEATS_MISSED;
+	return !is_usable(peers, conn) ||
+	       now_us - upstream->report_received_us >
+		       beat_us * HELLO_RETRY_BEATS;
 }
 
 void entry_peers_tick(struct entry_peers *peers)
@@ -333,30 +341,30 @@
 	g_hash_table_iter_init(&iter, peers->agents);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct conn *conn = value;
-		int64_t after_us = may_be_new(peers, conn, now_us)
-					   ? HELLO_AGAIN_US
-					   : NODE_HELLO_US;
+		int64_t after_us = may_have_restarted(peers, conn, now_us)
+					   ? HELLO_RETRY_US
+					   : NODE_HELLO_INTERVAL_US;
 
-		if (now_us - conn->hello_us >= after_us)
-			hello(peers, conn);
+		if (now_us - conn->hello_sent_us >= after_us)
+			send_hello(peers, conn);
 	}
 	close_unwanted(peers);
 }
 
-void entry_peers_announce(struct entry_peers *peers)
+void entry_peers_send_hellos(struct entry_peers *peers)
 {
 	GHashTableIter iter;
 	gpointer conn;
 
 	g_hash_table_iter_init(&iter, peers->agents);
 	while (g_hash_table_iter_next(&iter, NULL, &conn))
-		hello(peers, conn);
+		send_hello(peers, conn);
 }
 
 /* ---- messages ---- */
 
-int entry_peers_send(struct entry_peers *peers, const char *host,
-		     const struct wire_msg *msg)
+int entry_peers_send_agent(struct entry_peers *peers, const char *host,
+			   const struct wire_msg *msg)
 {
 	struct conn *conn = g_hash_table_lookup(peers->agents, host);
 
@@ -366,8 +374,8 @@
 }
 
 /*
- * A connection out has a name of its own ("to:HOST#N"), since the other
- * entry may have connected to us and then stands under its host id.
+ * An outgoing connection has a separate name ("to:HOST#N"), since the host id
+ * names the incoming connection if the other entry connected to this one.
  */
 int entry_peers_send_entry(struct entry_peers *peers, const char *host,
 			   const struct wire_msg *msg)
@@ -386,17 +394,19 @@
 	return node_send(node, conn->name, msg);
 }
 
-bool entry_peers_word(struct entry_peers *peers, const char *peer,
-		      const struct wire_load *load, struct flow_word *out)
+bool entry_peers_agent_report(struct entry_peers *peers, const char *peer,
+			      const struct wire_load *load,
+			      struct flow_report *out)
 {
-	const struct conn *conn = g_hash_table_lookup(peers->by_name, peer);
+	const struct conn *conn =
+		g_hash_table_lookup(peers->agents_by_connection, peer);
 
 	if (!conn)
 		return false;
 	out->service = conn->service;
 	out->agent = conn->host;
 	out->domain = conn->domain;
-	out->load = (struct route_word){
+	out->load = (struct route_report){
 		.incarnation = load->incarnation,
 		.agent_time_us = load->agent_time_us,
 		.revision = load->revision,
@@ -405,51 +415,53 @@
 		.limit = load->limit,
 		.wait_us = load->wait_us,
 		.run_us = load->run_us,
-		.leaving = load->leaving,
+		.draining = load->leaving,
 	};
-	node_heard_revision(peers->entry->node, peer, load->revision,
-			    load->kv_age_ms);
+	node_report_peer_revision(peers->entry->node, peer, load->revision,
+				  load->kv_age_ms);
 	return true;
 }
 
-/* ---- questions ---- */
+/* ---- queries ---- */
 
-uint32_t entry_peers_entries(const struct entry_peers *peers)
+uint32_t entry_peers_live_entry_count(const struct entry_peers *peers)
 {
-	return MAX(1, peers->live->len);
+	return MAX(1, peers->live_entries->len);
 }
 
 const char *entry_peers_quota_holder(const struct entry_peers *peers,
 				     const char *organisation)
 {
-	struct member *members = g_new0(struct member, peers->live->len + 1);
-	const struct member *owner;
+	struct rendezvous_host *members =
+		g_new0(struct rendezvous_host, peers->live_entries->len + 1);
+	const struct rendezvous_host *owner;
 	const char *host = peers->entry->settings->host;
 
-	for (guint i = 0; i < peers->live->len; i++) {
-		members[i].id = g_ptr_array_index(peers->live, i);
+	for (guint i = 0; i < peers->live_entries->len; i++) {
+		members[i].id = g_ptr_array_index(peers->live_entries, i);
 		members[i].domain = "";
 	}
-	owner = member_owner(organisation, members, peers->live->len);
+	owner = rendezvous_owner(organisation, members,
+				 peers->live_entries->len);
 	if (owner)
 		host = owner->id;
 	g_free(members);
 	return host;
 }
 
-uint32_t entry_peers_agents(const struct entry_peers *peers)
+uint32_t entry_peers_agent_count(const struct entry_peers *peers)
 {
 	return g_hash_table_size(peers->agents);
 }
 
-uint32_t entry_peers_heard(const struct entry_peers *peers)
+uint32_t entry_peers_usable_agent_count(const struct entry_peers *peers)
 {
-	uint32_t heard = 0;
+	uint32_t usable = 0;
 	GHashTableIter iter;
 	gpointer conn;
 
 	g_hash_table_iter_init(&iter, peers->agents);
 	while (g_hash_table_iter_next(&iter, NULL, &conn))
-		heard += usable(peers, conn);
-	return heard;
+		usable += is_usable(peers, conn);
+	return usable;
 }
--- a/node/node.c
+++ b/node/node.c
@@ -5,7 +5,7 @@
 #include "base/lp_log.h"
 #include "base/lp_timer.h"
 #include "node/node_admin.h"
-#include "policy/member.h"
+#include "policy/rendezvous.h"
 
 #include <errno.h>
 #include <glib-unix.h>
@@ -13,10 +13,11 @@
 #include <signal.h>
 #include <string.h>
 
-#define READERS 3 /* of a failure domain, holding a watch on the KV */
-/* Entries hear of the KV with every beat, agents only with their hellos. */
-#define AGENT_PATIENCE_US (40 * LP_US_PER_S)
-#define LEAVE_MIN_US (500 * LP_US_PER_MS) /* peers hear of it meanwhile */
+#define CONFIG_READERS_PER_DOMAIN 3 /* processes that watch the KV */
+/* An agent reads the KV itself if the last known access is older than this.
+ * Entries learn of KV accesses with every beat, agents only with HELLOs. */
+#define AGENT_KV_AGE_MAX_US (40 * LP_US_PER_S)
+#define DRAIN_MIN_US (500 * LP_US_PER_MS) /* for drain notices to arrive */
 
 struct node {
 	struct node_options options;
@@ -27,23 +28,23 @@
 	struct wire_sock *sock;
 	struct store_kv *kv;
 	struct store_hosts_client *hosts;
-	struct spread *spread;
+	struct config_propagation *spread;
 	struct cfg_snapshot *snapshot;
 	struct node_admin *admin;
 	GMainLoop *loop;
 	uint64_t incarnation;
-	int64_t leave_us; /* when shutdown began, or 0 */
-	bool interrupted; /* by SIGINT */
+	int64_t drain_started_us; /* 0: not draining */
+	bool interrupted;	  /* by SIGINT */
 	guint tick_timer;
 	guint signals[2];
 };
 
 /* ---- configuration ---- */
 
-static void take_snapshot(struct node *node, struct cfg_snapshot *snapshot,
-			  const char *from)
+static void install_snapshot(struct node *node, struct cfg_snapshot *snapshot,
+			     const char *from)
 {
-	if (!spread_take(node->spread, snapshot->revision)) {
+	if (!config_propagation_accept(node->spread, snapshot->revision)) {
 		cfg_snapshot_unref(snapshot);
 		return;
 	}
@@ -53,7 +54,7 @@
 	       "configuration %" G_GUINT64_FORMAT " in force, from %s",
 	       snapshot->revision, from);
 	node->options.role->configured(node->options.userdata, snapshot);
-	/* Parsing took many times what is kept. */
+	/* Parsing used many times the memory that is kept. */
 	malloc_trim(0);
 	node->options.role->announce(node->options.userdata);
 }
@@ -63,11 +64,12 @@
 	*lp_counter(node->counters, "linepier_config_rejected_total", NULL) +=
 		1;
 	lp_log(LP_LOG_ERROR, "node", NULL,
-	       "a configuration from %s does not check; the last one stays",
+	       "rejected an invalid configuration from %s; the last valid one "
+	       "stays in force",
 	       from);
 }
 
-static void take_pair(struct node *node, const struct store_pair *pair)
+static void handle_record(struct node *node, const struct store_pair *pair)
 {
 	struct cfg_record *record;
 	struct cfg_snapshot *snapshot;
@@ -76,73 +78,74 @@
 		reject_record(node, "the KV");
 		return;
 	}
-	if (record->revision < spread_revision(node->spread)) {
+	if (record->revision < config_propagation_revision(node->spread)) {
 		*lp_counter(node->counters, "linepier_config_old_reads_total",
 			    NULL) += 1;
-	} else if (record->revision > spread_revision(node->spread)) {
+	} else if (record->revision >
+		   config_propagation_revision(node->spread)) {
 		if (cfg_snapshot_create(record, &snapshot))
 			reject_record(node, "the KV");
 		else
-			take_snapshot(node, snapshot, "the KV");
+			install_snapshot(node, snapshot, "the KV");
 	}
 	cfg_record_destroy(record);
 }
 
-static void on_read(void *userdata, const struct store_answer *answer)
+static void on_record_read(void *userdata, const struct store_answer *answer)
 {
 	struct node *node = userdata;
 
 	if (!answer->error && answer->pairs_count)
-		take_pair(node, &answer->pairs[0]);
-	spread_read_done(node->spread, !answer->error);
+		handle_record(node, &answer->pairs[0]);
+	config_propagation_read_done(node->spread, !answer->error);
 }
 
-static void read_whole(struct node *node)
+static void read_record(struct node *node)
 {
-	node->kv->ops->range(node->kv, "config_read", CFG_KEY, false, on_read,
-			     node);
+	node->kv->ops->range(node->kv, "config_read", CFG_KEY, false,
+			     on_record_read, node);
 }
 
-static void on_number(void *userdata, const struct store_answer *answer)
+static void on_revision_read(void *userdata, const struct store_answer *answer)
 {
 	struct node *node = userdata;
 	uint64_t revision = 0;
 
 	if (!answer->error && answer->pairs_count)
 		revision = g_ascii_strtoull(answer->pairs[0].value, NULL, 10);
-	if (revision > spread_revision(node->spread))
-		read_whole(node);
+	if (revision > config_propagation_revision(node->spread))
+		read_record(node);
 	else
-		spread_read_done(node->spread, !answer->error);
+		config_propagation_read_done(node->spread, !answer->error);
 }
 
-/* The number is a key of its own: looking often costs little. */
-static void spread_read(void *userdata)
+/* The revision number has a separate key, so polling it often is cheap. */
+static void read_revision(void *userdata)
 {
 	struct node *node = userdata;
 
 	node->kv->ops->range(node->kv, "config_number", CFG_NUMBER_KEY, false,
-			     on_number, node);
+			     on_revision_read, node);
 }
 
-static void on_changed(void *userdata, const struct store_pair *pair)
+static void on_record_changed(void *userdata, const struct store_pair *pair)
 {
-	take_pair(userdata, pair);
+	handle_record(userdata, pair);
 }
 
 static void on_watch_ended(void *userdata, int error)
 {
 	struct node *node = userdata;
 
-	spread_watch_ended(node->spread);
+	config_propagation_watch_ended(node->spread);
 }
 
-static void spread_watch(void *userdata, bool on)
+static void set_config_watch(void *userdata, bool on)
 {
 	struct node *node = userdata;
 	const struct store_watch watch = {
 		.key = CFG_KEY,
-		.changed = on_changed,
+		.changed = on_record_changed,
 		.ended = on_watch_ended,
 		.userdata = node,
 	};
@@ -153,25 +156,25 @@
 		node->kv->ops->unwatch(node->kv);
 }
 
-static void spread_pull(void *userdata, const char *peer)
+static void request_config(void *userdata, const char *peer)
 {
 	struct node *node = userdata;
 	const struct wire_msg msg = {
 		.type = WIRE_CONFIG_GET,
-		.u.config_get.have = spread_revision(node->spread),
+		.u.config_get.have = config_propagation_revision(node->spread),
 	};
 
 	node_send(node, peer, &msg);
 }
 
-static const struct spread_ops spread_ops = {
-	.read = spread_read,
-	.watch = spread_watch,
-	.pull = spread_pull,
+static const struct config_propagation_ops config_propagation_ops = {
+	.read = read_revision,
+	.watch = set_config_watch,
+	.pull = request_config,
 };
 
-static void send_body(struct node *node, const char *peer,
-		      const struct wire_config_get *get)
+static void send_config_body(struct node *node, const char *peer,
+			     const struct wire_config_get *get)
 {
 	struct wire_msg msg = { .type = WIRE_CONFIG_BODY };
 
@@ -184,29 +187,31 @@
 		    NULL) += 1;
 }
 
-static void take_body(struct node *node, const char *peer,
-		      const struct wire_config_body *body)
+static void handle_config_body(struct node *node, const char *peer,
+			       const struct wire_config_body *body)
 {
 	struct cfg_snapshot *snapshot;
 
-	if (body->revision <= spread_revision(node->spread))
+	if (body->revision <= config_propagation_revision(node->spread))
 		return;
 	if (cfg_snapshot_unpack(body->packed, &snapshot))
 		reject_record(node, peer);
 	else
-		take_snapshot(node, snapshot, peer);
+		install_snapshot(node, snapshot, peer);
 }
 
-void node_heard_revision(struct node *node, const char *peer, uint64_t revision,
-			 uint32_t kv_age_ms)
+void node_report_peer_revision(struct node *node, const char *peer,
+			       uint64_t revision, uint32_t kv_age_ms)
 {
-	spread_heard(node->spread, peer, revision);
-	spread_heard_age(node->spread, kv_age_ms * LP_US_PER_MS);
+	config_propagation_handle_revision(node->spread, peer, revision);
+	config_propagation_handle_kv_age(node->spread,
+					 kv_age_ms * LP_US_PER_MS);
 }
 
 uint32_t node_kv_age_ms(const struct node *node)
 {
-	int64_t age_ms = spread_age_us(node->spread) / LP_US_PER_MS;
+	int64_t age_ms =
+		config_propagation_kv_age_us(node->spread) / LP_US_PER_MS;
 
 	return (uint32_t)MIN(age_ms, G_MAXUINT32);
 }
@@ -218,9 +223,9 @@
 	struct node *node = userdata;
 
 	if (msg->type == WIRE_CONFIG_GET)
-		send_body(node, peer, &msg->u.config_get);
+		send_config_body(node, peer, &msg->u.config_get);
 	else if (msg->type == WIRE_CONFIG_BODY)
-		take_body(node, peer, &msg->u.config_body);
+		handle_config_body(node, peer, &msg->u.config_body);
 	else
 		node->options.role->message(node->options.userdata, peer, msg);
 }
@@ -242,9 +247,10 @@
 
 /* ---- hosts ---- */
 
-static void elect(struct node *node, const struct store_hosts *hosts)
+static void elect_readers(struct node *node, const struct store_hosts *hosts)
 {
-	struct member *members = g_new0(struct member, hosts->count + 1);
+	struct rendezvous_host *members =
+		g_new0(struct rendezvous_host, hosts->count + 1);
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < hosts->count; i++) {
@@ -254,11 +260,12 @@
 		members[count].domain = hosts->hosts[i].domain;
 		count += 1;
 	}
-	spread_elected(node->spread,
-		       member_is_reader(node->settings->host,
-					node->settings->domain, members, count,
-					READERS),
-		       hosts->count);
+	config_propagation_set_reader(
+		node->spread,
+		rendezvous_is_reader(node->settings->host,
+				     node->settings->domain, members, count,
+				     CONFIG_READERS_PER_DOMAIN),
+		hosts->count);
 	g_free(members);
 }
 
@@ -266,7 +273,7 @@
 {
 	struct node *node = userdata;
 
-	elect(node, hosts);
+	elect_readers(node, hosts);
 	node->options.role->hosts(node->options.userdata, hosts);
 }
 
@@ -306,24 +313,24 @@
 		set_gauge(node, "linepier_config_packed_bytes",
 			  (int64_t)g_bytes_get_size(node->snapshot->packed));
 	set_gauge(node, "linepier_config_reader",
-		  spread_is_reader(node->spread));
+		  config_propagation_is_reader(node->spread));
 	if (node->options.role->gauges)
 		node->options.role->gauges(node->options.userdata);
 	lp_counters_print(node->counters, out);
 }
 
-static const char *admin_unready(void *userdata)
+static const char *admin_unready_reason(void *userdata)
 {
 	struct node *node = userdata;
 
-	if (node->leave_us)
+	if (node->drain_started_us)
 		return "leaving\n";
 	if (!node->snapshot)
 		return "no configuration received yet\n";
-	return node->options.role->unready(node->options.userdata);
+	return node->options.role->unready_reason(node->options.userdata);
 }
 
-static void admin_probed(void *userdata, const char *prober)
+static void admin_probe(void *userdata, const char *prober)
 {
 	struct node *node = userdata;
 
@@ -334,7 +341,7 @@
 static void admin_status(void *userdata, JsonBuilder *builder)
 {
 	struct node *node = userdata;
-	const char *why = admin_unready(node);
+	const char *why = admin_unready_reason(node);
 
 	lp_json_text(builder, "host", node->settings->host);
 	lp_json_text(builder, "domain", node->settings->domain);
@@ -345,57 +352,59 @@
 	lp_json_int(builder, "revision_since_us",
 		    node->snapshot ? node->snapshot->since_us : 0);
 	lp_json_int(builder, "revision_heard",
-		    (int64_t)spread_highest(node->spread));
-	lp_json_bool(builder, "reader", spread_is_reader(node->spread));
+		    (int64_t)config_propagation_highest_revision(node->spread));
+	lp_json_bool(builder, "reader",
+		     config_propagation_is_reader(node->spread));
 	lp_json_text(builder, "state",
-		     node->leave_us ? "leaving"
-		     : why	    ? "unready"
-				    : "ready");
+		     node->drain_started_us ? "leaving"
+		     : why		    ? "unready"
+					    : "ready");
 	node->options.role->status(node->options.userdata, builder);
 }
 
-/* ---- life ---- */
+/* ---- lifecycle ---- */
 
-void node_leave(struct node *node)
+void node_begin_drain(struct node *node)
 {
-	if (node->leave_us)
+	if (node->drain_started_us)
 		return;
-	node->leave_us = lp_now_us(node->clock);
+	node->drain_started_us = lp_now_us(node->clock);
 	lp_log(LP_LOG_INFO, "node", NULL, "leaving");
-	node->options.role->leave(node->options.userdata);
+	node->options.role->drain(node->options.userdata);
 	node->options.role->announce(node->options.userdata);
 }
 
-/* Comes again from service managers, and after a drain by an operator. */
+/* SIGTERM may be repeated by a service manager, or follow an operator's drain.
+ */
 static gboolean on_term(gpointer userdata)
 {
-	node_leave(userdata);
+	node_begin_drain(userdata);
 	return G_SOURCE_CONTINUE;
 }
 
-/* A second one is a person at a terminal who does not want to wait. */
+/* A second SIGINT, from a user at a terminal, skips the drain. */
 static gboolean on_interrupt(gpointer userdata)
 {
 	struct node *node = userdata;
 
 	if (node->interrupted) {
 		lp_log(LP_LOG_WARN, "node", NULL,
-		       "interrupted twice: ending at once");
+		       "interrupted twice: exiting at once");
 		g_main_loop_quit(node->loop);
 	}
 	node->interrupted = true;
-	node_leave(node);
+	node_begin_drain(node);
 	return G_SOURCE_CONTINUE;
 }
 
-static void check_left(struct node *node)
+static void check_drained(struct node *node)
 {
 	int64_t now_us = lp_now_us(node->clock);
 
-	if (now_us - node->leave_us < LEAVE_MIN_US)
+	if (now_us - node->drain_started_us < DRAIN_MIN_US)
 		return;
 	if (!node->options.role->idle(node->options.userdata) &&
-	    now_us < node_ends_us(node))
+	    now_us < node_drain_deadline_us(node))
 		return;
 	lp_log(LP_LOG_INFO, "node", NULL, "left");
 	g_main_loop_quit(node->loop);
@@ -405,10 +414,10 @@
 {
 	struct node *node = userdata;
 
-	spread_tick(node->spread);
+	config_propagation_tick(node->spread);
 	node->options.role->tick(node->options.userdata);
-	if (node->leave_us)
-		check_left(node);
+	if (node->drain_started_us)
+		check_drained(node);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -441,15 +450,15 @@
 		.node = node,
 		.metrics = admin_metrics,
 		.status = admin_status,
-		.unready = admin_unready,
-		.probed = admin_probed,
+		.unready_reason = admin_unready_reason,
+		.probed = admin_probe,
 		.userdata = node,
 	};
 
 	return node_admin_create(&options, &node->admin, why);
 }
 
-static void open_platform(struct node *node)
+static void create_platform_clients(struct node *node)
 {
 	const struct store_etcd_options kv = {
 		.url = node->settings->kv_url,
@@ -464,19 +473,19 @@
 		.failed = on_hosts_failed,
 		.userdata = node,
 	};
-	const struct spread_options spread = {
+	const struct config_propagation_options spread = {
 		.clock = node->clock,
-		.ops = &spread_ops,
+		.ops = &config_propagation_ops,
 		.userdata = node,
 		.seed = node->incarnation,
-		.patience_us = node->settings->role == NODE_ROLE_AGENT
-				       ? AGENT_PATIENCE_US
-				       : 0,
+		.takeover_after_us = node->settings->role == NODE_ROLE_AGENT
+					     ? AGENT_KV_AGE_MAX_US
+					     : 0,
 		.watch_always = node->settings->config_watch_all,
 	};
 
 	node->kv = store_etcd_create(&kv);
-	node->spread = spread_create(&spread);
+	node->spread = config_propagation_create(&spread);
 	node->hosts = store_hosts_create(&hosts);
 }
 
@@ -500,7 +509,7 @@
 		node_destroy(node);
 		return error;
 	}
-	open_platform(node);
+	create_platform_clients(node);
 	node->tick_timer = lp_timer_add(NODE_TICK_MS, on_tick, node);
 	node->signals[0] = g_unix_signal_add(SIGTERM, on_term, node);
 	node->signals[1] = g_unix_signal_add(SIGINT, on_interrupt, node);
@@ -519,7 +528,7 @@
 			g_source_remove(node->signals[i]);
 	store_hosts_destroy(node->hosts);
 	store_kv_destroy(node->kv);
-	spread_destroy(node->spread);
+	config_propagation_destroy(node->spread);
 	node_admin_destroy(node->admin);
 	wire_sock_destroy(node->sock);
 	cfg_snapshot_unref(node->snapshot);
@@ -566,7 +575,7 @@
 
 uint64_t node_revision(const struct node *node)
 {
-	return spread_revision(node->spread);
+	return config_propagation_revision(node->spread);
 }
 
 uint64_t node_incarnation(const struct node *node)
@@ -574,14 +583,15 @@
 	return node->incarnation;
 }
 
-bool node_leaving(const struct node *node)
+bool node_is_draining(const struct node *node)
 {
-	return node->leave_us;
+	return node->drain_started_us;
 }
 
-int64_t node_ends_us(const struct node *node)
+int64_t node_drain_deadline_us(const struct node *node)
 {
-	if (!node->leave_us)
+	if (!node->drain_started_us)
 		return INT64_MAX;
-	return node->leave_us + node->settings->drain_max_ms * LP_US_PER_MS;
+	return node->drain_started_us +
+	       node->settings->drain_max_ms * LP_US_PER_MS;
 }
--- a/policy/homes.c
+++ b/policy/allowed_regions.c
@@ -1,14 +1,14 @@
-#include "policy/homes.h"
+#include "policy/allowed_regions.h"
 
 #include "base/lp_texts.h"
 
 #include <string.h>
 
 #define SEPARATOR ","
-/* How HOMES_ANYWHERE is written; no region has this name. */
-#define ANYWHERE_TEXT "*"
+/* Wire format of ALLOWED_REGIONS_ANY; no region has this name. */
+#define ANY_REGION_TEXT "*"
 
-/* Takes an array of borrowed names, in any order. */
+/* `names` are borrowed and get sorted. */
 static const char *intern_set(GPtrArray *names)
 {
 	g_autofree char *text = NULL;
@@ -18,7 +18,7 @@
 	return g_intern_string(text);
 }
 
-const char *homes_create(const char *const *regions, guint count)
+const char *allowed_regions_create(const char *const *regions, guint count)
 {
 	g_autoptr(GPtrArray) names = g_ptr_array_new();
 
@@ -27,7 +27,7 @@
 	return intern_set(names);
 }
 
-const char *homes_both(const char *one, const char *two)
+const char *allowed_regions_intersect(const char *one, const char *two)
 {
 	g_autoptr(GPtrArray) names = g_ptr_array_new();
 	g_auto(GStrv) regions = NULL;
@@ -36,30 +36,30 @@
 		return one ? one : two;
 	regions = g_strsplit(one, SEPARATOR, -1);
 	for (char **region = regions; *region; region++)
-		if (homes_have(two, *region))
+		if (allowed_regions_contain(two, *region))
 			g_ptr_array_add(names, *region);
 	return intern_set(names);
 }
 
-bool homes_have(const char *homes, const char *region)
+bool allowed_regions_contain(const char *allowed_regions, const char *region)
 {
 	g_auto(GStrv) regions = NULL;
 
-	if (!homes)
+	if (!allowed_regions)
 		return true;
 	if (!region || !*region)
 		return false;
-	regions = g_strsplit(homes, SEPARATOR, -1);
+	regions = g_strsplit(allowed_regions, SEPARATOR, -1);
 	return g_strv_contains((const char *const *)regions, region);
 }
 
-const char *homes_write(const char *homes)
+const char *allowed_regions_encode(const char *allowed_regions)
 {
-	return homes ? homes : ANYWHERE_TEXT;
+	return allowed_regions ? allowed_regions : ANY_REGION_TEXT;
 }
 
-const char *homes_read(const char *text)
+const char *allowed_regions_decode(const char *text)
 {
-	return strcmp(text, ANYWHERE_TEXT) != 0 ? g_intern_string(text)
-						: HOMES_ANYWHERE;
+	return strcmp(text, ANY_REGION_TEXT) != 0 ? g_intern_string(text)
+						  : ALLOWED_REGIONS_ANY;
 }
--- a/policy/flow.c
+++ b/policy/flow.c
@@ -5,51 +5,53 @@
 	return lp_now_us(flow->options.clock);
 }
 
-void flow_note(struct flow *flow, const struct lp_call_id *id,
-	       enum trace_kind kind, const char *who, int error, int64_t a,
-	       int64_t b)
+void flow_add_trace(struct flow *flow, const struct lp_call_id *id,
+		    enum trace_kind kind, const char *host, int error,
+		    int64_t a, int64_t b)
 {
 	if (flow->options.trace)
-		trace_add(flow->options.trace, id, kind, who, error, a, b);
+		trace_add(flow->options.trace, id, kind, host, error, a, b);
 }
 
 /* ---- services ---- */
 
 static void free_service(gpointer data)
 {
-	struct service *service = data;
+	struct flow_service *service = data;
 
 	route_destroy(service->route);
-	quant_destroy(service->total_us);
+	quantile_destroy(service->stage_times);
 	g_free(service->name);
 	g_free(service);
 }
 
-struct service *flow_service(struct flow *flow, const char *name)
+struct flow_service *flow_get_service(struct flow *flow, const char *name)
 {
-	struct service *service = g_hash_table_lookup(flow->services, name);
+	struct flow_service *service =
+		g_hash_table_lookup(flow->services, name);
 	struct route_options options = {
 		.clock = flow->options.clock,
 		.domain = flow->domain,
-		.silence_us = flow->options.silence_us,
+		.report_timeout_us = flow->options.report_timeout_us,
 		.seed = lp_hash_pair(flow->options.seed, lp_hash_str(name)),
 		.naive = flow->options.naive,
 	};
 
 	if (service)
 		return service;
-	service = g_new0(struct service, 1);
+	service = g_new0(struct flow_service, 1);
 	service->name = g_strdup(name);
 	service->route = route_create(&options);
-	service->total_us = quant_create();
-	bucket_init(&service->budget, 0, BUDGET_BURST, flow_now_us(flow));
+	service->stage_times = quantile_create();
+	bucket_init(&service->retry_budget, 0, RETRY_BUDGET_BURST,
+		    flow_now_us(flow));
 	g_hash_table_insert(flow->services, service->name, service);
 	return service;
 }
 
 struct route *flow_route(struct flow *flow, const char *service)
 {
-	return flow_service(flow, service)->route;
+	return flow_get_service(flow, service)->route;
 }
 
 /* ---- requests ---- */
@@ -70,12 +72,12 @@
 
 	flow->options = *options;
 	flow->domain = g_strdup(options->domain);
-	flow->entries = 1;
+	flow->entry_increment_counter = 1;
 	flow->services = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       free_service);
 	flow->requests = g_hash_table_new_full(g_direct_hash, g_direct_equal,
 					       NULL, free_request);
-	flow->end_us = INT64_MAX;
+	flow->deadline_cap_us = INT64_MAX;
 	flow->wakes = g_sequence_new(NULL);
 	flow->throttle = throttle_create(options->seed);
 	return flow;
@@ -93,15 +95,15 @@
 	g_free(flow);
 }
 
-const struct flow_stage *flow_stage_of(const struct flow_request *request)
+const struct flow_stage *flow_current_stage(const struct flow_request *request)
 {
 	return &request->stages[request->stage];
 }
 
-struct service *flow_service_of(struct flow *flow,
-				const struct flow_request *request)
+struct flow_service *flow_current_service(struct flow *flow,
+					  const struct flow_request *request)
 {
-	return flow_service(flow, flow_stage_of(request)->service);
+	return flow_get_service(flow, flow_current_stage(request)->service);
 }
 
 static struct flow_request *find_request(struct flow *flow,
@@ -139,51 +141,53 @@
 	return live;
 }
 
-/* ---- the door ---- */
+/* ---- admission ---- */
 
 /*
- * What this organisation would wait for a service: as agents said, plus what
- * the entries have let in that has not arrived there (they are alike, so
- * what is coming from here stands for each of them).
+ * The expected queueing time of an organisation at a service: the time that
+ * agents reported, plus the calls that entries have admitted but not sent yet.
+ * Every entry is assumed to have as many of these as this one.
  */
-static int64_t door_wait_us(struct flow *flow, struct service *service,
-			    const char *organisation)
+static int64_t estimate_wait_us(struct flow *flow, struct flow_service *service,
+				const char *organisation)
 {
-	int64_t run_us = quant_get(service->total_us, 0.5, 0);
-	int64_t coming_us = run_us * service->coming * flow->entries /
-			    route_slots(service->route);
+	int64_t run_us = quantile_get(service->stage_times, 0.5, 0);
+	int64_t expected_us = run_us * service->expected_calls *
+			      flow->entry_increment_counter /
+			      route_slots(service->route);
 
 	return throttle_wait_us(flow->throttle, organisation, service->name,
 				flow_now_us(flow)) +
-	       coming_us;
+	       expected_us;
 }
 
-struct door {
-	int64_t estimate_us; /* of the whole request; -1: no upstream */
-	int64_t wait_us;     /* of that, in queues */
+struct admission_estimate {
+	int64_t total_us; /* all stages; -1: no upstream */
+	int64_t wait_us;  /* thereof in queues */
 };
 
-static struct door look_ahead(struct flow *flow,
-			      const struct flow_submit *submit)
+static struct admission_estimate
+estimate_request(struct flow *flow, const struct flow_submit *submit)
 {
-	struct door door = { 0 };
+	struct admission_estimate estimate = { 0 };
 
 	for (uint32_t i = 0; i < submit->stages_count; i++) {
-		struct service *service =
-			flow_service(flow, submit->stages[i].service);
+		struct flow_service *service =
+			flow_get_service(flow, submit->stages[i].service);
 		int64_t stage_us = route_estimate_us(service->route);
 		int64_t wait_us =
-			door_wait_us(flow, service, submit->organisation);
+			estimate_wait_us(flow, service, submit->organisation);
 
 		if (stage_us < 0)
-			return (struct door){ -1, 0 };
-		door.estimate_us += stage_us + wait_us;
-		door.wait_us += wait_us;
+			return (struct admission_estimate){ -1, 0 };
+		estimate.total_us += stage_us + wait_us;
+		estimate.wait_us += wait_us;
 	}
-	return door;
+	return estimate;
 }
 
-static bool admit_all(struct flow *flow, const struct flow_submit *submit)
+static bool throttle_admits_stages(struct flow *flow,
+				   const struct flow_submit *submit)
 {
 	int64_t now = flow_now_us(flow);
 
@@ -194,38 +198,40 @@
 	return true;
 }
 
-static int64_t deadline_of(const struct flow *flow,
-			   const struct flow_submit *submit)
+static int64_t capped_deadline_us(const struct flow *flow,
+				  const struct flow_submit *submit)
 {
-	return MIN(submit->deadline_us, flow->end_us);
+	return MIN(submit->deadline_us, flow->deadline_cap_us);
 }
 
-static int check_door(struct flow *flow, const struct flow_submit *submit,
-		      int64_t *estimate_us)
+static int check_admission(struct flow *flow, const struct flow_submit *submit,
+			   int64_t *estimate_us)
 {
-	int64_t left_us = deadline_of(flow, submit) - flow_now_us(flow);
-	struct door door = look_ahead(flow, submit);
-	int64_t spare_us = left_us - (door.estimate_us - door.wait_us);
+	int64_t left_us = capped_deadline_us(flow, submit) - flow_now_us(flow);
+	struct admission_estimate estimate = estimate_request(flow, submit);
+	int64_t spare_us = left_us - (estimate.total_us - estimate.wait_us);
 
-	*estimate_us = door.estimate_us;
-	if (door.estimate_us < 0)
+	*estimate_us = estimate.total_us;
+	if (estimate.total_us < 0)
 		return LP_ERROR_NO_UPSTREAM;
 	if (left_us <= 0)
 		return LP_ERROR_DEADLINE_PASSED;
 	if (flow->options.naive)
 		return LP_OK;
-	if (spare_us < 0 ||
-	    door.wait_us > (int64_t)((double)spare_us * DOOR_QUEUE_SHARE))
+	if (spare_us < 0 || estimate.wait_us > (int64_t)((double)spare_us *
+							 ADMISSION_QUEUE_SHARE))
 		return LP_ERROR_DEADLINE_UNREACHABLE;
-	if (!admit_all(flow, submit))
+	if (!throttle_admits_stages(flow, submit))
 		return LP_ERROR_OVERLOADED;
 	return LP_OK;
 }
 
-static void count_coming(struct flow *flow, const struct flow_request *request)
+static void add_expected_calls(struct flow *flow,
+			       const struct flow_request *request)
 {
 	for (uint32_t i = 0; i < request->stages_count; i++)
-		flow_service(flow, request->stages[i].service)->coming += 1;
+		flow_get_service(flow, request->stages[i].service)
+			->expected_calls += 1;
 }
 
 static struct flow_request *add_request(struct flow *flow,
@@ -241,17 +247,17 @@
 	request->weight = submit->weight;
 	request->affinity = submit->affinity;
 	request->arrived_us = flow_now_us(flow);
-	request->deadline_us = deadline_of(flow, submit);
+	request->deadline_us = capped_deadline_us(flow, submit);
 	request->costs = g_new0(struct flow_cost, submit->stages_count);
 	request->text = g_string_new(NULL);
 	request->owner = submit->owner;
 	g_hash_table_insert(flow->requests, GUINT_TO_POINTER(id->serial),
 			    request);
-	flow_set_wake(flow, request);
+	flow_update_wake(flow, request);
 	return request;
 }
 
-static void new_id(struct flow *flow, struct lp_call_id *id)
+static void assign_request_id(struct flow *flow, struct lp_call_id *id)
 {
 	*id = (struct lp_call_id){ .entry = flow->options.entry };
 	do
@@ -262,13 +268,13 @@
 int flow_submit(struct flow *flow, const struct flow_submit *submit,
 		struct lp_call_id *id, struct flow_outcome *outcome)
 {
-	int64_t left_us = deadline_of(flow, submit) - flow_now_us(flow);
+	int64_t left_us = capped_deadline_us(flow, submit) - flow_now_us(flow);
 	int64_t estimate_us;
 	struct flow_request *request;
 	int error;
 
-	new_id(flow, id);
-	error = check_door(flow, submit, &estimate_us);
+	assign_request_id(flow, id);
+	error = check_admission(flow, submit, &estimate_us);
 	if (error) {
 		*outcome = (struct flow_outcome){
 			.error = error,
@@ -276,34 +282,34 @@
 			.retry_us =
 				MAX(estimate_us - left_us, 100 * LP_US_PER_MS),
 		};
-		flow->stats.refused_door += 1;
-		flow_note(flow, id, TRACE_REFUSED, NULL, error, estimate_us,
-			  left_us);
+		flow->stats.refused_admission += 1;
+		flow_add_trace(flow, id, TRACE_REFUSED, NULL, error,
+			       estimate_us, left_us);
 		return error;
 	}
 	request = add_request(flow, submit, id);
 	flow->stats.accepted += 1;
-	count_coming(flow, request);
-	flow_note(flow, id, TRACE_ACCEPTED, NULL, 0, estimate_us, left_us);
+	add_expected_calls(flow, request);
+	flow_add_trace(flow, id, TRACE_ACCEPTED, NULL, 0, estimate_us, left_us);
 	flow_start_stage(flow, request);
 	return LP_OK;
 }
 
-/* ---- the agents ---- */
+/* ---- agents ---- */
 
-void flow_lose_attempts_of(struct flow *flow,
+void flow_lose_attempts_at(struct flow *flow,
 			   const struct route_upstream *upstream,
 			   bool any_incarnation)
 {
-	g_autoptr(GPtrArray) hit = g_ptr_array_new();
+	g_autoptr(GPtrArray) requests = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, flow->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		g_ptr_array_add(hit, value);
-	for (guint i = 0; i < hit->len; i++) {
-		struct flow_request *request = g_ptr_array_index(hit, i);
+		g_ptr_array_add(requests, value);
+	for (guint i = 0; i < requests->len; i++) {
+		struct flow_request *request = g_ptr_array_index(requests, i);
 
 		for (int j = 0; j < FLOW_ATTEMPTS; j++) {
 			struct flow_attempt *attempt = &request->attempts[j];
@@ -314,24 +320,24 @@
 			    attempt->incarnation == upstream->incarnation)
 				continue;
 			flow_lose_attempt(flow, request, attempt);
-			break; /* the request may be gone */
+			break; /* the request may be freed */
 		}
 	}
 }
 
-void flow_heard(struct flow *flow, const struct flow_word *word)
+void flow_handle_report(struct flow *flow, const struct flow_report *report)
 {
-	struct route *route = flow_route(flow, word->service);
+	struct route *route = flow_route(flow, report->service);
 	struct route_upstream *upstream =
-		route_add(route, word->agent, word->domain);
+		route_find_or_add(route, report->agent, report->domain);
 
-	if (route_heard(route, upstream, &word->load))
-		flow_lose_attempts_of(flow, upstream, false);
+	if (route_apply_report(route, upstream, &report->load))
+		flow_lose_attempts_at(flow, upstream, false);
 }
 
-void flow_set_entries(struct flow *flow, uint32_t entries)
+void flow_set_entry_count(struct flow *flow, uint32_t entries)
 {
-	flow->entries = MAX(1, entries);
+	flow->entry_increment_counter = MAX(1, entries);
 }
 
 void flow_agent_removed(struct flow *flow, const char *service,
@@ -342,9 +348,10 @@
 
 	if (!upstream)
 		return;
-	upstream->leaving = true; /* nothing moves back to it */
-	flow_lose_attempts_of(flow, upstream, true);
-	flow_lose_attempts_of(flow, upstream, true); /* a hedge beside it */
+	upstream->draining = true; /* excludes it from failovers */
+	/* A request may have two attempts there; each call loses one. */
+	flow_lose_attempts_at(flow, upstream, true);
+	flow_lose_attempts_at(flow, upstream, true);
 	route_remove(route, agent);
 }
 
@@ -354,51 +361,52 @@
 
 	if (!request)
 		return;
-	flow_abandon(flow, request);
-	flow_drop(flow, request);
+	flow_withdraw_all(flow, request);
+	flow_remove_request(flow, request);
 }
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
-static void ask(struct flow *flow, struct flow_request *request,
-		struct flow_attempt *attempt)
+static void query_attempt(struct flow *flow, struct flow_request *request,
+			  struct flow_attempt *attempt)
 {
-	if (attempt->asked >= ASKS_MAX && flow_stage_of(request)->repeatable) {
+	if (attempt->unanswered_queries >= UNANSWERED_QUERIES_MAX &&
+	    flow_current_stage(request)->repeatable) {
 		flow_lose_attempt(flow, request, attempt);
 		return;
 	}
-	attempt->asked += 1;
-	attempt->ask_us = flow_now_us(flow) + ASK_AGAIN_US;
-	flow->stats.asked += 1;
-	flow_note(flow, &attempt->id, TRACE_ASKED, attempt->agent, 0,
-		  flow_now_us(flow) - attempt->sent_us, 0);
-	flow->options.ops->ask(flow->options.userdata, attempt, false);
-	flow_set_wake(flow, request);
+	attempt->unanswered_queries += 1;
+	attempt->query_due_us = flow_now_us(flow) + QUERY_INTERVAL_US;
+	flow->stats.queries += 1;
+	flow_add_trace(flow, &attempt->id, TRACE_QUERIED, attempt->agent, 0,
+		       flow_now_us(flow) - attempt->sent_us, 0);
+	flow->options.ops->query(flow->options.userdata, attempt, false);
+	flow_update_wake(flow, request);
 }
 
-static void hedge(struct flow *flow, struct flow_request *request)
+static void send_hedge(struct flow *flow, struct flow_request *request)
 {
-	struct service *service = flow_service_of(flow, request);
+	struct flow_service *service = flow_current_service(flow, request);
 	const struct flow_attempt *first = &request->attempts[0];
 
 	request->hedge_us = 0;
 	if (!first->live)
 		first = &request->attempts[1];
 	if (flow_live_attempts(request) == 1 &&
-	    service->budget.tokens > HEDGE_RESERVE &&
-	    bucket_take(&service->budget, flow_now_us(flow)) &&
+	    service->retry_budget.tokens > HEDGE_BUDGET_RESERVE &&
+	    bucket_take(&service->retry_budget, flow_now_us(flow)) &&
 	    !flow_dispatch(flow, request, first->upstream, true)) {
 		flow->stats.hedged += 1;
-		flow_note(flow, &request->id, TRACE_HEDGED,
-			  request->attempts[1].hedge
-				  ? request->attempts[1].agent
-				  : request->attempts[0].agent,
-			  0, flow_now_us(flow) - request->stage_started_us, 0);
+		flow_add_trace(
+			flow, &request->id, TRACE_HEDGED,
+			request->attempts[1].hedge ? request->attempts[1].agent
+						   : request->attempts[0].agent,
+			0, flow_now_us(flow) - request->stage_started_us, 0);
 	}
-	flow_set_wake(flow, request);
+	flow_update_wake(flow, request);
 }
 
-static void begin_withdrawal(struct flow *flow, struct flow_request *request)
+static void start_withdrawal(struct flow *flow, struct flow_request *request)
 {
 	request->withdrawing = true;
 	request->hedge_us = 0;
@@ -406,54 +414,54 @@
 		if (request->attempts[i].live)
 			flow_withdraw_attempt(flow, request,
 					      &request->attempts[i]);
-	flow_set_wake(flow, request);
+	flow_update_wake(flow, request);
 }
 
-/* One thing that is due; the request may be gone after it. */
-static void step(struct flow *flow, struct flow_request *request)
+/* Runs one due action of a request, which may free the request. */
+static void run_due_action(struct flow *flow, struct flow_request *request)
 {
 	int64_t now = flow_now_us(flow);
 
 	if (now >= request->deadline_us) {
-		flow_end(flow, request, LP_ERROR_DEADLINE_PASSED);
+		flow_finish_request(flow, request, LP_ERROR_DEADLINE_PASSED);
 		return;
 	}
 	if (!request->withdrawing &&
 	    now >= request->deadline_us - WITHDRAW_LEAD_US) {
-		begin_withdrawal(flow, request);
+		start_withdrawal(flow, request);
 		return;
 	}
 	if (request->hedge_us && now >= request->hedge_us) {
-		hedge(flow, request);
+		send_hedge(flow, request);
 		return;
 	}
 	for (int i = 0; i < FLOW_ATTEMPTS; i++) {
 		struct flow_attempt *attempt = &request->attempts[i];
 
-		if (attempt->live && now >= attempt->ask_us) {
-			ask(flow, request, attempt);
+		if (attempt->live && now >= attempt->query_due_us) {
+			query_attempt(flow, request, attempt);
 			return;
 		}
 	}
-	flow_set_wake(flow, request);
+	flow_update_wake(flow, request);
 }
 
-void flow_end_by(struct flow *flow, int64_t end_us)
+void flow_cap_deadlines(struct flow *flow, int64_t end_us)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	flow->end_us = end_us;
+	flow->deadline_cap_us = end_us;
 	g_hash_table_iter_init(&iter, flow->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct flow_request *request = value;
 
 		request->deadline_us = MIN(request->deadline_us, end_us);
-		flow_set_wake(flow, request);
+		flow_update_wake(flow, request);
 	}
 }
 
-static void tick_services(struct flow *flow)
+static void tick_routes(struct flow *flow)
 {
 	GHashTableIter iter;
 	gpointer service;
@@ -463,12 +471,12 @@
 	flow->services_tick_us = flow_now_us(flow) + SERVICE_TICK_US;
 	g_hash_table_iter_init(&iter, flow->services);
 	while (g_hash_table_iter_next(&iter, NULL, &service))
-		route_tick(((struct service *)service)->route);
+		route_tick(((struct flow_service *)service)->route);
 }
 
 void flow_tick(struct flow *flow)
 {
-	tick_services(flow);
+	tick_routes(flow);
 	while (true) {
 		GSequenceIter *first = g_sequence_get_begin_iter(flow->wakes);
 		struct flow_request *request;
@@ -478,7 +486,7 @@
 		request = g_sequence_get(first);
 		if (request->wake_us > flow_now_us(flow))
 			return;
-		step(flow, request);
+		run_due_action(flow, request);
 	}
 }
 
@@ -493,7 +501,7 @@
 	return request->wake_us;
 }
 
-uint32_t flow_live(const struct flow *flow)
+uint32_t flow_request_count(const struct flow *flow)
 {
 	return g_hash_table_size(flow->requests);
 }
--- a/policy/queue.c
+++ b/policy/queue.c
@@ -1,18 +1,18 @@
 #include "policy/queue.h"
 
-#define ORGS_KEPT 1024 /* idle organisations whose virtual time is kept */
+#define ORGS_MAX 1024 /* above this, organisations without items are freed */
 
 struct queue_org {
 	char *name;
 	uint32_t weight;
-	double vtime;
-	GSequence *items;     /* by deadline */
-	GSequenceIter *place; /* among active, NULL when idle */
+	double virtual_time;
+	GSequence *items;	 /* by deadline */
+	GSequenceIter *position; /* in queue->active; NULL if no items */
 };
 
 struct queue {
 	bool fifo;
-	double vtime;
+	double virtual_time;
 	uint64_t pushed;
 	uint32_t length;
 	double active_weight;
@@ -49,15 +49,18 @@
 	g_free(queue);
 }
 
-static int by_vtime(gconstpointer a, gconstpointer b, gpointer userdata)
+static int compare_virtual_times(gconstpointer a, gconstpointer b,
+				 gpointer userdata)
 {
 	const struct queue_org *left = a;
 	const struct queue_org *right = b;
 
-	return (left->vtime > right->vtime) - (left->vtime < right->vtime);
+	return (left->virtual_time > right->virtual_time) -
+	       (left->virtual_time < right->virtual_time);
 }
 
-static int by_deadline(gconstpointer a, gconstpointer b, gpointer userdata)
+static int compare_deadlines(gconstpointer a, gconstpointer b,
+			     gpointer userdata)
 {
 	const struct queue_item *left = a;
 	const struct queue_item *right = b;
@@ -70,7 +73,7 @@
 {
 	const struct queue_org *org = value;
 
-	return !org->place;
+	return !org->position;
 }
 
 static struct queue_org *get_org(struct queue *queue, const char *name)
@@ -79,7 +82,7 @@
 
 	if (org)
 		return org;
-	if (g_hash_table_size(queue->orgs) > ORGS_KEPT)
+	if (g_hash_table_size(queue->orgs) > ORGS_MAX)
 		g_hash_table_foreach_remove(queue->orgs, is_idle, NULL);
 	org = g_new0(struct queue_org, 1);
 	org->name = g_strdup(name);
@@ -91,16 +94,16 @@
 
 static void activate(struct queue *queue, struct queue_org *org)
 {
-	org->vtime = MAX(org->vtime, queue->vtime);
-	org->place =
-		g_sequence_insert_sorted(queue->active, org, by_vtime, NULL);
+	org->virtual_time = MAX(org->virtual_time, queue->virtual_time);
+	org->position = g_sequence_insert_sorted(queue->active, org,
+						 compare_virtual_times, NULL);
 	queue->active_weight += org->weight;
 }
 
 static void deactivate(struct queue *queue, struct queue_org *org)
 {
-	g_sequence_remove(org->place);
-	org->place = NULL;
+	g_sequence_remove(org->position);
+	org->position = NULL;
 	queue->active_weight -= org->weight;
 }
 
@@ -109,16 +112,16 @@
 {
 	struct queue_org *org = get_org(queue, queue->fifo ? "" : organisation);
 
-	if (!org->place)
+	if (!org->position)
 		org->weight = MAX(1, weight);
 	item->org = org;
 	if (queue->fifo)
-		item->place = g_sequence_append(org->items, item);
+		item->position = g_sequence_append(org->items, item);
 	else
-		item->place = g_sequence_insert_sorted(org->items, item,
-						       by_deadline, NULL);
+		item->position = g_sequence_insert_sorted(
+			org->items, item, compare_deadlines, NULL);
 	queue->length += 1;
-	if (!org->place)
+	if (!org->position)
 		activate(queue, org);
 }
 
@@ -126,8 +129,8 @@
 {
 	struct queue_org *org = item->org;
 
-	g_sequence_remove(item->place);
-	item->place = NULL;
+	g_sequence_remove(item->position);
+	item->position = NULL;
 	item->org = NULL;
 	queue->length -= 1;
 	if (g_sequence_is_empty(org->items))
@@ -144,17 +147,18 @@
 		return NULL;
 	org = g_sequence_get(first);
 	item = g_sequence_get(g_sequence_get_begin_iter(org->items));
-	queue->vtime = org->vtime;
-	org->vtime += 1.0 / org->weight;
+	queue->virtual_time = org->virtual_time;
+	org->virtual_time += 1.0 / org->weight;
 	queue_remove(queue, item);
-	if (org->place)
-		g_sequence_sort_changed(org->place, by_vtime, NULL);
+	if (org->position)
+		g_sequence_sort_changed(org->position, compare_virtual_times,
+					NULL);
 	return item;
 }
 
-bool queue_holds(const struct queue_item *item)
+bool queue_item_is_queued(const struct queue_item *item)
 {
-	return item->place;
+	return item->position;
 }
 
 uint32_t queue_length(const struct queue *queue)
@@ -170,20 +174,21 @@
 	return org ? (uint32_t)g_sequence_get_length(org->items) : 0;
 }
 
-double queue_ahead(const struct queue *queue, const char *organisation,
-		   uint32_t weight)
+double queue_calls_ahead(const struct queue *queue, const char *organisation,
+			 uint32_t weight)
 {
 	const struct queue_org *org =
 		g_hash_table_lookup(queue->orgs, organisation);
-	double own = weight ? weight : 1;
-	double others = queue->active_weight;
+	double own_weight = weight ? weight : 1;
+	double other_weight = queue->active_weight;
 	double ahead;
 
 	if (queue->fifo || !queue->length)
 		return queue->length;
-	if (org && org->place)
-		others -= org->weight;
-	ahead = queue_org_length(queue, organisation) * (own + others) / own +
-		others / own;
+	if (org && org->position)
+		other_weight -= org->weight;
+	ahead = queue_org_length(queue, organisation) *
+			(own_weight + other_weight) / own_weight +
+		other_weight / own_weight;
 	return MIN(ahead, queue->length);
 }
--- a/policy/rate_limit.c
+++ b/policy/rate_limit.c
@@ -3,66 +3,71 @@
 #include <glib.h>
 #include <math.h>
 
-/* What is known is told again this often at the most. */
-#define TELL_EACH_US (1 * LP_US_PER_S)
-/* The end of a limit is told again for so long. */
-#define TELL_END_US (5 * LP_US_PER_S)
+/* Minimum interval between broadcasts of a known limit. */
+#define BROADCAST_INTERVAL_US (1 * LP_US_PER_S)
+/* Time for which the withdrawal of a limit is broadcast again. */
+#define WITHDRAWAL_BROADCAST_US (5 * LP_US_PER_S)
 
-bool rate_limit_hear(struct rate_limit *limit,
-		     const struct rate_limit_word *word)
+bool rate_limit_update(struct rate_limit *limit,
+		       const struct rate_limit_report *report)
 {
-	bool changed = limit->named != word->named ||
-		       (word->named && limit->per_s != word->per_s);
+	bool changed = limit->advertised != report->advertised ||
+		       (report->advertised && limit->per_s != report->per_s);
 
-	if (word->heard_us < limit->heard_us)
+	if (report->answered_us < limit->answered_us)
 		return false;
-	if (limit->named && !word->named)
-		limit->ended_us = word->heard_us;
-	limit->heard_us = word->heard_us;
-	limit->named = word->named;
-	limit->per_s = word->named ? word->per_s : 0;
+	if (limit->advertised && !report->advertised)
+		limit->withdrawn_us = report->answered_us;
+	limit->answered_us = report->answered_us;
+	limit->advertised = report->advertised;
+	limit->per_s = report->advertised ? report->per_s : 0;
 	return changed;
 }
 
-bool rate_limit_is_to_be_told(const struct rate_limit *limit, int64_t now_us)
+bool rate_limit_needs_broadcast(const struct rate_limit *limit, int64_t now_us)
 {
-	bool has_ended_lately =
-		limit->ended_us && now_us - limit->ended_us < TELL_END_US;
+	bool was_withdrawn_recently =
+		limit->withdrawn_us &&
+		now_us - limit->withdrawn_us < WITHDRAWAL_BROADCAST_US;
 
-	return (limit->named || has_ended_lately) &&
-	       now_us - limit->told_us >= TELL_EACH_US;
+	return (limit->advertised || was_withdrawn_recently) &&
+	       now_us - limit->broadcast_us >= BROADCAST_INTERVAL_US;
 }
 
-static double owner_part(const struct rate_limit_fleet *fleet)
+static double owner_fraction(const struct rate_limit_fleet *fleet)
 {
-	double part = fleet->owner_us < RATE_LIMIT_NEW_US ? RATE_LIMIT_NEW_OWNER
-							  : RATE_LIMIT_OWNER;
+	double fraction = fleet->owner_for_us < RATE_LIMIT_NEW_OWNER_US
+				  ? RATE_LIMIT_NEW_OWNER_FRACTION
+				  : RATE_LIMIT_OWNER_FRACTION;
 
-	return part * fleet->heard / fleet->known;
+	return fraction * fleet->reachable_entries / fleet->known_entries;
 }
 
 struct rate_limit_share
 rate_limit_find_share(const struct rate_limit_fleet *fleet)
 {
-	if (fleet->known <= 1)
-		return (struct rate_limit_share){ .part = RATE_LIMIT_OWNER };
+	if (fleet->known_entries <= 1)
+		return (struct rate_limit_share){
+			.fraction = RATE_LIMIT_OWNER_FRACTION
+		};
 	if (fleet->has_owner && fleet->is_owner)
-		return (struct rate_limit_share){ .part = owner_part(fleet) };
+		return (struct rate_limit_share){ .fraction = owner_fraction(
+							  fleet) };
 	return (struct rate_limit_share){
-		.part = (fleet->has_owner ? RATE_LIMIT_OTHERS
-					  : RATE_LIMIT_EACH) /
-			fleet->known,
-		.valid_us = RATE_LIMIT_VALID_US,
+		.fraction = (fleet->has_owner ? RATE_LIMIT_OTHERS_FRACTION
+					      : RATE_LIMIT_NO_OWNER_FRACTION) /
+			    fleet->known_entries,
+		.slot_valid_us = RATE_LIMIT_SLOT_VALID_US,
 	};
 }
 
-double rate_limit_own_per_s(const struct rate_limit *limit,
-			    const struct rate_limit_share *share)
+double rate_limit_share_per_s(const struct rate_limit *limit,
+			      const struct rate_limit_share *share)
 {
-	return MAX(limit->per_s, RATE_LIMIT_MIN_PER_S) * share->part;
+	return MAX(limit->per_s, RATE_LIMIT_MIN_PER_S) * share->fraction;
 }
 
-/* When the slot that holds this moment has begun. */
+/* Start of the slot that contains `now_us`. */
 static int64_t slot_start_us(const struct rate_limit_share *share,
 			     double slot_us, int64_t now_us)
 {
@@ -77,18 +82,18 @@
 	double slot_us;
 	int64_t start_us;
 
-	if (!limit->named)
+	if (!limit->advertised)
 		return 0;
-	slot_us = LP_US_PER_S / rate_limit_own_per_s(limit, share);
+	slot_us = LP_US_PER_S / rate_limit_share_per_s(limit, share);
 	start_us = slot_start_us(share, slot_us, now_us);
-	if (limit->sent_us < start_us &&
-	    (!share->valid_us || now_us - start_us < share->valid_us))
+	if (limit->last_sent_us < start_us &&
+	    (!share->slot_valid_us || now_us - start_us < share->slot_valid_us))
 		return 0;
 	return MAX(start_us + (int64_t)slot_us - now_us, 1);
 }
 
-void rate_limit_sent(struct rate_limit *limit, int64_t now_us)
+void rate_limit_note_sent(struct rate_limit *limit, int64_t now_us)
 {
-	if (limit->named)
-		limit->sent_us = now_us;
+	if (limit->advertised)
+		limit->last_sent_us = now_us;
 }
--- a/policy/route.c
+++ b/policy/route.c
@@ -7,21 +7,22 @@
 #include <string.h>
 
 #define DEFAULT_REMOTE_COST_US (1 * LP_US_PER_MS)
-#define DEFAULT_SILENCE_US (7 * LP_US_PER_S)
-#define RING_POINTS 32	   /* per upstream */
-#define RING_STEPS 8	   /* owners tried for an affinity */
-#define AFFINITY_BOUND 1.5 /* times the mean load */
-#define AFFINITY_GAIN 2.0  /* others must be this much faster to win */
-#define TRIES 8		   /* random draws before a scan */
-#define FAILURES_ASIDE 5   /* in a row */
-#define ERROR_SHARE_ASIDE 0.6
+#define DEFAULT_REPORT_TIMEOUT_US (7 * LP_US_PER_S)
+#define RING_POINTS 32		/* per upstream */
+#define RING_OWNERS_MAX 8	/* upstreams tried for an affinity */
+#define AFFINITY_LOAD_BOUND 1.5 /* times the mean load per upstream */
+#define AFFINITY_SPEED_ADVANTAGE \
+	2.0		    /* how much faster another upstream must be */
+#define RANDOM_DRAWS 8	    /* random draws before a linear scan */
+#define EJECTION_FAILURES 5 /* in a row */
+#define EJECTION_ERROR_RATE 0.6
 #define ERROR_SMOOTHING 0.1
-#define ASIDE_US (1 * LP_US_PER_S)
-#define ASIDE_DOUBLINGS 5
-#define ASIDE_SHARE_MAX 3		  /* at most one third of a service */
-#define ERROR_COST_US (50 * LP_US_PER_MS) /* what a failed call costs */
-#define ERROR_HALF_LIFE_US (5.0 * LP_US_PER_S) /* without calls */
-#define STALE_RUN_US (5 * LP_US_PER_S) /* a slow record fades after this */
+#define EJECTION_US (1 * LP_US_PER_S)
+#define EJECTION_DOUBLINGS_MAX 5
+#define EJECTED_SHARE_DIVISOR 3		  /* at most one third of a service */
+#define ERROR_COST_US (50 * LP_US_PER_MS) /* per expected failure */
+#define ERROR_HALF_LIFE_US (5.0 * LP_US_PER_S) /* while no calls end */
+#define RUN_TIME_FADE_US (5 * LP_US_PER_S) /* of an idle upstream's report */
 
 struct ring_point {
 	uint64_t hash;
@@ -33,14 +34,14 @@
 	char *domain;
 	GRand *random;
 	GHashTable *by_name;
-	GPtrArray *all;
-	GPtrArray *near; /* own domain */
-	GPtrArray *far;
+	GPtrArray *upstreams;
+	GPtrArray *local; /* own domain */
+	GPtrArray *remote;
 	GArray *ring;
 	bool ring_stale;
 	uint32_t inflight;
-	uint32_t aside; /* set aside now, counted at tick */
-	uint32_t slots; /* of usable upstreams, counted at tick */
+	uint32_t ejected; /* counted at each tick, and ejections since */
+	uint32_t slots;	  /* of eligible upstreams, counted at each tick */
 };
 
 static int64_t now_us(const struct route *route)
@@ -64,15 +65,15 @@
 	route->options = *options;
 	if (!route->options.remote_cost_us)
 		route->options.remote_cost_us = DEFAULT_REMOTE_COST_US;
-	if (!route->options.silence_us)
-		route->options.silence_us = DEFAULT_SILENCE_US;
+	if (!route->options.report_timeout_us)
+		route->options.report_timeout_us = DEFAULT_REPORT_TIMEOUT_US;
 	route->domain = g_strdup(options->domain);
 	route->random = g_rand_new_with_seed((guint32)options->seed);
 	route->by_name = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       free_upstream);
-	route->all = g_ptr_array_new();
-	route->near = g_ptr_array_new();
-	route->far = g_ptr_array_new();
+	route->upstreams = g_ptr_array_new();
+	route->local = g_ptr_array_new();
+	route->remote = g_ptr_array_new();
 	route->ring = g_array_new(FALSE, FALSE, sizeof(struct ring_point));
 	return route;
 }
@@ -82,20 +83,20 @@
 	if (!route)
 		return;
 	g_array_unref(route->ring);
-	g_ptr_array_unref(route->near);
-	g_ptr_array_unref(route->far);
-	g_ptr_array_unref(route->all);
+	g_ptr_array_unref(route->local);
+	g_ptr_array_unref(route->remote);
+	g_ptr_array_unref(route->upstreams);
 	g_hash_table_unref(route->by_name);
 	g_rand_free(route->random);
 	g_free(route->domain);
 	g_free(route);
 }
 
-static GPtrArray *side_of(const struct route *route,
-			  const struct route_upstream *upstream)
+static GPtrArray *domain_upstreams(const struct route *route,
+				   const struct route_upstream *upstream)
 {
-	return strcmp(upstream->domain, route->domain) ? route->far
-						       : route->near;
+	return strcmp(upstream->domain, route->domain) ? route->remote
+						       : route->local;
 }
 
 struct route_upstream *route_find(const struct route *route, const char *name)
@@ -103,8 +104,8 @@
 	return g_hash_table_lookup(route->by_name, name);
 }
 
-struct route_upstream *route_add(struct route *route, const char *name,
-				 const char *domain)
+struct route_upstream *route_find_or_add(struct route *route, const char *name,
+					 const char *domain)
 {
 	struct route_upstream *upstream = route_find(route, name);
 
@@ -113,10 +114,10 @@
 	upstream = g_new0(struct route_upstream, 1);
 	upstream->name = g_strdup(name);
 	upstream->domain = g_strdup(domain);
-	upstream->silent = true; /* until its first word */
+	upstream->silent = true; /* until its first report */
 	g_hash_table_insert(route->by_name, upstream->name, upstream);
-	g_ptr_array_add(route->all, upstream);
-	g_ptr_array_add(side_of(route, upstream), upstream);
+	g_ptr_array_add(route->upstreams, upstream);
+	g_ptr_array_add(domain_upstreams(route, upstream), upstream);
 	route->ring_stale = true;
 	return upstream;
 }
@@ -128,144 +129,152 @@
 	if (!upstream)
 		return;
 	route->inflight -= upstream->inflight;
-	g_ptr_array_remove_fast(side_of(route, upstream), upstream);
-	g_ptr_array_remove_fast(route->all, upstream);
+	g_ptr_array_remove_fast(domain_upstreams(route, upstream), upstream);
+	g_ptr_array_remove_fast(route->upstreams, upstream);
 	route->ring_stale = true;
 	g_hash_table_remove(route->by_name, name);
 }
 
-bool route_heard(struct route *route, struct route_upstream *upstream,
-		 const struct route_word *word)
+bool route_apply_report(struct route *route, struct route_upstream *upstream,
+			const struct route_report *report)
 {
-	bool changed = upstream->incarnation &&
-		       upstream->incarnation != word->incarnation;
+	bool restarted = upstream->incarnation &&
+			 upstream->incarnation != report->incarnation;
 
-	/* A word sent before the last one we have tells nothing new. */
-	if (upstream->incarnation == word->incarnation &&
-	    word->agent_time_us < upstream->agent_time_us)
+	/* Reports may be reordered on the way; an older one is ignored. */
+	if (upstream->incarnation == report->incarnation &&
+	    report->agent_time_us < upstream->agent_time_us)
 		return false;
-	upstream->incarnation = word->incarnation;
-	upstream->agent_time_us = word->agent_time_us;
-	upstream->heard_us = now_us(route);
-	upstream->revision = word->revision;
-	upstream->queued = word->queued;
-	upstream->running = word->running;
-	upstream->limit = word->limit;
-	upstream->wait_us = word->wait_us;
-	upstream->run_us = word->run_us;
-	upstream->leaving = word->leaving;
+	upstream->incarnation = report->incarnation;
+	upstream->agent_time_us = report->agent_time_us;
+	upstream->report_received_us = now_us(route);
+	upstream->revision = report->revision;
+	upstream->queued = report->queued;
+	upstream->running = report->running;
+	upstream->limit = report->limit;
+	upstream->wait_us = report->wait_us;
+	upstream->run_us = report->run_us;
+	upstream->draining = report->draining;
 	upstream->silent = false;
-	upstream->sent_since = 0;
-	if (changed) {
-		upstream->failures = 0;
-		upstream->error_share = 0;
-		upstream->aside_until_us = 0;
-		upstream->set_asides = 0;
+	upstream->sent_since_report = 0;
+	if (restarted) {
+		upstream->consecutive_failures = 0;
+		upstream->error_rate = 0;
+		upstream->ejected_until_us = 0;
+		upstream->ejections = 0;
 	}
-	return changed;
+	return restarted;
 }
 
-bool route_set_aside(const struct route *route,
-		     const struct route_upstream *upstream)
+bool route_is_ejected(const struct route *route,
+		      const struct route_upstream *upstream)
 {
-	return upstream->aside_until_us > now_us(route);
+	return upstream->ejected_until_us > now_us(route);
 }
 
 static bool eligible(const struct route *route,
 		     const struct route_upstream *upstream,
 		     const struct route_query *query)
 {
-	if (upstream->leaving || upstream->listed_leaving || upstream->silent)
+	if (upstream->draining || upstream->listed_draining || upstream->silent)
 		return false;
 	if (query && query->avoid == upstream)
 		return false;
-	return route->options.naive || !route_set_aside(route, upstream);
+	return route->options.naive || !route_is_ejected(route, upstream);
 }
 
-/* Share of calls expected to fail; fades while nothing is tried. */
-static double error_share(const struct route *route,
-			  const struct route_upstream *upstream)
+/* The expected share of failing calls; decays while no calls end. */
+static double current_error_rate(const struct route *route,
+				 const struct route_upstream *upstream)
 {
-	double idle_us = (double)(now_us(route) - upstream->ended_us);
+	double idle_us = (double)(now_us(route) - upstream->last_call_ended_us);
 
-	return upstream->error_share * exp2(-idle_us / ERROR_HALF_LIFE_US);
+	return upstream->error_rate * exp2(-idle_us / ERROR_HALF_LIFE_US);
 }
 
 /*
- * Time a call sent now would take: the reported wait, less the time since,
- * plus what we sent after that report, plus the usual run. A record of slow
- * runs fades, so that an upstream that recovered is tried again.
+ * The expected time of a call sent now: the reported queueing time less the age
+ * of the report, plus the calls sent since, plus the usual run time. The run
+ * time of an idle upstream fades, so that a recovered one is tried again.
  */
-static int64_t score_us(const struct route *route,
-			const struct route_upstream *upstream)
+static int64_t expected_time_us(const struct route *route,
+				const struct route_upstream *upstream)
 {
-	int64_t age_us = now_us(route) - upstream->heard_us;
+	int64_t age_us = now_us(route) - upstream->report_received_us;
 	int64_t wait_us = MAX(0, (int64_t)upstream->wait_us - age_us);
 	int64_t run_us = upstream->run_us;
 	uint32_t limit = MAX(1, upstream->limit);
-	uint32_t busy =
-		upstream->running + upstream->queued + upstream->sent_since;
+	uint32_t busy = upstream->running + upstream->queued +
+			upstream->sent_since_report;
 
-	if (!upstream->inflight && age_us > STALE_RUN_US)
-		run_us = run_us * STALE_RUN_US / age_us;
+	if (!upstream->inflight && age_us > RUN_TIME_FADE_US)
+		run_us = run_us * RUN_TIME_FADE_US / age_us;
 	if (busy >= limit)
-		wait_us += run_us * upstream->sent_since / limit;
-	if (upstream->error_share > 0)
-		wait_us +=
-			(int64_t)(error_share(route, upstream) * ERROR_COST_US);
-	/* Among idle ones prefer the emptier: batches slow each other. */
+		wait_us += run_us * upstream->sent_since_report / limit;
+	if (upstream->error_rate > 0)
+		wait_us += (int64_t)(current_error_rate(route, upstream) *
+				     ERROR_COST_US);
+	/* Prefer emptier upstreams: calls in a batch slow each other. */
 	return wait_us + run_us + run_us * MIN(busy, limit) / limit / 2;
 }
 
-static struct route_upstream *draw(struct route *route, GPtrArray *from,
-				   const struct route_query *query)
+static struct route_upstream *draw_eligible(struct route *route,
+					    GPtrArray *candidates,
+					    const struct route_query *query)
 {
 	struct route_upstream *upstream;
 	guint start;
 
-	if (!from->len)
+	if (!candidates->len)
 		return NULL;
-	for (int i = 0; i < TRIES; i++) {
+	for (int i = 0; i < RANDOM_DRAWS; i++) {
 		upstream = g_ptr_array_index(
-			from,
-			g_rand_int_range(route->random, 0, (gint32)from->len));
+			candidates, g_rand_int_range(route->random, 0,
+						     (gint32)candidates->len));
 		if (eligible(route, upstream, query))
 			return upstream;
 	}
-	start = (guint)g_rand_int_range(route->random, 0, (gint32)from->len);
-	for (guint i = 0; i < from->len; i++) {
-		upstream = g_ptr_array_index(from, (start + i) % from->len);
+	start = (guint)g_rand_int_range(route->random, 0,
+					(gint32)candidates->len);
+	for (guint i = 0; i < candidates->len; i++) {
+		upstream = g_ptr_array_index(candidates,
+					     (start + i) % candidates->len);
 		if (eligible(route, upstream, query))
 			return upstream;
 	}
 	return NULL;
 }
 
-static struct route_upstream *better(const struct route *route,
-				     struct route_upstream *a,
-				     struct route_upstream *b,
-				     int64_t cost_b_us)
+static struct route_upstream *faster_of(const struct route *route,
+					struct route_upstream *a,
+					struct route_upstream *b,
+					int64_t cost_b_us)
 {
 	if (!a || !b)
 		return a ? a : b;
-	return score_us(route, b) + cost_b_us < score_us(route, a) ? b : a;
+	return expected_time_us(route, b) + cost_b_us <
+			       expected_time_us(route, a)
+		       ? b
+		       : a;
 }
 
 static struct route_upstream *pick_by_load(struct route *route,
 					   const struct route_query *query)
 {
-	struct route_upstream *near;
-	struct route_upstream *far;
-
-	near = draw(route, route->near, query);
-	near = better(route, near, draw(route, route->near, query), 0);
-	far = draw(route, route->far, query);
-	if (!near)
-		return better(route, far, draw(route, route->far, query), 0);
-	return better(route, near, far, route->options.remote_cost_us);
+	struct route_upstream *local;
+	struct route_upstream *remote;
+
+	local = draw_eligible(route, route->local, query);
+	local = faster_of(route, local,
+			  draw_eligible(route, route->local, query), 0);
+	remote = draw_eligible(route, route->remote, query);
+	if (!local)
+		return faster_of(route, remote,
+				 draw_eligible(route, route->remote, query), 0);
+	return faster_of(route, local, remote, route->options.remote_cost_us);
 }
 
-static int compare_points(const void *a, const void *b)
+static int compare_ring_points(const void *a, const void *b)
 {
 	const struct ring_point *left = a;
 	const struct ring_point *right = b;
@@ -276,9 +285,9 @@
 static void build_ring(struct route *route)
 {
 	g_array_set_size(route->ring, 0);
-	for (guint i = 0; i < route->all->len; i++) {
+	for (guint i = 0; i < route->upstreams->len; i++) {
 		struct route_upstream *upstream =
-			g_ptr_array_index(route->all, i);
+			g_ptr_array_index(route->upstreams, i);
 		uint64_t base = lp_hash_str(upstream->name);
 
 		for (uint64_t point = 0; point < RING_POINTS; point++) {
@@ -287,7 +296,7 @@
 			g_array_append_val(route->ring, entry);
 		}
 	}
-	g_array_sort(route->ring, compare_points);
+	g_array_sort(route->ring, compare_ring_points);
 	route->ring_stale = false;
 }
 
@@ -308,34 +317,34 @@
 	return low;
 }
 
-static bool within_bound(const struct route *route,
-			 const struct route_upstream *upstream)
+static bool has_bounded_load(const struct route *route,
+			     const struct route_upstream *upstream)
 {
-	double mean = (route->inflight + 1.0) / route->all->len;
+	double mean = (route->inflight + 1.0) / route->upstreams->len;
 
-	return upstream->inflight < mean * AFFINITY_BOUND + 1;
+	return upstream->inflight < mean * AFFINITY_LOAD_BOUND + 1;
 }
 
 static struct route_upstream *pick_by_affinity(struct route *route,
 					       const struct route_query *query)
 {
-	struct route_upstream *last = NULL;
-	guint at;
+	struct route_upstream *previous = NULL;
+	guint position;
 
 	if (route->ring_stale)
 		build_ring(route);
-	at = ring_position(route, query->affinity);
-	for (int i = 0; i < RING_STEPS * RING_POINTS; i++) {
+	position = ring_position(route, query->affinity);
+	for (int i = 0; i < RING_OWNERS_MAX * RING_POINTS; i++) {
 		struct route_upstream *upstream =
 			g_array_index(route->ring, struct ring_point,
-				      (at + i) % route->ring->len)
+				      (position + i) % route->ring->len)
 				.upstream;
 
-		if (upstream == last)
+		if (upstream == previous)
 			continue;
-		last = upstream;
+		previous = upstream;
 		if (eligible(route, upstream, query) &&
-		    within_bound(route, upstream))
+		    has_bounded_load(route, upstream))
 			return upstream;
 	}
 	return NULL;
@@ -347,65 +356,66 @@
 	struct route_upstream *owner;
 	struct route_upstream *other;
 
-	if (!route->all->len)
+	if (!route->upstreams->len)
 		return NULL;
 	if (route->options.naive)
-		return draw(route, route->all, query);
+		return draw_eligible(route, route->upstreams, query);
 	other = pick_by_load(route, query);
 	if (!query->affinity)
 		return other;
 	owner = pick_by_affinity(route, query);
 	if (!owner || !other)
 		return owner ? owner : other;
-	if (score_us(route, other) * AFFINITY_GAIN < score_us(route, owner))
+	if (expected_time_us(route, other) * AFFINITY_SPEED_ADVANTAGE <
+	    expected_time_us(route, owner))
 		return other;
 	return owner;
 }
 
-void route_sent(struct route *route, struct route_upstream *upstream)
+void route_call_sent(struct route *route, struct route_upstream *upstream)
 {
 	upstream->inflight += 1;
-	upstream->sent_since += 1;
+	upstream->sent_since_report += 1;
 	route->inflight += 1;
 }
 
-static void put_aside(struct route *route, struct route_upstream *upstream)
+static void eject_upstream(struct route *route, struct route_upstream *upstream)
 {
-	uint32_t doublings = MIN(upstream->set_asides, ASIDE_DOUBLINGS);
+	uint32_t doublings = MIN(upstream->ejections, EJECTION_DOUBLINGS_MAX);
 
-	if ((route->aside + 1) * ASIDE_SHARE_MAX > route->all->len)
+	if ((route->ejected + 1) * EJECTED_SHARE_DIVISOR >
+	    route->upstreams->len)
 		return;
-	upstream->aside_until_us = now_us(route) + (ASIDE_US << doublings);
-	upstream->set_asides += 1;
-	upstream->failures = 0;
-	upstream->error_share = 0;
-	route->aside += 1;
+	upstream->ejected_until_us = now_us(route) + (EJECTION_US << doublings);
+	upstream->ejections += 1;
+	upstream->consecutive_failures = 0;
+	upstream->error_rate = 0;
+	route->ejected += 1;
 }
 
-void route_ended(struct route *route, struct route_upstream *upstream,
-		 bool failed)
+void route_call_ended(struct route *route, struct route_upstream *upstream,
+		      bool failed)
 {
 	if (upstream->inflight) {
 		upstream->inflight -= 1;
 		route->inflight -= 1;
 	}
-	upstream->error_share = error_share(route, upstream);
-	upstream->error_share +=
-		((failed ? 1.0 : 0.0) - upstream->error_share) *
-		ERROR_SMOOTHING;
-	upstream->ended_us = now_us(route);
+	upstream->error_rate = current_error_rate(route, upstream);
+	upstream->error_rate +=
+		((failed ? 1.0 : 0.0) - upstream->error_rate) * ERROR_SMOOTHING;
+	upstream->last_call_ended_us = now_us(route);
 	if (!failed) {
-		upstream->failures = 0;
-		if (upstream->error_share < ERROR_SMOOTHING)
-			upstream->set_asides = 0;
+		upstream->consecutive_failures = 0;
+		if (upstream->error_rate < ERROR_SMOOTHING)
+			upstream->ejections = 0;
 		return;
 	}
-	upstream->failures += 1;
-	if (route_set_aside(route, upstream))
+	upstream->consecutive_failures += 1;
+	if (route_is_ejected(route, upstream))
 		return;
-	if (upstream->failures >= FAILURES_ASIDE ||
-	    upstream->error_share > ERROR_SHARE_ASIDE)
-		put_aside(route, upstream);
+	if (upstream->consecutive_failures >= EJECTION_FAILURES ||
+	    upstream->error_rate > EJECTION_ERROR_RATE)
+		eject_upstream(route, upstream);
 }
 
 int64_t route_estimate_us(struct route *route)
@@ -413,10 +423,10 @@
 	const struct route_query query = { 0 };
 	struct route_upstream *upstream;
 
-	if (!route->all->len)
+	if (!route->upstreams->len)
 		return -1;
 	upstream = pick_by_load(route, &query);
-	return upstream ? score_us(route, upstream) : -1;
+	return upstream ? expected_time_us(route, upstream) : -1;
 }
 
 uint32_t route_slots(const struct route *route)
@@ -426,25 +436,26 @@
 
 struct route_upstream *route_at(const struct route *route, uint32_t index)
 {
-	return g_ptr_array_index(route->all, index);
+	return g_ptr_array_index(route->upstreams, index);
 }
 
 uint32_t route_tick(struct route *route)
 {
 	uint32_t silent = 0;
 
-	route->aside = 0;
+	route->ejected = 0;
 	route->slots = 0;
-	for (guint i = 0; i < route->all->len; i++) {
+	for (guint i = 0; i < route->upstreams->len; i++) {
 		struct route_upstream *upstream =
-			g_ptr_array_index(route->all, i);
+			g_ptr_array_index(route->upstreams, i);
 
-		if (route_set_aside(route, upstream))
-			route->aside += 1;
+		if (route_is_ejected(route, upstream))
+			route->ejected += 1;
 		if (eligible(route, upstream, NULL))
 			route->slots += upstream->limit;
-		if (upstream->silent || now_us(route) - upstream->heard_us <
-						route->options.silence_us)
+		if (upstream->silent ||
+		    now_us(route) - upstream->report_received_us <
+			    route->options.report_timeout_us)
 			continue;
 		upstream->silent = true;
 		silent += 1;
--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -1,7 +1,8 @@
 /**
- * The whole path in one process, over loopback: the emulated platform, an
- * entry that calls upstreams directly, callers. The emulator writes down what
- * should never have reached it; a rig fails its test by it.
+ * End-to-end rig in one process, over loopback: the emulated platform, an entry
+ * that calls upstreams directly, and callers. The emulator records breaches of
+ * its rules, such as a request that must not run twice; a Rig that owns its
+ * platform reports each breach as a failure of the test.
  */
 #ifndef DIRECT_RIG_H
 #define DIRECT_RIG_H
@@ -15,8 +16,10 @@
 #include <string>
 #include <vector>
 
-inline bool turn_until(const std::function<bool()> &done,
-		       int64_t limit_ms = 10000)
+/* Runs the event loop until a condition holds or `limit_ms` have passed;
+ * returns the condition. */
+inline bool run_loop_until(const std::function<bool()> &done,
+			   int64_t limit_ms = 10000)
 {
 	const gint64 end_us = g_get_monotonic_time() + limit_ms * 1000;
 	const guint ticks = g_timeout_add(
@@ -31,8 +34,8 @@
 
 using Fields = std::map<std::string, std::string>;
 
-/* One request of a caller. */
-struct Ask {
+/* One request of a caller, sent by the constructor. */
+struct CallerRequest {
 	http_exchange *exchange;
 	uint32_t status = 0;
 	std::string body;
@@ -43,8 +46,9 @@
 	int64_t begun_us = g_get_monotonic_time();
 	int64_t took_us = 0;
 
-	Ask(const std::string &address, const char *id, const char *target,
-	    const Fields &more = {}, const char *body = "")
+	CallerRequest(const std::string &address, const char *id,
+		      const char *target, const Fields &more = {},
+		      const char *body = "")
 	{
 		static const http_exchange_events events = { on_head, on_body,
 							     on_done };
@@ -74,7 +78,7 @@
 		exchange = http_exchange_start(&options);
 		http_fields_clear(&fields);
 	}
-	~Ask()
+	~CallerRequest()
 	{
 		if (exchange && !done)
 			http_exchange_cancel(exchange);
@@ -82,41 +86,41 @@
 	static void on_head(void *self, uint32_t status,
 			    const http_fields *fields)
 	{
-		auto *ask = static_cast<Ask *>(self);
+		auto *request = static_cast<CallerRequest *>(self);
 		const char *after = http_fields_get(fields, "Retry-After");
 		const char *seal = http_fields_get(fields, "X-Server-Seal");
 
-		ask->status = status;
-		ask->retry_after = after ? after : "";
-		ask->seal = seal ? seal : "";
+		request->status = status;
+		request->retry_after = after ? after : "";
+		request->seal = seal ? seal : "";
 	}
 	static void on_body(void *self, const char *bytes, size_t size)
 	{
-		static_cast<Ask *>(self)->body.append(bytes, size);
+		static_cast<CallerRequest *>(self)->body.append(bytes, size);
 	}
 	static void on_done(void *self, int error, bool)
 	{
-		auto *ask = static_cast<Ask *>(self);
+		auto *request = static_cast<CallerRequest *>(self);
 
-		ask->done = true;
-		ask->error = error;
-		ask->took_us = g_get_monotonic_time() - ask->begun_us;
+		request->done = true;
+		request->error = error;
+		request->took_us = g_get_monotonic_time() - request->begun_us;
 	}
-	Ask &wait()
+	CallerRequest &wait()
 	{
-		EXPECT_TRUE(turn_until([this] { return done; }));
+		EXPECT_TRUE(run_loop_until([this] { return done; }));
 		return *this;
 	}
-	void leave()
+	void cancel()
 	{
 		http_exchange_cancel(exchange);
 		done = true;
 	}
 };
 
-/* The platform, and one entry on it. */
-/* Where entries of a test hear each other. Tests run side by side: each holds
- * the TCP port of this number for as long as it runs. */
+/* The UDP port on which the entries of a test reach each other. Tests run in
+ * parallel: each reserves the number by listening on the same TCP port until it
+ * exits. */
 inline uint16_t peers_port()
 {
 	static uint16_t port = 0;
@@ -138,6 +142,7 @@
 	return port;
 }
 
+/* The emulated platform, and one entry on it. */
 struct Rig {
 	pe *platform;
 	bool owns_platform;
@@ -146,19 +151,19 @@
 	lp_counters *counters = lp_counters_create();
 	direct *entry = nullptr;
 	direct_peers *peers = nullptr;
-	plf_share *share = nullptr;
+	plf_peer_sync *share = nullptr;
 	store_kv *kv = nullptr;
 	plf_feed *feed = nullptr;
-	plf_kept *kept = nullptr;
+	plf_quarantine *kept = nullptr;
 	std::string address;
 	int64_t drain_us = 800000;
 
-	/* On a platform that outlives it. */
+	/* On a platform that is owned by the caller. */
 	explicit Rig(pe *platform) : platform(platform), owns_platform(false)
 	{
 		start(true);
 	}
-	/* On this clock. */
+	/* With this clock for the entry. */
 	explicit Rig(const lp_clock *clock, int64_t drain_us = 800000)
 	    : platform(pe_create()), owns_platform(true), clock(clock),
 	      drain_us(drain_us)
@@ -170,13 +175,13 @@
 	{
 		start(with_config);
 	}
-	/* Upstreams that leave may stay unknown for so long. */
+	/* A draining upstream may stay unknown to the entry for this time. */
 	explicit Rig(int64_t drain_us)
 	    : platform(pe_create()), owns_platform(true), drain_us(drain_us)
 	{
 		start(true);
 	}
-	/* One more entry on the platform of another one. */
+	/* A further entry on the platform of another rig. */
 	explicit Rig(Rig *other)
 	    : platform(other->platform), owns_platform(false)
 	{
@@ -202,13 +207,13 @@
 		if (owns_platform)
 			check_platform();
 	}
-	/* Its process ends at once, without a word to anyone. */
+	/* Terminates the entry abruptly, without notice to its peers. */
 	void end()
 	{
 		kv->ops->destroy(kv);
-		plf_share_destroy(share);
+		plf_peer_sync_destroy(share);
 		plf_feed_destroy(feed);
-		plf_kept_destroy(kept);
+		plf_quarantine_destroy(kept);
 		direct_destroy(entry);
 		direct_peers_destroy(peers);
 		lp_counters_destroy(counters);
@@ -236,8 +241,9 @@
 		options.domain = "a";
 		options.retry_ratio = 0.2;
 		options.retry_slack = 20;
-		options.kept_out = [](void *self, uint64_t content) {
-			plf_kept_write(static_cast<Rig *>(self)->kept, content);
+		options.blocked = [](void *self, uint64_t content) {
+			plf_quarantine_write(static_cast<Rig *>(self)->kept,
+					     content);
 		};
 		options.userdata = this;
 		for (int port = 21400; !entry && port < 21900; port++) {
@@ -270,8 +276,8 @@
 			auto *rig = static_cast<Rig *>(self);
 
 			if (rig->peers)
-				direct_peers_tell_list(rig->peers, hash,
-						       age_us);
+				direct_peers_report_upstream_list(rig->peers,
+								  hash, age_us);
 		};
 		options.userdata = this;
 		feed = plf_feed_create(&options);
@@ -279,18 +285,19 @@
 	}
 	void start_kept()
 	{
-		plf_kept_options options = {};
+		plf_quarantine_options options = {};
 
 		options.clock = clock;
 		options.log = log;
 		options.kv = kv;
 		options.direct = entry;
-		kept = plf_kept_create(&options);
+		kept = plf_quarantine_create(&options);
 	}
-	/* Serve lists and configurations to peers and fetch theirs. */
+	/* Exchanges upstream lists and configurations with peers, at this IP.
+	 */
 	void share_with(const char *ip)
 	{
-		plf_share_options options = {};
+		plf_peer_sync_options options = {};
 		std::string at = std::string(ip) + ":" +
 				 std::to_string(peers_port() + 60);
 
@@ -299,10 +306,10 @@
 		options.direct = entry;
 		options.feed = feed;
 		options.address = at.c_str();
-		share = plf_share_create(&options);
+		share = plf_peer_sync_create(&options);
 		ASSERT_NE(share, nullptr);
 	}
-	/* Share stages with the entries of these IPs. */
+	/* Makes the entry a peer of the entries at these IPs. */
 	void join(const char *ip, uint32_t capacity,
 		  std::vector<std::string> others, int64_t settle_us = 0)
 	{
@@ -316,17 +323,19 @@
 		options.log = log;
 		options.ip = ip;
 		options.capacity = capacity;
-		options.settle_us = settle_us;
+		options.slow_start_us = settle_us;
 		options.port = peers_port();
 		options.seeds = seeds.data();
-		options.unreachable = [](void *, uint64_t, int64_t) {};
-		options.list = [](void *self, const char *from, uint64_t hash,
-				  int64_t age_us) {
-			plf_share_heard_list(static_cast<Rig *>(self)->share,
-					     from, hash, age_us);
+		options.on_unreachable = [](void *, uint64_t, int64_t) {};
+		options.on_upstream_list = [](void *self, const char *from,
+					      uint64_t hash, int64_t age_us) {
+			plf_peer_sync_handle_list_hash(
+				static_cast<Rig *>(self)->share, from, hash,
+				age_us);
 		};
 		options.userdata = this;
-		options.config = [](void *, const char *, int64_t) {};
+		options.on_config_version = [](void *, const char *, int64_t) {
+		};
 		share_with(ip);
 		peers = direct_peers_create(&options);
 		ASSERT_NE(peers, nullptr);
@@ -343,35 +352,40 @@
 	{
 		return pe_add(platform, kind, service, "a");
 	}
-	/* The entry knows the configuration and all upstreams. */
+	/* Waits until the entry has the configuration and has read the list of
+	 * upstreams twice more. */
 	void settle(int64_t version = 1)
 	{
-		bool ready = turn_until([&] {
+		bool ready = run_loop_until([&] {
 			return direct_ready(entry) &&
 			       direct_config_version(entry) >= version;
 		});
-		int64_t polls = *calls();
+		int64_t polls = *range_calls();
 
 		EXPECT_TRUE(ready);
-		turn_until([&] { return *calls() >= polls + 2; }, 3000);
+		run_loop_until([&] { return *range_calls() >= polls + 2; },
+			       3000);
 	}
-	int64_t *calls()
+	/* Counter of the entry's reads of the key-value service. */
+	int64_t *range_calls()
 	{
 		return lp_counter(counters, "linepier_kv_calls_total",
 				  "purpose=\"range\"");
 	}
 };
 
-inline const char whole_stream[] =
+inline const char complete_stream[] =
 	"id: 1\ndata: token 1\n\nid: 2\ndata: token 2\n\n"
 	"id: 3\ndata: token 3\n\nid: 4\ndata: token 4\n\n"
 	"id: 5\ndata: token 5\n\nid: 6\ndata: token 6\n\n";
 
-/* A request with stages, of this id: its answer. */
-inline std::string ask_staged(const Rig &rig, const std::string &id)
+/* Sends a request with stages under this id and returns the body of its answer.
+ */
+inline std::string request_staged(const Rig &rig, const std::string &id)
 {
-	return Ask(rig.address, id.c_str(), "/staged/x",
-		   Fields{ { "X-Pieces", "3,2" }, { "X-Piece-Key", "k" + id } })
+	return CallerRequest(rig.address, id.c_str(), "/staged/x",
+			     Fields{ { "X-Pieces", "3,2" },
+				     { "X-Piece-Key", "k" + id } })
 		.wait()
 		.body;
 }
