--- a/tests/direct_test.cc
+++ b/tests/direct_test.cc
@@ -1,7 +1,7 @@
 /*
- * An entry that calls upstreams directly, against the emulated platform: the
- * whole path in one process, over loopback. Each test is a fault and the
- * promise that must outlive it.
+ * End-to-end tests of an entry that calls upstreams directly, against the
+ * emulated platform, in one process over loopback. Each test injects a fault
+ * and checks a guarantee that must hold in spite of it.
  */
 #include "direct_rig.h"
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-/* ---- a calm day ---- */
+/* ---- without faults ---- */
 
 TEST(Direct, ServesEachKindOfRequest)
 {
@@ -22,45 +22,47 @@
 	rig.add(PE_STAGE, "first");
 	rig.add(PE_STAGE, "second");
 	rig.settle();
-	Ask look(rig.address, "a1", "/look/x");
-	Ask order(rig.address, "a2", "/order/x", {}, "one box");
-	Ask once(rig.address, "a3", "/once/x");
-	Ask staged(rig.address, "a4", "/staged/x",
-		   { { "X-Pieces", "2,3" }, { "X-Piece-Key", "k" } });
+	CallerRequest look(rig.address, "a1", "/look/x");
+	CallerRequest order(rig.address, "a2", "/order/x", {}, "one box");
+	CallerRequest once(rig.address, "a3", "/once/x");
+	CallerRequest staged(rig.address, "a4", "/staged/x",
+			     { { "X-Pieces", "2,3" }, { "X-Piece-Key", "k" } });
 
 	EXPECT_EQ(look.wait().body, "whole");
 	EXPECT_EQ(look.seal, "mark");
 	EXPECT_EQ(order.wait().body, "whole");
-	EXPECT_EQ(once.wait().body, whole_stream);
-	EXPECT_EQ(staged.wait().body, whole_stream);
+	EXPECT_EQ(once.wait().body, complete_stream);
+	EXPECT_EQ(staged.wait().body, complete_stream);
 	EXPECT_EQ(staged.error, LP_OK);
 	EXPECT_EQ(pe_pieces_made(rig.platform), 5u);
 	EXPECT_EQ(pe_runs(rig.platform, "a2"), 1u);
-	EXPECT_TRUE(
-		turn_until([&] { return pe_pieces_kept(rig.platform) == 0; }));
+	EXPECT_TRUE(run_loop_until(
+		[&] { return pe_pieces_kept(rig.platform) == 0; }));
 }
 
-TEST(Direct, RefusesTruthfullyUntilItIsConfigured)
+TEST(Direct, RequestsAreRefusedBeforeTheFirstConfiguration)
 {
 	Rig rig(false);
-	Ask early(rig.address, "a1", "/order/x");
+	CallerRequest early(rig.address, "a1", "/order/x");
 
 	EXPECT_EQ(early.wait().status, 503u);
 	EXPECT_NE(early.retry_after, "");
 	EXPECT_FALSE(direct_ready(rig.entry));
 }
 
-TEST(Direct, KnowsRoutesAndKeys)
+TEST(Direct, UnknownRoutesAndKeysAreRefused)
 {
 	Rig rig;
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
-	Ask unknown(rig.address, "a1", "/nowhere/x");
-	Ask stranger(rig.address, "a2", "/look/x",
-		     { { "Authorization", "Bearer no" } });
-	Ask nameless(rig.address, "a3", "/look/x", { { "X-Attempt-Id", "" } });
-	Ask forged(rig.address, "a4", "/look/x", { { "X-Tenant", "evil" } });
+	CallerRequest unknown(rig.address, "a1", "/nowhere/x");
+	CallerRequest stranger(rig.address, "a2", "/look/x",
+			       { { "Authorization", "Bearer no" } });
+	CallerRequest nameless(rig.address, "a3", "/look/x",
+			       { { "X-Attempt-Id", "" } });
+	CallerRequest forged(rig.address, "a4", "/look/x",
+			     { { "X-Tenant", "evil" } });
 
 	EXPECT_EQ(unknown.wait().status, 404u);
 	EXPECT_EQ(stranger.wait().status, 401u);
@@ -68,9 +70,9 @@
 	nameless.wait();
 }
 
-/* ---- at most once, and truthful refusals ---- */
+/* ---- at most once, and refusals as "not run" ---- */
 
-TEST(Direct, WhatMayRunOnceIsNotSentAgain)
+TEST(Direct, NonIdempotentRequestsAreNotRetriedAfterFailures)
 {
 	const enum pe_fault faults[] = { PE_FAULT_RESET, PE_FAULT_GARBLED,
 					 PE_FAULT_FOREIGN, PE_FAULT_TRUNCATED };
@@ -83,7 +85,8 @@
 		pe_fault(first, fault);
 		pe_fault(second, fault);
 		rig.settle();
-		Ask order(rig.address, "a1", "/order/x", {}, "one box");
+		CallerRequest order(rig.address, "a1", "/order/x", {},
+				    "one box");
 
 		EXPECT_EQ(order.wait().status, 502u) << fault;
 		EXPECT_EQ(order.seal, "") << fault;
@@ -91,7 +94,7 @@
 	}
 }
 
-TEST(Direct, WhatWasNotRunGoesToAnother)
+TEST(Direct, RequestsThatDidNotRunAreRetried)
 {
 	Rig rig;
 	pe_upstream *full = rig.add(PE_PLAIN, "plain");
@@ -103,7 +106,7 @@
 	rig.settle();
 	for (int i = 0; i < 6; i++) {
 		std::string id = "a" + std::to_string(i);
-		Ask order(rig.address, id.c_str(), "/order/x");
+		CallerRequest order(rig.address, id.c_str(), "/order/x");
 
 		EXPECT_EQ(order.wait().status, 200u);
 		EXPECT_EQ(pe_runs(rig.platform, id.c_str()), 1u);
@@ -111,14 +114,14 @@
 	EXPECT_GE(pe_arrivals(other), 6u);
 }
 
-TEST(Direct, RefusesAtOnceWithWhenToComeBackIfNobodyRanIt)
+TEST(Direct, RefusalsThatDidNotRunHaveRetryAfter)
 {
 	Rig rig;
 	pe_upstream *full = rig.add(PE_PLAIN, "plain");
 
 	pe_fault(full, PE_FAULT_FULL);
 	rig.settle();
-	Ask order(rig.address, "a1", "/order/x");
+	CallerRequest order(rig.address, "a1", "/order/x");
 
 	EXPECT_EQ(order.wait().status, 503u);
 	EXPECT_NE(order.retry_after, "");
@@ -126,24 +129,24 @@
 	EXPECT_EQ(pe_runs(rig.platform, "a1"), 0u);
 }
 
-TEST(Direct, AnswersAtTheDeadlineAndNoLater)
+TEST(Direct, SilentUpstreamsAreAnsweredAtTheDeadline)
 {
 	Rig rig;
 	pe_upstream *silent = rig.add(PE_PLAIN, "plain");
 
 	pe_fault(silent, PE_FAULT_SILENT);
 	rig.settle();
-	Ask order(rig.address, "a1", "/order/x",
-		  { { "X-Deadline-Ms", "300" } });
+	CallerRequest order(rig.address, "a1", "/order/x",
+			    { { "X-Deadline-Ms", "300" } });
 
 	EXPECT_EQ(order.wait().status, 504u);
 	EXPECT_GE(order.took_us, 250000);
 	EXPECT_LT(order.took_us, 600000);
 }
 
-/* ---- what may be repeated ---- */
+/* ---- repeatable requests ---- */
 
-TEST(Direct, IdempotentRequestsOutliveABadUpstream)
+TEST(Direct, IdempotentRequestsAreRetriedAfterFailures)
 {
 	const enum pe_fault faults[] = { PE_FAULT_RESET,     PE_FAULT_GARBLED,
 					 PE_FAULT_FOREIGN,   PE_FAULT_ERROR,
@@ -158,7 +161,7 @@
 		rig.settle();
 		for (int i = 0; i < 4; i++) {
 			std::string id = "a" + std::to_string(i);
-			Ask look(rig.address, id.c_str(), "/look/x");
+			CallerRequest look(rig.address, id.c_str(), "/look/x");
 
 			EXPECT_EQ(look.wait().status, 200u) << fault;
 			EXPECT_EQ(look.body, "whole") << fault;
@@ -166,7 +169,7 @@
 	}
 }
 
-TEST(Direct, AnswersWithoutALengthAndExtraOnesAreTakenApart)
+TEST(Direct, AnswersWithoutLengthAndSurplusAnswersAreDelimited)
 {
 	const enum pe_fault faults[] = { PE_FAULT_UNFRAMED, PE_FAULT_EXTRA };
 
@@ -178,7 +181,8 @@
 		rig.settle();
 		for (int i = 0; i < 3; i++) {
 			std::string id = "a" + std::to_string(i);
-			Ask order(rig.address, id.c_str(), "/order/x");
+			CallerRequest order(rig.address, id.c_str(),
+					    "/order/x");
 
 			EXPECT_EQ(order.wait().body, "whole");
 			EXPECT_EQ(pe_runs(rig.platform, id.c_str()), 1u);
@@ -186,14 +190,14 @@
 	}
 }
 
-TEST(Direct, ErrorsOfAnUpstreamArePassedOn)
+TEST(Direct, UpstreamErrorsAreForwarded)
 {
 	Rig rig;
 	pe_upstream *bad = rig.add(PE_PLAIN, "plain");
 
 	pe_fault(bad, PE_FAULT_ERROR);
 	rig.settle();
-	Ask order(rig.address, "a1", "/order/x");
+	CallerRequest order(rig.address, "a1", "/order/x");
 
 	EXPECT_EQ(order.wait().status, 500u);
 	EXPECT_EQ(order.body, "failed");
@@ -202,7 +206,7 @@
 
 /* ---- streams ---- */
 
-TEST(Direct, AStreamThatMayResumeGoesOnAtAnother)
+TEST(Direct, ResumableStreamsContinueAtAnotherUpstream)
 {
 	Rig rig;
 	pe_upstream *bad = rig.add(PE_ENGINE, "engine");
@@ -212,21 +216,21 @@
 	rig.settle();
 	for (int i = 0; i < 4; i++) {
 		std::string id = "a" + std::to_string(i);
-		Ask again(rig.address, id.c_str(), "/again/x");
+		CallerRequest again(rig.address, id.c_str(), "/again/x");
 
-		EXPECT_EQ(again.wait().body, whole_stream);
+		EXPECT_EQ(again.wait().body, complete_stream);
 		EXPECT_EQ(again.error, LP_OK);
 	}
 }
 
-TEST(Direct, AStreamThatMayNotResumeIsSeenToBeCut)
+TEST(Direct, BrokenStreamsThatCannotResumeAreAborted)
 {
 	Rig rig;
 	pe_upstream *bad = rig.add(PE_ENGINE, "engine");
 
 	pe_fault(bad, PE_FAULT_CUT);
 	rig.settle();
-	Ask once(rig.address, "a1", "/once/x");
+	CallerRequest once(rig.address, "a1", "/once/x");
 
 	once.wait();
 	EXPECT_EQ(once.status, 200u);
@@ -236,25 +240,26 @@
 	EXPECT_EQ(pe_runs(rig.platform, "a1"), 1u);
 }
 
-TEST(Direct, ACallerThatLeavesTakesItsRequestAlong)
+TEST(Direct, RequestsOfDisconnectedCallersAreCancelled)
 {
 	Rig rig;
 	pe_upstream *slow = rig.add(PE_PLAIN, "plain");
 
 	pe_set_work_ms(slow, 5000);
 	rig.settle();
-	Ask order(rig.address, "a1", "/order/x");
+	CallerRequest order(rig.address, "a1", "/order/x");
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_runs(rig.platform, "a1") == 1; }));
-	order.leave();
-	EXPECT_TRUE(turn_until([&] { return pe_connections(slow) == 0; }, 500));
-	EXPECT_EQ(direct_busy(rig.entry), 0u);
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_runs(rig.platform, "a1") == 1; }));
+	order.cancel();
+	EXPECT_TRUE(
+		run_loop_until([&] { return pe_connections(slow) == 0; }, 500));
+	EXPECT_EQ(direct_open_requests(rig.entry), 0u);
 }
 
 /* ---- stages ---- */
 
-TEST(Direct, LostResultsAreMadeAgain)
+TEST(Direct, LostResultsAreRecomputed)
 {
 	Rig rig;
 	pe_upstream *forgets = rig.add(PE_STAGE, "first");
@@ -263,18 +268,18 @@
 	rig.add(PE_ENGINE, "engine");
 	pe_fault(forgets, PE_FAULT_FORGET);
 	rig.settle();
-	Ask staged(rig.address, "a1", "/staged/x",
-		   { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest staged(rig.address, "a1", "/staged/x",
+			     { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_pieces_made(rig.platform) >= 2; }));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_pieces_made(rig.platform) >= 2; }));
 	pe_fault(forgets, PE_FAULT_NONE);
-	EXPECT_EQ(staged.wait().body, whole_stream);
+	EXPECT_EQ(staged.wait().body, complete_stream);
 }
 
-/* Found on days of bursts: results were kept for a resume until the stream's
- * end, and their makers had no room. */
-TEST(Direct, ResultsAreGivenUpWhenTheEngineHasThem)
+/* Guards against results being kept until the end of a stream, for a possible
+ * resume: under bursts their producers ran out of result memory. */
+TEST(Direct, ResultsAreFreedAtTheFirstEvent)
 {
 	Rig rig;
 
@@ -282,19 +287,19 @@
 	rig.add(PE_STAGE, "second");
 	rig.add(PE_ENGINE, "engine");
 	rig.settle();
-	Ask staged(rig.address, "a1", "/restaged/x",
-		   { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest staged(rig.address, "a1", "/restaged/x",
+			     { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	ASSERT_TRUE(turn_until([&] { return !staged.body.empty(); }));
-	EXPECT_TRUE(turn_until([&] {
+	ASSERT_TRUE(run_loop_until([&] { return !staged.body.empty(); }));
+	EXPECT_TRUE(run_loop_until([&] {
 		return pe_pieces_kept(rig.platform) == 0 || staged.done;
 	}));
 	EXPECT_FALSE(staged.done);
-	EXPECT_EQ(staged.wait().body, whole_stream);
+	EXPECT_EQ(staged.wait().body, complete_stream);
 }
 
-/* ... so a stream that resumes has them made again. */
-TEST(Direct, AStreamThatResumesHasItsResultsMadeAgain)
+/* Results are freed at the first event, so a resumed stream needs new ones. */
+TEST(Direct, ResumedStreamsRecomputeFreedResults)
 {
 	Rig rig;
 	pe_upstream *bad = rig.add(PE_ENGINE, "engine");
@@ -304,27 +309,27 @@
 	rig.add(PE_STAGE, "second");
 	pe_fault(bad, PE_FAULT_CUT);
 	rig.settle();
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> requests;
 
-	/* Several at once go to both engines. */
+	/* Several concurrent requests reach both engines. */
 	for (int i = 0; i < 4; i++) {
 		std::string id = "a" + std::to_string(i);
 
-		asks.push_back(std::make_unique<Ask>(
+		requests.push_back(std::make_unique<CallerRequest>(
 			rig.address, id.c_str(), "/restaged/x",
 			Fields{ { "X-Pieces", "1,1" },
 				{ "X-Piece-Key", "k" } }));
 	}
-	for (auto &ask : asks) {
-		EXPECT_EQ(ask->wait().body, whole_stream);
-		EXPECT_EQ(ask->error, LP_OK);
+	for (auto &request : requests) {
+		EXPECT_EQ(request->wait().body, complete_stream);
+		EXPECT_EQ(request->error, LP_OK);
 	}
 	EXPECT_GT(pe_pieces_made(rig.platform), 8u);
 }
 
-/* Found on a day at Kwaebibirem: inputs were lost with the first call of a
- * stage while its other pieces waited; those went off without inputs. */
-TEST(Direct, PiecesDoNotGoWithoutInputsThatWereLost)
+/* Guards against pieces that are sent without inputs: inputs were reported lost
+ * by the first call of a stage while its other pieces still waited. */
+TEST(Direct, PiecesAreNotSentWithoutLostInputs)
 {
 	Rig rig;
 	pe_upstream *forgets = rig.add(PE_STAGE, "first");
@@ -333,16 +338,17 @@
 	rig.add(PE_ENGINE, "engine");
 	pe_fault(forgets, PE_FAULT_FORGET);
 	rig.settle();
-	Ask staged(rig.address, "a1", "/staged/x",
-		   { { "X-Pieces", "1,20" }, { "X-Piece-Key", "k" } });
+	CallerRequest staged(
+		rig.address, "a1", "/staged/x",
+		{ { "X-Pieces", "1,20" }, { "X-Piece-Key", "k" } });
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_pieces_made(rig.platform) >= 2; }));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_pieces_made(rig.platform) >= 2; }));
 	pe_fault(forgets, PE_FAULT_NONE);
-	EXPECT_EQ(staged.wait().body, whole_stream);
+	EXPECT_EQ(staged.wait().body, complete_stream);
 }
 
-TEST(Direct, PiecesOutliveAStageServerThatResets)
+TEST(Direct, PiecesAreRetriedAfterConnectionResets)
 {
 	Rig rig;
 	pe_upstream *bad = rig.add(PE_STAGE, "first");
@@ -354,46 +360,47 @@
 	rig.settle();
 	for (int i = 0; i < 4; i++) {
 		std::string id = "a" + std::to_string(i);
-		Ask staged(rig.address, id.c_str(), "/staged/x",
-			   { { "X-Pieces", "2,1" }, { "X-Piece-Key", "k" } });
+		CallerRequest staged(
+			rig.address, id.c_str(), "/staged/x",
+			{ { "X-Pieces", "2,1" }, { "X-Piece-Key", "k" } });
 
-		EXPECT_EQ(staged.wait().body, whole_stream);
+		EXPECT_EQ(staged.wait().body, complete_stream);
 	}
 }
 
-/* Found by reading: a waiting piece kept the domain's name of an upstream that
- * had left the list and was freed (the sanitized build stops here without the
- * mend). */
-TEST(Direct, AnUpstreamMayLeaveWhilePiecesWaitNearIt)
+/* Guards against a use after free: a waiting piece kept a pointer to the domain
+ * name of an upstream that was freed when it was removed from the list. The
+ * sanitized build fails here without the fix. */
+TEST(Direct, UpstreamsCanBeRemovedWhilePiecesWaitInTheirDomain)
 {
 	Rig rig;
-	pe_upstream *maker = rig.add(PE_STAGE, "first");
+	pe_upstream *producer = rig.add(PE_STAGE, "first");
 	pe_upstream *slow = rig.add(PE_STAGE, "second");
 
 	rig.add(PE_ENGINE, "engine");
 	pe_set_work_ms(slow, 900);
 	rig.settle();
-	Ask one(rig.address, "a1", "/staged/x",
-		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest one(rig.address, "a1", "/staged/x",
+			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	ASSERT_TRUE(turn_until([&] { return pe_arrivals(slow) == 1; }));
-	Ask two(rig.address, "a2", "/staged/x",
-		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(slow) == 1; }));
+	CallerRequest two(rig.address, "a2", "/staged/x",
+			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_pieces_made(rig.platform) >= 2; }));
-	turn_until([] { return false; }, 50);
-	pe_remove(maker);
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_pieces_made(rig.platform) >= 2; }));
+	run_loop_until([] { return false; }, 50);
+	pe_remove(producer);
 	one.wait();
 	two.wait();
 }
 
-/* No piece is made without its inputs, and none with another's: the emulator
- * writes down each breach, and Rig fails the test. */
-TEST(Direct, ManyRequestsShareCallsAndKeepTheirPiecesApart)
+/* No piece may be computed without its inputs, or with those of another
+ * request: the emulator records each breach, and Rig fails the test. */
+TEST(Direct, BatchedPiecesAreNotMixedUp)
 {
 	Rig rig;
-	std::vector<std::unique_ptr<Ask>> asks;
+	std::vector<std::unique_ptr<CallerRequest>> requests;
 
 	for (int i = 0; i < 3; i++) {
 		rig.add(PE_STAGE, "first");
@@ -404,22 +411,22 @@
 	for (int i = 0; i < 30; i++) {
 		std::string id = "m" + std::to_string(i);
 
-		asks.push_back(std::make_unique<Ask>(
+		requests.push_back(std::make_unique<CallerRequest>(
 			rig.address, id.c_str(), "/staged/x",
 			Fields{ { "X-Pieces", "3,2" },
 				{ "X-Piece-Key", "k" + id } }));
 	}
-	for (auto &ask : asks)
-		EXPECT_EQ(ask->wait().body, whole_stream);
+	for (auto &request : requests)
+		EXPECT_EQ(request->wait().body, complete_stream);
 	EXPECT_EQ(pe_pieces_made(rig.platform), 150u);
-	EXPECT_TRUE(
-		turn_until([&] { return pe_pieces_kept(rig.platform) == 0; }));
+	EXPECT_TRUE(run_loop_until(
+		[&] { return pe_pieces_kept(rig.platform) == 0; }));
 }
 
-/* Found by a hunted day: requests of the least urgent kind waited for a short
- * stage until their entry, which had been told to stop, was gone; their
- * connections were reset without an answer. */
-TEST(Direct, AnEntryThatEndsRefusesWhatNoUpstreamHas)
+/* Guards against connections that are reset without an answer: requests of the
+ * lowest priority waited for a stage short of capacity until their entry, which
+ * was shutting down, had terminated. */
+TEST(Direct, UnsentRequestsAreRefusedAtShutdown)
 {
 	Rig rig;
 	pe_upstream *stage = rig.add(PE_STAGE, "first");
@@ -430,10 +437,10 @@
 	rig.settle();
 	pe_fault(stage, PE_FAULT_SILENT);
 	pe_set_work_ms(plain, 200);
-	Ask waits(rig.address, "w", "/staged/x",
-		  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
-	Ask sent(rig.address, "s", "/order/x");
-	ASSERT_TRUE(turn_until(
+	CallerRequest waits(rig.address, "w", "/staged/x",
+			    { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest sent(rig.address, "s", "/order/x");
+	ASSERT_TRUE(run_loop_until(
 		[&] { return pe_calls(stage) && pe_arrivals(plain); }));
 	direct_drain(rig.entry);
 	direct_refuse_unsent(rig.entry);
@@ -444,37 +451,44 @@
 
 /* ---- the list of upstreams ---- */
 
-TEST(Direct, ALeavingUpstreamGetsNothingNew)
+TEST(Direct, DrainingUpstreamsGetNoNewRequests)
 {
 	Rig rig;
-	pe_upstream *leaving = rig.add(PE_PLAIN, "plain");
+	pe_upstream *draining = rig.add(PE_PLAIN, "plain");
 	uint32_t before;
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
-	pe_drain(leaving);
+	pe_drain(draining);
 	rig.settle();
-	before = pe_arrivals(leaving);
+	before = pe_arrivals(draining);
 	for (int i = 0; i < 8; i++)
-		EXPECT_EQ(Ask(rig.address, "a", "/look/x").wait().status, 200u);
-	EXPECT_EQ(pe_arrivals(leaving), before);
+		EXPECT_EQ(CallerRequest(rig.address, "a", "/look/x")
+				  .wait()
+				  .status,
+			  200u);
+	EXPECT_EQ(pe_arrivals(draining), before);
 }
 
-TEST(Direct, TheLastKnownListServesWhileTheStoreIsAway)
+TEST(Direct, LastUpstreamListIsUsedDuringStoreOutage)
 {
 	Rig rig;
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_SILENT);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
-	EXPECT_EQ(Ask(rig.address, "a1", "/look/x").wait().status, 200u);
+	ASSERT_TRUE(run_loop_until(
+		[&] { return !plf_feed_kv_is_available(rig.feed); }));
+	EXPECT_EQ(CallerRequest(rig.address, "a1", "/look/x").wait().status,
+		  200u);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	EXPECT_TRUE(turn_until([&] { return plf_feed_in_touch(rig.feed); }));
+	EXPECT_TRUE(run_loop_until(
+		[&] { return plf_feed_kv_is_available(rig.feed); }));
 }
 
-/* Refused calls are paid for, and keep a service down that is short. */
-TEST(Direct, AServiceThatRefusesIsAskedLessAndLess)
+/* Refused calls count against the quota and keep an overloaded service down, so
+ * the entry has to back off. */
+TEST(Direct, RefusedStoreCallsAreRetriedWithBackoff)
 {
 	Rig rig((int64_t)4000000);
 	int64_t before;
@@ -482,65 +496,69 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return !plf_feed_kv_is_available(rig.feed); }));
 	before = *lp_counter(rig.counters, "linepier_kv_failures_total",
 			     nullptr);
-	turn_until([] { return false; }, 4000);
+	run_loop_until([] { return false; }, 4000);
 	EXPECT_LE(*lp_counter(rig.counters, "linepier_kv_failures_total",
 			      nullptr) -
 			  before,
 		  5);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
 	rig.set_config(2);
-	EXPECT_TRUE(
-		turn_until([&] { return plf_feed_in_touch(rig.feed); }, 2000));
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
+		[&] { return plf_feed_kv_is_available(rig.feed); }, 2000));
+	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(rig.entry) == 2; }, 500));
 }
 
-/* ... and the first that it serves again tells the others. */
-TEST(Direct, APeerThatIsServedAgainIsFollowedAtOnce)
+/* A peer that the service serves again reports it, which ends the backoff of
+ * the others. */
+TEST(Direct, StoreRecoverySeenByAPeerEndsTheBackoff)
 {
 	Rig rig((int64_t)4000000);
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
-	turn_until([] { return false; }, 3500); /* its wait is 1.2 s or more */
+	ASSERT_TRUE(run_loop_until(
+		[&] { return !plf_feed_kv_is_available(rig.feed); }));
+	run_loop_until([] { return false; },
+		       3500); /* the backoff is 1.2 s or more by now */
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	EXPECT_FALSE(plf_feed_hear_list(rig.feed, 7, 0));
-	EXPECT_TRUE(
-		turn_until([&] { return plf_feed_in_touch(rig.feed); }, 300));
+	EXPECT_FALSE(plf_feed_handle_peer_hash(rig.feed, 7, 0));
+	EXPECT_TRUE(run_loop_until(
+		[&] { return plf_feed_kv_is_available(rig.feed); }, 300));
 }
 
 /* ---- the configuration ---- */
 
-TEST(Direct, AConfigurationIsInForceAtOnceAndNeverReverts)
+TEST(Direct, ConfigurationsApplyAtOnceAndNeverRevert)
 {
 	Rig rig;
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	rig.set_config(5);
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(rig.entry) == 5; }, 1000));
-	Ask revoked(rig.address, "a1", "/look/x",
-		    { { "Authorization", "Bearer key-1" } });
-	Ask added(rig.address, "a2", "/look/x",
-		  { { "Authorization", "Bearer key-5" } });
+	CallerRequest revoked(rig.address, "a1", "/look/x",
+			      { { "Authorization", "Bearer key-1" } });
+	CallerRequest added(rig.address, "a2", "/look/x",
+			    { { "Authorization", "Bearer key-5" } });
 
 	EXPECT_EQ(revoked.wait().status, 401u);
 	EXPECT_EQ(added.wait().status, 200u);
 	rig.set_config(3);
 	rig.set_config(6);
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(rig.entry) == 6; }, 1000));
 }
 
-/* Found on a day on which the store's watches heard nothing while changes were
- * made: a watch that had been forgotten went on for ten seconds. */
-TEST(Direct, AWatchThatHearsNothingDoesNotHideAChange)
+/* Guards against a change that is missed for ten seconds: the store had dropped
+ * a watch without closing its connection. */
+TEST(Direct, ChangesMissedByASilentWatchAreRead)
 {
 	Rig rig;
 
@@ -548,68 +566,69 @@
 	rig.settle();
 	pe_store_fault(rig.platform, PE_STORE_DEAF_WATCHES);
 	rig.set_config(7);
-	rig.add(PE_PLAIN, "plain"); /* the revision goes on */
-	turn_until([] { return false; }, 800);
+	rig.add(PE_PLAIN, "plain"); /* advances the revision */
+	run_loop_until([] { return false; }, 800);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(rig.entry) == 7; }, 2500));
 }
 
-/* ---- entries among themselves ---- */
+/* ---- exchange between entries ---- */
 
-/* A store may serve some machines and refuse others, for longer than a
- * configuration may take: those ask the others. */
-TEST(Direct, AnEntryThatTheStoreRefusesAsksAPeer)
+/* The store may serve some hosts and refuse others, for longer than a
+ * configuration may take to be applied: refused entries read it from peers. */
+TEST(Direct, RefusedEntriesReadTheConfigurationFromAPeer)
 {
 	Rig served;
 	Rig refused;
-	plf_share_options options = {};
-	plf_share *one;
-	plf_share *two;
+	plf_peer_sync_options options = {};
+	plf_peer_sync *one;
+	plf_peer_sync *two;
 
 	served.add(PE_PLAIN, "plain");
 	served.settle();
 	refused.settle();
 	pe_store_fault(refused.platform, PE_STORE_BUSY);
 	served.set_config(4);
-	ASSERT_TRUE(turn_until([&] {
+	ASSERT_TRUE(run_loop_until([&] {
 		return direct_config_version(served.entry) == 4 &&
-		       !plf_feed_in_touch(refused.feed);
+		       !plf_feed_kv_is_available(refused.feed);
 	}));
 	options.clock = lp_clock_boot();
 	options.log = served.log;
 	options.direct = served.entry;
 	options.feed = served.feed;
 	options.address = "127.0.0.1:21512";
-	one = plf_share_create(&options);
+	one = plf_peer_sync_create(&options);
 	options.direct = refused.entry;
 	options.feed = refused.feed;
 	options.address = "127.0.0.2:21512";
-	two = plf_share_create(&options);
+	two = plf_peer_sync_create(&options);
 	ASSERT_TRUE(one && two);
-	plf_share_heard_version(two, "127.0.0.1", 4);
-	plf_share_heard_version(two, "127.0.0.9", 1);
-	EXPECT_TRUE(turn_until(
+	plf_peer_sync_handle_version(two, "127.0.0.1", 4);
+	plf_peer_sync_handle_version(two, "127.0.0.9", 1);
+	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(refused.entry) == 4; },
 		1500));
-	EXPECT_TRUE(turn_until([&] {
-		return Ask(refused.address, "a1", "/look/x").wait().status ==
-		       200;
+	EXPECT_TRUE(run_loop_until([&] {
+		return CallerRequest(refused.address, "a1", "/look/x")
+			       .wait()
+			       .status == 200;
 	}));
-	plf_share_destroy(one);
-	plf_share_destroy(two);
+	plf_peer_sync_destroy(one);
+	plf_peer_sync_destroy(two);
 }
 
-/* Found on a day of cuts: of two entries that the store refuses, one heard the
- * other last before each question for the list, and got none for ten seconds
- * though three others had it. */
-TEST(Direct, AnEntryThatTheStoreRefusesFindsAPeerWithAList)
+/* Guards against an entry without a list for ten seconds although three peers
+ * had it: of two entries that the store refused, one always queried the peer
+ * that it had received from last, which was the other one. */
+TEST(Direct, RefusedEntriesReadTheListFromAPeerThatHasIt)
 {
 	const std::string port = std::to_string(peers_port() + 60);
 	Rig served;
 	Rig refused;
 	Rig also_refused;
-	plf_share *shares[3];
+	plf_peer_sync *shares[3];
 	Rig *const rigs[] = { &served, &refused, &also_refused };
 
 	for (Rig *rig : rigs)
@@ -617,45 +636,46 @@
 	served.add(PE_PLAIN, "plain");
 	pe_store_fault(refused.platform, PE_STORE_BUSY);
 	pe_store_fault(also_refused.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] {
-		return !plf_feed_in_touch(refused.feed) &&
-		       !plf_feed_in_touch(also_refused.feed);
+	ASSERT_TRUE(run_loop_until([&] {
+		return !plf_feed_kv_is_available(refused.feed) &&
+		       !plf_feed_kv_is_available(also_refused.feed);
 	}));
 	for (int i = 0; i < 3; i++) {
 		const std::string at =
 			"127.0.0." + std::to_string(i + 1) + ":" + port;
-		plf_share_options options = {};
+		plf_peer_sync_options options = {};
 
 		options.clock = lp_clock_boot();
 		options.log = rigs[i]->log;
 		options.direct = rigs[i]->entry;
 		options.feed = rigs[i]->feed;
 		options.address = at.c_str();
-		shares[i] = plf_share_create(&options);
+		shares[i] = plf_peer_sync_create(&options);
 		ASSERT_NE(shares[i], nullptr);
 	}
-	EXPECT_TRUE(turn_until(
+	EXPECT_TRUE(run_loop_until(
 		[&] {
 			g_autofree char *list =
 				plf_feed_list_text(refused.feed);
 
-			plf_share_heard_version(shares[1], "127.0.0.1", 1);
-			plf_share_heard_version(shares[1], "127.0.0.3", 1);
+			plf_peer_sync_handle_version(shares[1], "127.0.0.1", 1);
+			plf_peer_sync_handle_version(shares[1], "127.0.0.3", 1);
 			return *list != '\0';
 		},
 		3000));
-	for (plf_share *share : shares)
-		plf_share_destroy(share);
+	for (plf_peer_sync *share : shares)
+		plf_peer_sync_destroy(share);
 }
 
-/* Found on a day of cuts: an upstream that left while the service was away was
- * kept until the next look at the list, up to a second longer than it may still
- * come back, and got a request 2.6 s after it had said that it leaves. */
-TEST(Direct, WhatDoesNotComeBackAfterAnOutageIsGoneInTime)
+/* Guards against requests to an upstream that was removed during an outage of
+ * the service: it was kept until the next poll of the list, up to a second
+ * longer than the drain period, and got a request 2.6 s after its drain notice.
+ */
+TEST(Direct, UpstreamsMissingAfterAnOutageAreRemovedOnTime)
 {
 	Rig rig(int64_t{ 2200000 });
-	pe_upstream *leaving = rig.add(PE_PLAIN, "plain");
-	const std::string id = pe_name(leaving);
+	pe_upstream *draining = rig.add(PE_PLAIN, "plain");
+	const std::string id = pe_name(draining);
 	const auto is_kept = [&] {
 		g_autofree char *list = plf_feed_list_text(rig.feed);
 
@@ -663,59 +683,62 @@
 	};
 
 	rig.add(PE_PLAIN, "plain");
-	ASSERT_TRUE(turn_until(is_kept));
+	ASSERT_TRUE(run_loop_until(is_kept));
 	pe_store_fault(rig.platform, PE_STORE_BUSY);
-	ASSERT_TRUE(turn_until([&] { return !plf_feed_in_touch(rig.feed); }));
-	pe_remove(leaving);
+	ASSERT_TRUE(run_loop_until(
+		[&] { return !plf_feed_kv_is_available(rig.feed); }));
+	pe_remove(draining);
 	pe_store_fault(rig.platform, PE_STORE_FINE);
-	ASSERT_TRUE(turn_until([&] { return plf_feed_in_touch(rig.feed); }));
-	turn_until([] { return false; }, 2000);
+	ASSERT_TRUE(run_loop_until(
+		[&] { return plf_feed_kv_is_available(rig.feed); }));
+	run_loop_until([] { return false; }, 2000);
 	EXPECT_TRUE(is_kept());
-	EXPECT_TRUE(turn_until([&] { return !is_kept(); }, 300));
+	EXPECT_TRUE(run_loop_until([&] { return !is_kept(); }, 300));
 }
 
-/* ---- the end ---- */
+/* ---- shutdown ---- */
 
-/* Found on a day of restarts: a request taken seconds after SIGTERM was cut
- * when the grace time ended. */
-TEST(Direct, RefusesWhatCouldNotEndBeforeTheProcess)
+/* Guards against requests that are admitted seconds after SIGTERM and cut off
+ * when the grace time ends. */
+TEST(Direct, RequestsThatOutlastTheShutdownAreRefused)
 {
 	Rig rig;
 	pe_upstream *slow = rig.add(PE_PLAIN, "plain");
 
 	pe_set_work_ms(slow, 200);
 	rig.settle();
-	Ask before(rig.address, "a1", "/order/x");
+	CallerRequest before(rig.address, "a1", "/order/x");
 
-	ASSERT_TRUE(
-		turn_until([&] { return pe_runs(rig.platform, "a1") == 1; }));
+	ASSERT_TRUE(run_loop_until(
+		[&] { return pe_runs(rig.platform, "a1") == 1; }));
 	direct_drain(rig.entry);
-	direct_end_by(rig.entry,
-		      lp_now_us(lp_clock_boot()) + 1500 * LP_US_PER_MS);
-	Ask after(rig.address, "a2", "/order/x");
+	direct_set_shutdown_time(rig.entry, lp_now_us(lp_clock_boot()) +
+						    1500 * LP_US_PER_MS);
+	CallerRequest after(rig.address, "a2", "/order/x");
 
 	EXPECT_EQ(after.wait().status, 503u);
-	/* Another entry can take it at once. */
+	/* Another entry can admit it at once. */
 	ASSERT_NE(after.retry_after, "");
 	EXPECT_LT(std::stod(after.retry_after), 0.1);
 	EXPECT_EQ(before.wait().status, 200u);
 	EXPECT_EQ(pe_runs(rig.platform, "a2"), 0u);
 }
 
-/* A domain with one entry: its callers come while it ends, and some requests
- * take no longer than it is still there. */
-TEST(Direct, TakesWhatEndsBeforeTheProcess)
+/* In a domain with a single entry, callers keep sending requests during its
+ * shutdown, and some of them end before the process does. */
+TEST(Direct, ShortRequestsAreAdmittedDuringShutdown)
 {
 	Rig rig;
 
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	direct_drain(rig.entry);
-	direct_end_by(rig.entry,
-		      lp_now_us(lp_clock_boot()) + 1500 * LP_US_PER_MS);
-	Ask ask(rig.address, "a1", "/order/x", { { "X-Deadline-Ms", "600" } });
+	direct_set_shutdown_time(rig.entry, lp_now_us(lp_clock_boot()) +
+						    1500 * LP_US_PER_MS);
+	CallerRequest request(rig.address, "a1", "/order/x",
+			      { { "X-Deadline-Ms", "600" } });
 
-	EXPECT_EQ(ask.wait().status, 200u);
+	EXPECT_EQ(request.wait().status, 200u);
 	EXPECT_EQ(pe_runs(rig.platform, "a1"), 1u);
 }
 
