--- a/direct/direct.c
+++ b/direct/direct.c
@@ -49,12 +49,11 @@
 }
 
 static void on_upstream_terminated(void *userdata,
-				   const struct lost_request *losses,
-				   guint count)
+				   const struct lost_request *lost, guint count)
 {
 	struct direct *direct = userdata;
 
-	direct_quarantine_add_terminations(direct->quarantine, losses, count);
+	direct_quarantine_add_terminations(direct->quarantine, lost, count);
 }
 
 /* `act` may free the request that it is given. */
@@ -347,10 +346,10 @@
 	return direct_quarantine_get_view(direct->quarantine, content, out);
 }
 
-void direct_restore_termination(struct direct *direct,
-				const struct quarantine_termination *end)
+void direct_restore_termination(
+	struct direct *direct, const struct quarantine_termination *termination)
 {
-	direct_quarantine_restore(direct->quarantine, end);
+	direct_quarantine_restore(direct->quarantine, termination);
 }
 
 uint32_t direct_blocked_count(const struct direct *direct)
--- a/direct/direct.h
+++ b/direct/direct.h
@@ -106,8 +106,9 @@
 bool direct_find_suspect(const struct direct *direct, uint64_t content,
 			 struct quarantine_view *out);
 /** Restore a recorded termination of an upstream under a request. */
-void direct_restore_termination(struct direct *direct,
-				const struct quarantine_termination *end);
+void direct_restore_termination(
+	struct direct *direct,
+	const struct quarantine_termination *termination);
 /** Number of requests that are blocked. */
 uint32_t direct_blocked_count(const struct direct *direct);
 /** Whether requests can be served: the configuration, the upstreams and the
@@ -120,7 +121,7 @@
  * Set the time at which this process terminates. From now on only requests are
  * admitted whose deadline lies before that time and is short enough not to
  * delay the shutdown. Callers of a domain without another entry keep sending
- * requests until the end.
+ * requests until it terminates.
  */
 void direct_set_shutdown_time(struct direct *direct, int64_t shutdown_us);
 /** Refuse all requests that have not been sent to an upstream, because the
--- a/direct/direct_calls.c
+++ b/direct/direct_calls.c
@@ -83,23 +83,23 @@
 }
 
 static void set_service_limits(struct pieces_options *options,
-			       const struct direct_service *figures)
+			       const struct direct_service *service_config)
 {
 	options->batch_max = 1;
-	if (!figures || !figures->serves_pieces)
+	if (!service_config || !service_config->serves_pieces)
 		return;
-	options->batch_max = MAX(figures->batch_max, 1);
-	options->call_us = figures->call_us;
-	options->piece_us = figures->piece_us;
-	options->result_memory_bytes = figures->result_memory_bytes;
-	options->result_ttl_us = figures->result_ttl_us;
+	options->batch_max = MAX(service_config->batch_max, 1);
+	options->call_us = service_config->call_us;
+	options->piece_us = service_config->piece_us;
+	options->result_memory_bytes = service_config->result_memory_bytes;
+	options->result_ttl_us = service_config->result_ttl_us;
 }
 
 static struct call_queue *get_or_create_queue(struct direct_calls *calls,
 					      const char *name)
 {
 	struct direct *direct = calls->direct;
-	const struct direct_service *figures =
+	const struct direct_service *service_config =
 		direct_config_service(direct->config, name);
 	struct call_queue *queue = g_hash_table_lookup(calls->queues, name);
 	struct pieces_options options = {
@@ -110,7 +110,7 @@
 
 	if (queue)
 		return queue;
-	set_service_limits(&options, figures);
+	set_service_limits(&options, service_config);
 	queue = g_new0(struct call_queue, 1);
 	queue->calls = calls;
 	queue->name = g_strdup(name);
@@ -128,11 +128,11 @@
 	g_hash_table_iter_init(&iter, calls->queues);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct call_queue *queue = value;
-		struct pieces_options figures = { 0 };
+		struct pieces_options options = { 0 };
 
-		set_service_limits(&figures,
+		set_service_limits(&options,
 				   direct_config_service(config, queue->name));
-		pieces_update_options(queue->pieces, &figures);
+		pieces_update_options(queue->pieces, &options);
 	}
 }
 
@@ -361,13 +361,14 @@
 static void report_termination(const struct stage_call *call,
 			       const struct http_fetch_answer *answer)
 {
-	struct direct_terminations *ends = call->calls->direct->terminations;
+	struct direct_terminations *terminations =
+		call->calls->direct->terminations;
 
 	if (answer->error == LP_ERROR_NOT_LISTENING)
-		direct_terminations_confirm(ends, call->batch->upstream,
+		direct_terminations_confirm(terminations, call->batch->upstream,
 					    DIRECT_TERMINATION_REFUSED);
 	else if (!answer->error && call->reply.other_process)
-		direct_terminations_confirm(ends, call->batch->upstream,
+		direct_terminations_confirm(terminations, call->batch->upstream,
 					    DIRECT_TERMINATION_REPLACED);
 }
 
@@ -488,7 +489,7 @@
 };
 
 static void log_memory_query(const struct memory_query *query, bool is_answered,
-			     int64_t least_bytes)
+			     int64_t min_bytes)
 {
 	struct lp_event_log *log = query->queue->calls->direct->options.log;
 
@@ -497,7 +498,7 @@
 	lp_event_text(log, "service", query->queue->name);
 	lp_event_text(log, "upstream", query->upstream->info.id);
 	lp_event_text(log, "outcome", is_answered ? "told" : "not_told");
-	lp_event_int(log, "least_bytes", least_bytes);
+	lp_event_int(log, "least_bytes", min_bytes);
 	lp_event_int(log, "own_bytes", query->own_bytes);
 	lp_event_int(
 		log, "other_bytes",
@@ -515,15 +516,15 @@
 /* Reads an answer; false: there is none, or another incarnation sent it. */
 static bool read_memory_answer(const struct memory_query *query,
 			       const struct http_fetch_answer *answer,
-			       struct direct_result_memory *room)
+			       struct direct_result_memory *memory)
 {
 	struct direct *direct = query->queue->calls->direct;
 
 	return !answer->error && answer->status == 200 &&
-	       direct->options.codec->read_result_memory(answer->body,
-							 answer->size, room) &&
+	       direct->options.codec->read_result_memory(
+		       answer->body, answer->size, memory) &&
 	       pool_attribute_answer(direct->pool, query->upstream,
-				     room->born_ms,
+				     memory->born_ms,
 				     query->sent_us) == query->upstream;
 }
 
@@ -535,14 +536,14 @@
 {
 	struct memory_query *query = userdata;
 	struct direct_calls *calls = query->queue->calls;
-	struct direct_result_memory room = { 0 };
-	bool is_answered = read_memory_answer(query, answer, &room);
+	struct direct_result_memory memory = { 0 };
+	bool is_answered = read_memory_answer(query, answer, &memory);
 
 	if (is_answered)
 		pieces_memory_reported(query->queue->pieces, query->upstream,
-				       query->own_bytes, room.min_bytes,
-				       room.max_bytes);
-	log_memory_query(query, is_answered, room.min_bytes);
+				       query->own_bytes, memory.min_bytes,
+				       memory.max_bytes);
+	log_memory_query(query, is_answered, memory.min_bytes);
 	finish_memory_query(query);
 	schedule_run(calls);
 }
--- a/direct/direct_peers.c
+++ b/direct/direct_peers.c
@@ -35,7 +35,7 @@
 #define CONFIG_GRACE_US (3 * LP_US_PER_S)
 
 /* An entry that sent a hello, or was first named, within this time may be
- * running although it is not heard. */
+ * running although no hello arrives. */
 #define KNOWN_RETENTION_US (60 * LP_US_PER_S)
 
 #define KIND_HELLO 'H'
@@ -342,11 +342,11 @@
 }
 
 void direct_peers_report_unreachable(struct direct_peers *peers,
-				     uint64_t upstream, int64_t eject_us)
+				     uint64_t upstream, int64_t ejection_us)
 {
 	direct_peers_send_all(peers, KIND_UNREACHABLE,
 			      g_variant_new(UNREACHABLE_TYPE, (guint64)upstream,
-					    (gint64)eject_us));
+					    (gint64)ejection_us));
 }
 
 void direct_peers_report_upstream_list(struct direct_peers *peers,
@@ -415,13 +415,13 @@
 
 int64_t direct_peers_discovery_left_us(const struct direct_peers *peers)
 {
-	const struct dispatchers_discovery meeting = {
+	const struct dispatchers_discovery discovery = {
 		.started_us = peers->started_us,
 		.last_discovered_us = peers->discovered_us,
 		.has_silent_members = knows_silent(peers),
 	};
 
-	return dispatchers_discovery_left_us(&meeting,
+	return dispatchers_discovery_left_us(&discovery,
 					     lp_now_us(peers->options.clock));
 }
 
@@ -618,11 +618,11 @@
 static void handle_unreachable(struct direct_peers *peers, GVariant *body)
 {
 	guint64 upstream;
-	gint64 eject_us;
+	gint64 ejection_us;
 
-	g_variant_get(body, UNREACHABLE_TYPE, &upstream, &eject_us);
+	g_variant_get(body, UNREACHABLE_TYPE, &upstream, &ejection_us);
 	peers->options.on_unreachable(peers->options.userdata, upstream,
-				      eject_us);
+				      ejection_us);
 }
 
 static void handle_upstream_list(struct direct_peers *peers,
--- a/direct/direct_peers.h
+++ b/direct/direct_peers.h
@@ -31,7 +31,7 @@
 	char *const *seeds;    /**< "IP:PORT"; only the IPs are used; copied */
 	/** A peer ejects an incarnation of an upstream that it cannot reach. */
 	void (*on_unreachable)(void *userdata, uint64_t upstream,
-			       int64_t eject_us);
+			       int64_t ejection_us);
 	/** A peer has read the list of upstreams `age_us` ago; `hash`: of the
 	 * list. */
 	void (*on_upstream_list)(void *userdata, const char *ip, uint64_t hash,
@@ -57,7 +57,7 @@
 /** Report to live peers that this entry ejects an incarnation of an upstream:
  * it cannot be reached. */
 void direct_peers_report_unreachable(struct direct_peers *peers,
-				     uint64_t upstream, int64_t eject_us);
+				     uint64_t upstream, int64_t ejection_us);
 /** Report to live peers that this entry read the list of upstreams `age_us`
  * ago; `hash`: of the list. */
 void direct_peers_report_upstream_list(struct direct_peers *peers,
@@ -107,7 +107,7 @@
 int64_t direct_peers_discovery_left_us(const struct direct_peers *peers);
 /** Number of live members, this entry included. */
 uint32_t direct_peers_count(const struct direct_peers *peers);
-/** Number of members that may be running although they are not heard: all that
+/** Number of members that may be running although they are silent: all that
  * sent a hello or were first named in the last minute, this entry included. */
 uint32_t direct_peers_known_count(const struct direct_peers *peers);
 /** Hash of this entry's IP, which names it among the members. */
--- a/direct/direct_placement.c
+++ b/direct/direct_placement.c
@@ -95,11 +95,11 @@
 	struct query *query = data;
 	struct direct_placement *placement = query->placement;
 	const struct direct_placement_result none = { 0 };
-	int64_t heard_us =
+	int64_t received_us =
 		direct_peers_last_received_us(placement->peers, query->peer);
 
 	query->timer = 0;
-	if (time_now_us(placement) - heard_us > SUSPECT_AFTER_US)
+	if (time_now_us(placement) - received_us > SUSPECT_AFTER_US)
 		direct_peers_suspect(placement->peers, query->peer);
 	else
 		direct_peers_probe(placement->peers, query->peer);
@@ -107,31 +107,32 @@
 	return G_SOURCE_REMOVE;
 }
 
-static GVariant *write_prefix_blocks(const struct pool_pick_args *ask)
+static GVariant *write_prefix_blocks(const struct pool_pick_args *pick_args)
 {
 	GVariantBuilder blocks;
 
 	g_variant_builder_init(&blocks, G_VARIANT_TYPE("a(tx)"));
-	for (uint32_t i = 0; i < ask->blocks_count; i++)
+	for (uint32_t i = 0; i < pick_args->blocks_count; i++)
 		g_variant_builder_add(&blocks, "(tx)",
-				      (guint64)ask->blocks[i].id,
-				      (gint64)ask->blocks[i].tokens);
+				      (guint64)pick_args->blocks[i].id,
+				      (gint64)pick_args->blocks[i].tokens);
 	return g_variant_builder_end(&blocks);
 }
 
 /* Upstreams tried before, and those in pushback towards this entry: to them
  * the placer is another entry. */
 static GVariant *write_excluded(const struct direct_placement *placement,
-				const struct pool_pick_args *ask)
+				const struct pool_pick_args *pick_args)
 {
 	const struct pool *pool = placement->direct->pool;
-	const GPtrArray *upstreams = pool_service_upstreams(pool, ask->service);
+	const GPtrArray *upstreams =
+		pool_service_upstreams(pool, pick_args->service);
 	GVariantBuilder tried;
 
 	g_variant_builder_init(&tried, G_VARIANT_TYPE("at"));
-	for (uint32_t i = 0; i < ask->tried_count; i++)
-		g_variant_builder_add(&tried, "t",
-				      (guint64)lp_hash_str(ask->tried[i]));
+	for (uint32_t i = 0; i < pick_args->tried_count; i++)
+		g_variant_builder_add(
+			&tried, "t", (guint64)lp_hash_str(pick_args->tried[i]));
 	for (guint i = 0; upstreams && i < upstreams->len; i++) {
 		const struct pool_upstream *upstream =
 			g_ptr_array_index(upstreams, i);
@@ -145,16 +146,17 @@
 
 uint64_t direct_placement_query(struct direct_placement *placement,
 				uint64_t placer,
-				const struct pool_pick_args *ask,
+				const struct pool_pick_args *pick_args,
 				direct_placement_fn on_placed, void *userdata)
 {
 	uint64_t number = placement->next_number++;
 	g_autoptr(GVariant) body = g_variant_ref_sink(g_variant_new(
-		"(ts@a(tx)@atsxxs)", (guint64)number, ask->service,
-		write_prefix_blocks(ask), write_excluded(placement, ask),
-		ask->preferred_domain ? ask->preferred_domain : "",
-		(gint64)ask->fetch_bytes, (gint64)ask->target_us,
-		allowed_regions_encode(ask->allowed_regions)));
+		"(ts@a(tx)@atsxxs)", (guint64)number, pick_args->service,
+		write_prefix_blocks(pick_args),
+		write_excluded(placement, pick_args),
+		pick_args->preferred_domain ? pick_args->preferred_domain : "",
+		(gint64)pick_args->fetch_bytes, (gint64)pick_args->target_us,
+		allowed_regions_encode(pick_args->allowed_regions)));
 	struct query *query;
 
 	if (!direct_peers_send(placement->peers, placer, KIND_QUERY, body))
@@ -313,10 +315,10 @@
 
 static struct reservation *reserve(struct direct_placement *placement,
 				   uint64_t key,
-				   const struct pool_pick_args *ask)
+				   const struct pool_pick_args *pick_args)
 {
 	struct direct *direct = placement->direct;
-	struct pool_upstream *upstream = pool_pick(direct->pool, ask);
+	struct pool_upstream *upstream = pool_pick(direct->pool, pick_args);
 	struct pool_cache_copy copy;
 	struct reservation *reservation;
 
@@ -327,15 +329,16 @@
 	reservation->upstream = pool_upstream_ref(upstream);
 	pool_note_sent(direct->pool, upstream);
 	reservation->reserved_us = time_now_us(placement);
-	copy = pool_find_cache_copy(direct->pool, upstream, ask);
+	copy = pool_find_cache_copy(direct->pool, upstream, pick_args);
 	reservation->copy_source = copy.source ? copy.source->incarnation : 0;
 	reservation->copied_tokens = copy.copied_tokens;
 	reservation->cold_tokens = copy.prefill_tokens;
 	upstream->in_flight++;
 	upstream->pending_prefill_tokens += reservation->cold_tokens;
 	pool_note_cached_blocks(
-		direct->pool, upstream, ask->blocks, ask->blocks_count,
-		direct_prefix_cache_capacity(direct, ask->service));
+		direct->pool, upstream, pick_args->blocks,
+		pick_args->blocks_count,
+		direct_prefix_cache_capacity(direct, pick_args->service));
 	g_hash_table_replace(placement->reservations, &reservation->key,
 			     reservation);
 	return reservation;
@@ -369,31 +372,32 @@
 	g_autoptr(GVariant) reply = NULL;
 	g_autoptr(GPtrArray) tried = NULL;
 	g_autofree struct pool_prefix_block *blocks = NULL;
-	struct pool_pick_args ask = { 0 };
+	struct pool_pick_args pick_args = { 0 };
 	const struct reservation *reservation;
 	const char *domain;
-	const char *homes;
+	const char *regions;
 	guint64 number;
 
 	if (!direct_ready(placement->direct))
 		return;
-	g_variant_get(body, "(t&s@a(tx)@at&sxx&s)", &number, &ask.service,
-		      &list, &tried_list, &domain, &ask.fetch_bytes,
-		      &ask.target_us, &homes);
-	ask.allowed_regions = allowed_regions_decode(homes);
-	blocks = read_prefix_blocks(list, &ask.blocks_count);
-	tried = read_excluded(placement, ask.service, tried_list);
-	ask.blocks = blocks;
-	ask.tried = (const char *const *)tried->pdata;
-	ask.tried_count = tried->len;
-	ask.preferred_domain = *domain ? domain : NULL;
-	direct_stages_set_shard(placement->direct->stages, &ask);
-	reservation = reserve(placement, lp_hash_pair(peer, number), &ask);
+	g_variant_get(body, "(t&s@a(tx)@at&sxx&s)", &number, &pick_args.service,
+		      &list, &tried_list, &domain, &pick_args.fetch_bytes,
+		      &pick_args.target_us, &regions);
+	pick_args.allowed_regions = allowed_regions_decode(regions);
+	blocks = read_prefix_blocks(list, &pick_args.blocks_count);
+	tried = read_excluded(placement, pick_args.service, tried_list);
+	pick_args.blocks = blocks;
+	pick_args.tried = (const char *const *)tried->pdata;
+	pick_args.tried_count = tried->len;
+	pick_args.preferred_domain = *domain ? domain : NULL;
+	direct_stages_set_shard(placement->direct->stages, &pick_args);
+	reservation =
+		reserve(placement, lp_hash_pair(peer, number), &pick_args);
 	reply = g_variant_ref_sink(write_answer(
 		number, reservation,
-		reservation
-			? 0
-			: pool_retry_after_us(placement->direct->pool, &ask)));
+		reservation ? 0
+			    : pool_retry_after_us(placement->direct->pool,
+						  &pick_args)));
 	direct_peers_send(placement->peers, peer, KIND_ANSWER, reply);
 }
 
--- a/direct/direct_placement.h
+++ b/direct/direct_placement.h
@@ -45,7 +45,7 @@
  */
 uint64_t direct_placement_query(struct direct_placement *placement,
 				uint64_t placer,
-				const struct pool_pick_args *ask,
+				const struct pool_pick_args *pick_args,
 				direct_placement_fn on_placed, void *userdata);
 void direct_placement_cancel(struct direct_placement *placement,
 			     uint64_t number);
--- a/direct/direct_private.h
+++ b/direct/direct_private.h
@@ -89,11 +89,12 @@
 static inline int64_t direct_prefix_cache_capacity(const struct direct *direct,
 						   const char *service)
 {
-	const struct direct_service *figures =
+	const struct direct_service *service_config =
 		direct_config_service(direct->config, service);
 
-	return figures ? (int64_t)(DIRECT_PREFIX_CACHE_FRACTION *
-				   (double)figures->prefix_cache_tokens)
+	return service_config
+		       ? (int64_t)(DIRECT_PREFIX_CACHE_FRACTION *
+				   (double)service_config->prefix_cache_tokens)
 		       : 0;
 }
 
@@ -144,10 +145,10 @@
 				  const struct pool_upstream *upstream);
 /** Set the shard of a service's engines at which a prompt is placed. */
 void direct_stages_set_shard(struct direct_stages *stages,
-			     struct pool_pick_args *ask);
+			     struct pool_pick_args *pick_args);
 /** Hash of the peer that places this prompt; 0: this entry does. */
 uint64_t direct_stages_placer(struct direct_stages *stages,
-			      const struct pool_pick_args *ask);
+			      const struct pool_pick_args *pick_args);
 /** Submit pieces to their dispatcher. Takes over the fields of `work`. The
  * graph of `request` gets the results. */
 void direct_stages_submit(struct direct_stages *stages,
--- a/direct/direct_quarantine.c
+++ b/direct/direct_quarantine.c
@@ -10,7 +10,7 @@
 #define REPORTS_TYPE "a(yttuxx)"
 #define REPORT_TERMINATION 'E' /* incarnation, round, age, run */
 #define REPORT_CLEARED 'S'     /* age */
-#define REPORT_TRIAL 'T'       /* longest rest of the trial; 0: it is over */
+#define REPORT_TRIAL 'T'       /* longest time left to the trial; 0: ended */
 /* About 4 KB. */
 #define REPORTS_PER_DATAGRAM 96
 /* Each report is sent this often, at this interval: where one datagram in 40 is
--- a/direct/direct_relay.c
+++ b/direct/direct_relay.c
@@ -525,7 +525,7 @@
 	g_autoptr(GVariant) inputs = NULL;
 	int64_t now_us = time_now_us(relay);
 	const char *preferred;
-	const char *homes;
+	const char *regions;
 	guint64 number;
 	gint64 due_us;
 	gint64 until_us;
@@ -537,7 +537,7 @@
 		      &work->id, &work->key, &piece->stage, &indices, &inputs,
 		      &due_us, &until_us, &piece->priority,
 		      &piece->result_bytes, &flags, &preferred,
-		      &piece->preferred_bytes, &homes);
+		      &piece->preferred_bytes, &regions);
 	cells = g_variant_get_fixed_array(indices, &count, sizeof(uint32_t));
 	work->indices = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	g_array_append_vals(work->indices, cells, (guint)count);
@@ -554,7 +554,7 @@
 	/* Interned strings are never freed, but there are few domains. */
 	piece->preferred_domain =
 		*preferred ? g_intern_string(preferred) : NULL;
-	piece->allowed_regions = allowed_regions_decode(homes);
+	piece->allowed_regions = allowed_regions_decode(regions);
 }
 
 static void send_accepted(struct direct_relay *relay,
--- a/direct/direct_request.c
+++ b/direct/direct_request.c
@@ -51,18 +51,19 @@
 	if (!request->graph || !request->route)
 		return;
 	for (uint32_t i = 0; i < request->route->stages_count; i++) {
-		int64_t asked_us = request->requested_us[i];
-		int64_t made_us = request->completed_us[i];
+		int64_t requested_us = request->requested_us[i];
+		int64_t completed_us = request->completed_us[i];
 
-		if (!asked_us)
+		if (!requested_us)
 			continue;
 		g_string_append_printf(
 			text, "%s%u:%" G_GINT64_FORMAT "+%" G_GINT64_FORMAT,
 			text->len ? " " : "", i,
-			(gint64)((asked_us - request->arrived_us) /
+			(gint64)((requested_us - request->arrived_us) /
 				 LP_US_PER_MS),
-			(gint64)(made_us ? (made_us - asked_us) / LP_US_PER_MS
-					 : -1));
+			(gint64)(completed_us ? (completed_us - requested_us) /
+							LP_US_PER_MS
+					      : -1));
 	}
 	lp_event_text(request->direct->options.log, "stages_ms", text->str);
 }
@@ -215,15 +216,15 @@
 				const struct pool_upstream *upstream,
 				uint32_t round, int64_t began_us)
 {
-	const struct lost_request loss = {
+	const struct lost_request lost = {
 		.request_digest = direct_request_digest(request),
 		.round = round,
 		.sent_us = began_us,
 	};
 
 	direct_quarantine_request_lost(request->direct->quarantine, request);
-	direct_terminations_add_loss(request->direct->terminations, upstream,
-				     loss);
+	direct_terminations_add_lost_request(request->direct->terminations,
+					     upstream, lost);
 }
 
 /* ---- admission ---- */
--- a/direct/direct_request.h
+++ b/direct/direct_request.h
@@ -43,7 +43,8 @@
 	const char *allowed_regions; /* policy/allowed_regions.h */
 	struct direct_request_info info;
 	int64_t arrived_us;
-	int64_t client_waited_us; /* estimate: by its caller, in earlier tries
+	int64_t client_waited_us; /* estimate: by its caller, in earlier
+				   * attempts attempts
 				   */
 	int64_t deadline_us;
 	int32_t priority;
--- a/direct/direct_results.c
+++ b/direct/direct_results.c
@@ -184,15 +184,16 @@
 		     const struct batch *batch)
 {
 	int64_t now_us = lp_now_us(results->direct->options.clock);
-	struct batch *waiting;
+	struct batch *next_batch;
 
 	if (now_us - batch->started_us >= RESULT_TTL_US)
 		return;
-	waiting = get_or_create_batch(results, results->call_batches, producer);
-	waiting->started_us = MIN(waiting->started_us, batch->started_us);
-	waiting->bytes += batch->bytes;
+	next_batch =
+		get_or_create_batch(results, results->call_batches, producer);
+	next_batch->started_us = MIN(next_batch->started_us, batch->started_us);
+	next_batch->bytes += batch->bytes;
 	for (guint i = 0; i < batch->handles->len; i++)
-		g_ptr_array_add(waiting->handles,
+		g_ptr_array_add(next_batch->handles,
 				g_strdup(g_ptr_array_index(batch->handles, i)));
 }
 
--- a/direct/direct_stage_plan.c
+++ b/direct/direct_stage_plan.c
@@ -1,8 +1,8 @@
 /** Plans the stages of one request: which pieces are requested, and when. */
 #include "direct/direct_request.h"
 
-/* On average an engine has to read one part in this many of a prompt; the rest
- * is in its prefix cache. */
+/* On average an engine has to read one in this many tokens of a prompt; the
+ * rest is in its prefix cache. */
 #define COLD_PROMPT_DIVISOR 4
 /* A request is refused if pieces of its stages have been requested again more
  * often than this, over all stages. */
--- a/direct/direct_stages.c
+++ b/direct/direct_stages.c
@@ -22,7 +22,7 @@
  * change more slowly. */
 #define ASSIGNMENT_INTERVAL_MS 200
 /* Polls for the end of member discovery: it may end early, when all known
- * members have been heard. */
+ * members have sent a hello. */
 #define DISCOVERY_POLL_MS 10
 /* Placing prompts at this many engines is as much work as keeping one upstream
  * of stages full. */
@@ -247,21 +247,23 @@
 		return;
 	g_hash_table_iter_init(&iter, config->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct direct_service *figures = value;
+		const struct direct_service *service_config = value;
 		const struct stage_service *service;
 		struct warmup_limits limits = {
-			.cold_period_us = figures->cold_us,
-			.requests_per_s = figures->cold_per_s,
+			.cold_period_us = service_config->cold_us,
+			.requests_per_s = service_config->cold_per_s,
 			.phase = members > 1 ? stages->phase : 0,
 		};
 
-		if (!figures->cold_us || figures->cold_per_s <= 0)
+		if (!service_config->cold_us || service_config->cold_per_s <= 0)
 			continue;
-		service = g_hash_table_lookup(stages->services, figures->name);
+		service = g_hash_table_lookup(stages->services,
+					      service_config->name);
 		limits.is_owner = sends_for_all(stages, service, members);
 		limits.own_share =
 			own_warmup_share(service, limits.is_owner, members);
-		pool_set_warmup(stages->direct->pool, figures->name, &limits);
+		pool_set_warmup(stages->direct->pool, service_config->name,
+				&limits);
 	}
 }
 
@@ -332,11 +334,12 @@
 		struct stage_service *service = value;
 
 		for (uint32_t i = 0; i < service->shards; i++) {
-			uint64_t found = dispatcher_of_task(
+			uint64_t dispatcher = dispatcher_of_task(
 				tasks, task_hash(service, i));
 
 			set_dispatcher(stages, service, i,
-				       found ? found : own_hash(stages),
+				       dispatcher ? dispatcher
+						  : own_hash(stages),
 				       members->len);
 		}
 		if (!service->is_engines)
@@ -411,31 +414,32 @@
 }
 
 void direct_stages_set_shard(struct direct_stages *stages,
-			     struct pool_pick_args *ask)
+			     struct pool_pick_args *pick_args)
 {
 	const struct stage_service *service =
-		g_hash_table_lookup(stages->services, ask->service);
-	uint32_t last = ask->blocks_count - 1;
+		g_hash_table_lookup(stages->services, pick_args->service);
+	uint32_t last = pick_args->blocks_count - 1;
 
-	if (!service || !service->is_engines || !ask->blocks_count)
+	if (!service || !service->is_engines || !pick_args->blocks_count)
 		return;
 	/* By the last prefix block but one: the last block is taken as not
 	 * shared with other prompts. */
-	ask->shard_count = service->shards;
-	ask->shard = (uint32_t)(ask->blocks[last ? last - 1 : 0].id %
-				service->shards);
+	pick_args->shard_count = service->shards;
+	pick_args->shard =
+		(uint32_t)(pick_args->blocks[last ? last - 1 : 0].id %
+			   service->shards);
 }
 
 uint64_t direct_stages_placer(struct direct_stages *stages,
-			      const struct pool_pick_args *ask)
+			      const struct pool_pick_args *pick_args)
 {
 	const struct stage_service *service =
-		g_hash_table_lookup(stages->services, ask->service);
+		g_hash_table_lookup(stages->services, pick_args->service);
 
 	if (!service || !service->is_engines ||
-	    service->dispatchers[ask->shard] == own_hash(stages))
+	    service->dispatchers[pick_args->shard] == own_hash(stages))
 		return 0;
-	return service->dispatchers[ask->shard];
+	return service->dispatchers[pick_args->shard];
 }
 
 /* ---- submissions ---- */
--- a/direct/direct_terminations.c
+++ b/direct/direct_terminations.c
@@ -25,7 +25,7 @@
 
 struct direct_terminations {
 	struct direct_terminations_options options;
-	struct lost_requests *losses;
+	struct lost_requests *lost_requests;
 	GHashTable *probes; /* incarnation -> struct probe */
 };
 
@@ -99,7 +99,7 @@
 	if (pool_is_draining(upstream))
 		return;
 	if (lost_requests_note_termination(
-		    terminations->losses, incarnation,
+		    terminations->lost_requests, incarnation,
 		    evidence == DIRECT_TERMINATION_RESTARTED, lost) &&
 	    lost->len)
 		log_termination(terminations, upstream, evidence, lost);
@@ -121,8 +121,8 @@
 	struct direct_terminations *terminations = probe->terminations;
 	uint64_t incarnation = probe->upstream->incarnation;
 
-	lost_requests_note_undetermined(terminations->losses, incarnation,
-					is_alive);
+	lost_requests_note_undetermined(terminations->lost_requests,
+					incarnation, is_alive);
 	g_hash_table_remove(terminations->probes, &incarnation);
 }
 
@@ -229,22 +229,22 @@
 	return newest && newest != upstream;
 }
 
-void direct_terminations_add_loss(struct direct_terminations *terminations,
-				  const struct pool_upstream *upstream,
-				  struct lost_request loss)
+void direct_terminations_add_lost_request(
+	struct direct_terminations *terminations,
+	const struct pool_upstream *upstream, struct lost_request lost)
 {
 	bool is_replaced = has_newer_incarnation(terminations, upstream);
 
-	loss.incarnation = upstream->incarnation;
-	loss.lost_us = lp_now_us(direct_of(terminations)->options.clock);
-	lost_requests_expire(terminations->losses);
+	lost.incarnation = upstream->incarnation;
+	lost.lost_us = lp_now_us(direct_of(terminations)->options.clock);
+	lost_requests_expire(terminations->lost_requests);
 	if (pool_is_draining(upstream) || (!upstream->listed && !is_replaced))
 		return;
-	switch (lost_requests_add(terminations->losses, &loss)) {
+	switch (lost_requests_add(terminations->lost_requests, &lost)) {
 	case LOST_REQUEST_UPSTREAM_TERMINATED:
-		log_lost_request(terminations, upstream, &loss);
+		log_lost_request(terminations, upstream, &lost);
 		terminations->options.terminated(terminations->options.userdata,
-						 &loss, 1);
+						 &lost, 1);
 		return;
 	case LOST_REQUEST_PROBE_NEEDED:
 		if (!is_replaced)
@@ -265,7 +265,7 @@
 		g_new0(struct direct_terminations, 1);
 
 	terminations->options = *options;
-	terminations->losses =
+	terminations->lost_requests =
 		lost_requests_create(options->direct->options.clock);
 	terminations->probes = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, NULL, free_probe);
@@ -275,6 +275,6 @@
 void direct_terminations_destroy(struct direct_terminations *terminations)
 {
 	g_hash_table_unref(terminations->probes);
-	lost_requests_destroy(terminations->losses);
+	lost_requests_destroy(terminations->lost_requests);
 	g_free(terminations);
 }
--- a/direct/direct_terminations.h
+++ b/direct/direct_terminations.h
@@ -39,13 +39,13 @@
 direct_terminations_create(const struct direct_terminations_options *options);
 void direct_terminations_destroy(struct direct_terminations *terminations);
 /**
- * Records a lost request; fills in the incarnation and time of `loss`. Ignored
+ * Records a lost request; fills in the incarnation and time of `lost`. Ignored
  * if the upstream is draining, or is no longer listed and not replaced by a
  * newer incarnation: its termination is expected.
  */
-void direct_terminations_add_loss(struct direct_terminations *terminations,
-				  const struct pool_upstream *upstream,
-				  struct lost_request loss);
+void direct_terminations_add_lost_request(
+	struct direct_terminations *terminations,
+	const struct pool_upstream *upstream, struct lost_request lost);
 /** Records that an upstream has terminated, and reports its lost requests. */
 void direct_terminations_confirm(struct direct_terminations *terminations,
 				 const struct pool_upstream *upstream,
