--- a/direct/direct_relay.c
+++ b/direct/direct_relay.c
@@ -139,7 +139,8 @@
 			  outgoing->body);
 }
 
-/* The dispatcher is silent, or it is not but has not accepted the work. */
+/* Whether the dispatcher has been silent, or has not accepted the work, for too
+ * long. */
 static bool is_dispatcher_gone(struct direct_relay *relay,
 			       const struct outgoing_work *outgoing)
 {
@@ -226,7 +227,8 @@
 			g_hash_table_iter_remove(&iter);
 }
 
-/* Cancels work of peers that terminated, or whose cancel datagram was lost. */
+/* Cancels work whose result is useless by now: its peer has terminated, or the
+ * cancel datagram was lost. */
 static void cancel_expired(struct direct_relay *relay)
 {
 	GHashTableIter iter;
--- a/direct/direct_request.h
+++ b/direct/direct_request.h
@@ -43,9 +43,7 @@
 	const char *allowed_regions; /* policy/allowed_regions.h */
 	struct direct_request_info info;
 	int64_t arrived_us;
-	int64_t client_waited_us; /* estimate: by its caller, in earlier
-				   * attempts attempts
-				   */
+	int64_t client_waited_us; /* estimate: in caller's earlier attempts */
 	int64_t deadline_us;
 	int32_t priority;
 	uint64_t digest; /* direct_request_digest(); 0: not computed yet */
