--- a/tests/closed_domains_test.cc
+++ b/tests/closed_domains_test.cc
@@ -167,25 +167,25 @@
 TEST(ClosedDomains, AreLearntFromAPeerDuringAStoreOutage)
 {
 	Domains domains;
-	Rig cut;
+	Rig refused;
 	uint32_t before;
 	pe_upstream *in_closed_domain =
-		pe_add(cut.platform, PE_PLAIN, "plain", "a");
+		pe_add(refused.platform, PE_PLAIN, "plain", "a");
 
-	pe_add(cut.platform, PE_PLAIN, "plain", "b");
-	cut.settle();
+	pe_add(refused.platform, PE_PLAIN, "plain", "b");
+	refused.settle();
 	domains.rig.join("127.0.0.1", 500, { "127.0.0.2" });
-	cut.join("127.0.0.2", 500, { "127.0.0.1" });
-	pe_store_fault(cut.platform, PE_STORE_BUSY);
+	refused.join("127.0.0.2", 500, { "127.0.0.1" });
+	pe_store_fault(refused.platform, PE_STORE_BUSY);
 	ASSERT_TRUE(run_loop_until([&] {
-		return !plf_feed_kv_is_available(cut.feed) &&
-		       direct_peers_count(cut.peers) == 2;
+		return !plf_feed_kv_is_available(refused.feed) &&
+		       direct_peers_count(refused.peers) == 2;
 	}));
 	pe_evacuate(domains.rig.platform, "a");
 	wait_ms(300);
 	before = pe_arrivals(in_closed_domain);
 	for (int i = 0; i < 10; i++)
-		EXPECT_EQ(request_status(cut), ok_status);
+		EXPECT_EQ(request_status(refused), ok_status);
 	EXPECT_EQ(pe_arrivals(in_closed_domain), before);
 }
 
--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -151,10 +151,10 @@
 	lp_counters *counters = lp_counters_create();
 	direct *entry = nullptr;
 	direct_peers *peers = nullptr;
-	plf_peer_sync *share = nullptr;
+	plf_peer_sync *peer_sync = nullptr;
 	store_kv *kv = nullptr;
 	plf_feed *feed = nullptr;
-	plf_quarantine *kept = nullptr;
+	plf_quarantine *quarantine = nullptr;
 	std::string address;
 	int64_t drain_us = 800000;
 
@@ -211,9 +211,9 @@
 	void end()
 	{
 		kv->ops->destroy(kv);
-		plf_peer_sync_destroy(share);
+		plf_peer_sync_destroy(peer_sync);
 		plf_feed_destroy(feed);
-		plf_quarantine_destroy(kept);
+		plf_quarantine_destroy(quarantine);
 		direct_destroy(entry);
 		direct_peers_destroy(peers);
 		lp_counters_destroy(counters);
@@ -242,8 +242,8 @@
 		options.retry_ratio = 0.2;
 		options.retry_slack = 20;
 		options.blocked = [](void *self, uint64_t content) {
-			plf_quarantine_write(static_cast<Rig *>(self)->kept,
-					     content);
+			plf_quarantine_write(
+				static_cast<Rig *>(self)->quarantine, content);
 		};
 		options.userdata = this;
 		for (int port = 21400; !entry && port < 21900; port++) {
@@ -281,9 +281,9 @@
 		};
 		options.userdata = this;
 		feed = plf_feed_create(&options);
-		start_kept();
+		start_quarantine();
 	}
-	void start_kept()
+	void start_quarantine()
 	{
 		plf_quarantine_options options = {};
 
@@ -291,7 +291,7 @@
 		options.log = log;
 		options.kv = kv;
 		options.direct = entry;
-		kept = plf_quarantine_create(&options);
+		quarantine = plf_quarantine_create(&options);
 	}
 	/* Exchanges upstream lists and configurations with peers, at this IP.
 	 */
@@ -306,8 +306,8 @@
 		options.direct = entry;
 		options.feed = feed;
 		options.address = at.c_str();
-		share = plf_peer_sync_create(&options);
-		ASSERT_NE(share, nullptr);
+		peer_sync = plf_peer_sync_create(&options);
+		ASSERT_NE(peer_sync, nullptr);
 	}
 	/* Makes the entry a peer of the entries at these IPs. */
 	void join(const char *ip, uint32_t capacity,
@@ -330,7 +330,7 @@
 		options.on_upstream_list = [](void *self, const char *from,
 					      uint64_t hash, int64_t age_us) {
 			plf_peer_sync_handle_list_hash(
-				static_cast<Rig *>(self)->share, from, hash,
+				static_cast<Rig *>(self)->peer_sync, from, hash,
 				age_us);
 		};
 		options.userdata = this;
--- a/tests/direct_test.cc
+++ b/tests/direct_test.cc
@@ -57,17 +57,17 @@
 	rig.add(PE_PLAIN, "plain");
 	rig.settle();
 	CallerRequest unknown(rig.address, "a1", "/nowhere/x");
-	CallerRequest stranger(rig.address, "a2", "/look/x",
-			       { { "Authorization", "Bearer no" } });
-	CallerRequest nameless(rig.address, "a3", "/look/x",
-			       { { "X-Attempt-Id", "" } });
+	CallerRequest unauthorized(rig.address, "a2", "/look/x",
+				   { { "Authorization", "Bearer no" } });
+	CallerRequest without_id(rig.address, "a3", "/look/x",
+				 { { "X-Attempt-Id", "" } });
 	CallerRequest forged(rig.address, "a4", "/look/x",
 			     { { "X-Tenant", "evil" } });
 
 	EXPECT_EQ(unknown.wait().status, 404u);
-	EXPECT_EQ(stranger.wait().status, 401u);
+	EXPECT_EQ(unauthorized.wait().status, 401u);
 	EXPECT_EQ(forged.wait().status, 200u);
-	nameless.wait();
+	without_id.wait();
 }
 
 /* ---- at most once, and refusals as "not run" ---- */
@@ -262,18 +262,18 @@
 TEST(Direct, LostResultsAreRecomputed)
 {
 	Rig rig;
-	pe_upstream *forgets = rig.add(PE_STAGE, "first");
+	pe_upstream *forgetful = rig.add(PE_STAGE, "first");
 
 	rig.add(PE_STAGE, "second");
 	rig.add(PE_ENGINE, "engine");
-	pe_fault(forgets, PE_FAULT_FORGET);
+	pe_fault(forgetful, PE_FAULT_FORGET);
 	rig.settle();
 	CallerRequest staged(rig.address, "a1", "/staged/x",
 			     { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	ASSERT_TRUE(run_loop_until(
 		[&] { return pe_pieces_made(rig.platform) >= 2; }));
-	pe_fault(forgets, PE_FAULT_NONE);
+	pe_fault(forgetful, PE_FAULT_NONE);
 	EXPECT_EQ(staged.wait().body, complete_stream);
 }
 
@@ -332,11 +332,11 @@
 TEST(Direct, PiecesAreNotSentWithoutLostInputs)
 {
 	Rig rig;
-	pe_upstream *forgets = rig.add(PE_STAGE, "first");
+	pe_upstream *forgetful = rig.add(PE_STAGE, "first");
 
 	rig.add(PE_STAGE, "second");
 	rig.add(PE_ENGINE, "engine");
-	pe_fault(forgets, PE_FAULT_FORGET);
+	pe_fault(forgetful, PE_FAULT_FORGET);
 	rig.settle();
 	CallerRequest staged(
 		rig.address, "a1", "/staged/x",
@@ -344,7 +344,7 @@
 
 	ASSERT_TRUE(run_loop_until(
 		[&] { return pe_pieces_made(rig.platform) >= 2; }));
-	pe_fault(forgets, PE_FAULT_NONE);
+	pe_fault(forgetful, PE_FAULT_NONE);
 	EXPECT_EQ(staged.wait().body, complete_stream);
 }
 
@@ -380,19 +380,19 @@
 	rig.add(PE_ENGINE, "engine");
 	pe_set_work_ms(slow, 900);
 	rig.settle();
-	CallerRequest one(rig.address, "a1", "/staged/x",
-			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest first(rig.address, "a1", "/staged/x",
+			    { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(slow) == 1; }));
-	CallerRequest two(rig.address, "a2", "/staged/x",
-			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest second(rig.address, "a2", "/staged/x",
+			     { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	ASSERT_TRUE(run_loop_until(
 		[&] { return pe_pieces_made(rig.platform) >= 2; }));
 	run_loop_until([] { return false; }, 50);
 	pe_remove(producer);
-	one.wait();
-	two.wait();
+	first.wait();
+	second.wait();
 }
 
 /* No piece may be computed without its inputs, or with those of another
@@ -437,15 +437,16 @@
 	rig.settle();
 	pe_fault(stage, PE_FAULT_SILENT);
 	pe_set_work_ms(plain, 200);
-	CallerRequest waits(rig.address, "w", "/staged/x",
-			    { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest waiting(
+		rig.address, "w", "/staged/x",
+		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 	CallerRequest sent(rig.address, "s", "/order/x");
 	ASSERT_TRUE(run_loop_until(
 		[&] { return pe_calls(stage) && pe_arrivals(plain); }));
 	direct_drain(rig.entry);
 	direct_refuse_unsent(rig.entry);
-	EXPECT_EQ(waits.wait().status, 503u);
-	EXPECT_NE(waits.retry_after, "");
+	EXPECT_EQ(waiting.wait().status, 503u);
+	EXPECT_NE(waiting.retry_after, "");
 	EXPECT_EQ(sent.wait().status, 200u);
 }
 
@@ -582,8 +583,8 @@
 	Rig served;
 	Rig refused;
 	plf_peer_sync_options options = {};
-	plf_peer_sync *one;
-	plf_peer_sync *two;
+	plf_peer_sync *served_sync;
+	plf_peer_sync *refused_sync;
 
 	served.add(PE_PLAIN, "plain");
 	served.settle();
@@ -599,14 +600,14 @@
 	options.direct = served.entry;
 	options.feed = served.feed;
 	options.address = "127.0.0.1:21512";
-	one = plf_peer_sync_create(&options);
+	served_sync = plf_peer_sync_create(&options);
 	options.direct = refused.entry;
 	options.feed = refused.feed;
 	options.address = "127.0.0.2:21512";
-	two = plf_peer_sync_create(&options);
-	ASSERT_TRUE(one && two);
-	plf_peer_sync_handle_version(two, "127.0.0.1", 4);
-	plf_peer_sync_handle_version(two, "127.0.0.9", 1);
+	refused_sync = plf_peer_sync_create(&options);
+	ASSERT_TRUE(served_sync && refused_sync);
+	plf_peer_sync_handle_version(refused_sync, "127.0.0.1", 4);
+	plf_peer_sync_handle_version(refused_sync, "127.0.0.9", 1);
 	EXPECT_TRUE(run_loop_until(
 		[&] { return direct_config_version(refused.entry) == 4; },
 		1500));
@@ -615,8 +616,8 @@
 			       .wait()
 			       .status == 200;
 	}));
-	plf_peer_sync_destroy(one);
-	plf_peer_sync_destroy(two);
+	plf_peer_sync_destroy(served_sync);
+	plf_peer_sync_destroy(refused_sync);
 }
 
 /* Guards against an entry without a list for ten seconds although three peers
@@ -628,7 +629,7 @@
 	Rig served;
 	Rig refused;
 	Rig also_refused;
-	plf_peer_sync *shares[3];
+	plf_peer_sync *syncs[3];
 	Rig *const rigs[] = { &served, &refused, &also_refused };
 
 	for (Rig *rig : rigs)
@@ -650,21 +651,21 @@
 		options.direct = rigs[i]->entry;
 		options.feed = rigs[i]->feed;
 		options.address = at.c_str();
-		shares[i] = plf_peer_sync_create(&options);
-		ASSERT_NE(shares[i], nullptr);
+		syncs[i] = plf_peer_sync_create(&options);
+		ASSERT_NE(syncs[i], nullptr);
 	}
 	EXPECT_TRUE(run_loop_until(
 		[&] {
 			g_autofree char *list =
 				plf_feed_list_text(refused.feed);
 
-			plf_peer_sync_handle_version(shares[1], "127.0.0.1", 1);
-			plf_peer_sync_handle_version(shares[1], "127.0.0.3", 1);
+			plf_peer_sync_handle_version(syncs[1], "127.0.0.1", 1);
+			plf_peer_sync_handle_version(syncs[1], "127.0.0.3", 1);
 			return *list != '\0';
 		},
 		3000));
-	for (plf_peer_sync *share : shares)
-		plf_peer_sync_destroy(share);
+	for (plf_peer_sync *sync : syncs)
+		plf_peer_sync_destroy(sync);
 }
 
 /* Guards against requests to an upstream that was removed during an outage of
--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -34,8 +34,8 @@
 			entry(i).join(ips[i].c_str(), 500, ips);
 		for (int i = 0; i < size; i++)
 			entry(i).settle();
-		EXPECT_TRUE(
-			run_loop_until([&] { return all_entries_know(size); }));
+		EXPECT_TRUE(run_loop_until(
+			[&] { return all_have_discovered(size); }));
 	}
 	void add(pe_kind kind, const char *service)
 	{
@@ -50,7 +50,7 @@
 	{
 		return i ? *others[i - 1] : first;
 	}
-	bool all_entries_know(int count)
+	bool all_have_discovered(int count)
 	{
 		for (int i = 0; i < size(); i++)
 			if ((int)direct_peers_count(entry(i).peers) < count)
--- a/tests/notices_test.cc
+++ b/tests/notices_test.cc
@@ -85,12 +85,12 @@
 
 	rig.settle();
 	pe_set_work_ms(only, 300);
-	CallerRequest one(rig.address, "1", "/order/x");
-	CallerRequest two(rig.address, "2", "/order/x");
+	CallerRequest first(rig.address, "1", "/order/x");
+	CallerRequest second(rig.address, "2", "/order/x");
 	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(only) == 2; }));
 	pe_say_leaving(only);
-	EXPECT_EQ(one.wait().status, 200u);
-	EXPECT_EQ(two.wait().status, 200u);
+	EXPECT_EQ(first.wait().status, 200u);
+	EXPECT_EQ(second.wait().status, 200u);
 }
 
 /* Without another upstream a request is refused at once, as not run. */
@@ -123,8 +123,8 @@
 		  200u);
 	EXPECT_EQ(CallerRequest(rig.address, "2", "/look/x").wait().status,
 		  503u);
-	pe_restart_options how = {};
-	pe_restart(only, &how);
+	pe_restart_options options = {};
+	pe_restart(only, &options);
 	EXPECT_TRUE(run_loop_until([&] {
 		return CallerRequest(rig.address, "3", "/look/x")
 			       .wait()
@@ -132,27 +132,28 @@
 	}));
 }
 
-/* The upstream's entry in the list expires during an outage of the service and
+/* The upstream's record in the list expires during an outage of the service and
  * returns as ready. */
 TEST(DrainNotice, OutlastsRemovalFromTheList)
 {
 	TestClock clock;
 	pool *upstreams = pool_create(&clock.clock, "a");
 	char id[] = "1", service[] = "s", address[] = "1:1", domain[] = "a";
-	pool_upstream_info entry = { id, service, address, domain,
-				     4,	 false,	  7,	   0 };
+	pool_upstream_info info = {
+		id, service, address, domain, 4, false, 7, 0
+	};
 
-	pool_update(upstreams, &entry, 1);
+	pool_update(upstreams, &info, 1);
 	EXPECT_TRUE(
 		pool_note_drain_notice(upstreams, pool_find(upstreams, "1")));
 	EXPECT_FALSE(
 		pool_note_drain_notice(upstreams, pool_find(upstreams, "1")));
 	pool_update(upstreams, nullptr, 0);
 	clock.now_us += 60 * LP_US_PER_S;
-	pool_update(upstreams, &entry, 1);
+	pool_update(upstreams, &info, 1);
 	EXPECT_FALSE(pool_is_eligible(pool_find(upstreams, "1")));
-	entry.born_ms = 8;
-	pool_update(upstreams, &entry, 1);
+	info.born_ms = 8;
+	pool_update(upstreams, &info, 1);
 	EXPECT_TRUE(pool_is_eligible(pool_find(upstreams, "1")));
 	pool_destroy(upstreams);
 }
@@ -171,10 +172,11 @@
 					   pool_create(rig.clock, "a") };
 	direct_notices *notices = direct_notices_create(&options);
 	char id[] = "1", service[] = "s", address[] = "1:1", domain[] = "a";
-	pool_upstream_info entry = { id, service, address, domain,
-				     4,	 false,	  7,	   0 };
+	pool_upstream_info info = {
+		id, service, address, domain, 4, false, 7, 0
+	};
 
-	pool_update(options.pool, &entry, 1);
+	pool_update(options.pool, &info, 1);
 	pool_upstream *upstream = pool_find(options.pool, "1");
 	direct_notices_receive(notices, upstream, &reply);
 	EXPECT_FALSE(upstream->drain_notice);
@@ -197,8 +199,8 @@
  * arrives, so they are not counted. */
 const int64_t learning_ms = 500;
 
-/* Guards against requests during pushback: engines that asked an entry for a
- * pause of three seconds got three to five more requests from it in that time;
+/* Guards against requests during pushback: engines that pushed back on an
+ * entry for three seconds got three to five more requests from it in that time;
  * at most two are allowed. */
 TEST(Pushback, StopsRequestsForItsPeriod)
 {
@@ -286,23 +288,24 @@
 }
 
 /* The longer of two pushbacks holds, and it outlasts the expiry of the
- * upstream's entry in the list. */
+ * upstream's record in the list. */
 TEST(Pushback, OutlastsRemovalFromTheList)
 {
 	TestClock clock;
 	pool *upstreams = pool_create(&clock.clock, "a");
 	char id[] = "1", service[] = "s", address[] = "1:1", domain[] = "a";
-	pool_upstream_info entry = { id, service, address, domain,
-				     4,	 false,	  7,	   0 };
+	pool_upstream_info info = {
+		id, service, address, domain, 4, false, 7, 0
+	};
 
-	pool_update(upstreams, &entry, 1);
+	pool_update(upstreams, &info, 1);
 	pool_note_pushback(upstreams, pool_find(upstreams, "1"),
 			   3 * LP_US_PER_S);
 	pool_note_pushback(upstreams, pool_find(upstreams, "1"),
 			   1 * LP_US_PER_S);
 	pool_update(upstreams, nullptr, 0);
 	clock.now_us += 2 * LP_US_PER_S;
-	pool_update(upstreams, &entry, 1);
+	pool_update(upstreams, &info, 1);
 	EXPECT_FALSE(pool_is_available(upstreams, pool_find(upstreams, "1")));
 	clock.now_us += 1 * LP_US_PER_S;
 	EXPECT_TRUE(pool_is_available(upstreams, pool_find(upstreams, "1")));
--- a/tests/poison_test.cc
+++ b/tests/poison_test.cc
@@ -36,35 +36,35 @@
 
 /* Two entries in contact with each other, on one platform. */
 struct Fleet {
-	Rig one;
-	Rig two{ &one };
+	Rig first;
+	Rig second{ &first };
 
 	explicit Fleet(const pe_poison_options &options = poison_after())
 	{
-		pe_poison(one.platform, &options);
+		pe_poison(first.platform, &options);
 	}
 	void settle()
 	{
-		one.join("127.0.0.1", 500, { "127.0.0.2" }, 1);
-		two.join("127.0.0.2", 500, { "127.0.0.1" }, 1);
-		one.settle();
-		two.settle();
+		first.join("127.0.0.1", 500, { "127.0.0.2" }, 1);
+		second.join("127.0.0.2", 500, { "127.0.0.1" }, 1);
+		first.settle();
+		second.settle();
 		ASSERT_TRUE(run_loop_until([&] {
-			return direct_peers_count(one.peers) == 2 &&
-			       direct_peers_count(two.peers) == 2;
+			return direct_peers_count(first.peers) == 2 &&
+			       direct_peers_count(second.peers) == 2;
 		}));
 	}
 	Rig &entry_at(int index)
 	{
-		return index % 2 ? two : one;
+		return index % 2 ? second : first;
 	}
 	void add_upstreams(int each)
 	{
 		for (int i = 0; i < each; i++) {
-			one.add(PE_PLAIN, "plain");
-			one.add(PE_ENGINE, "engine");
-			one.add(PE_STAGE, "first");
-			one.add(PE_STAGE, "second");
+			first.add(PE_PLAIN, "plain");
+			first.add(PE_ENGINE, "engine");
+			first.add(PE_STAGE, "first");
+			first.add(PE_STAGE, "second");
 		}
 	}
 	std::string listing()
@@ -72,7 +72,7 @@
 		GString *text = g_string_new(nullptr);
 		std::string listing;
 
-		direct_print_quarantine(one.entry, text);
+		direct_print_quarantine(first.entry, text);
 		listing = text->str;
 		g_string_free(text, TRUE);
 		return listing;
@@ -81,7 +81,7 @@
 	{
 		pe_poison_book counts;
 
-		pe_poison_seen(one.platform, &counts);
+		pe_poison_seen(first.platform, &counts);
 		return counts;
 	}
 };
@@ -103,13 +103,13 @@
 				tries_in_flight;
 
 			for (int j = 0; j < at_once; j++)
-				tries_in_flight.push_back(ask());
-			for (auto &one : tries_in_flight)
-				refused += one->wait().status == 503;
+				tries_in_flight.push_back(start_try());
+			for (auto &request : tries_in_flight)
+				refused += request->wait().status == 503;
 			run_loop_until([] { return false; }, 50);
 		}
 	}
-	std::unique_ptr<CallerRequest> ask()
+	std::unique_ptr<CallerRequest> start_try()
 	{
 		std::string id = body + std::to_string(++tries);
 
@@ -141,17 +141,18 @@
 	int tries = 0;
 
 	for (int i = 0; i < 12; i++)
-		fleet.one.add(PE_ENGINE, "engine");
+		fleet.first.add(PE_ENGINE, "engine");
 	fleet.settle();
 	end_us = g_get_monotonic_time() + 6 * LP_US_PER_S;
 	while (g_get_monotonic_time() < end_us) {
 		std::string id = "p" + std::to_string(tries);
-		CallerRequest ask(fleet.entry_at(tries).address, id.c_str(),
-				  "/once/x", {}, poison);
+		CallerRequest request(fleet.entry_at(tries).address, id.c_str(),
+				      "/once/x", {}, poison);
 
-		if (ask.wait().status == 503) {
+		if (request.wait().status == 503) {
 			/* A refused try has not run. */
-			EXPECT_EQ(pe_runs(fleet.one.platform, id.c_str()), 0u);
+			EXPECT_EQ(pe_runs(fleet.first.platform, id.c_str()),
+				  0u);
 			refused++;
 		}
 		tries++;
@@ -196,15 +197,15 @@
 	const pe_poison_options none = {};
 	const pe_restart_options at_once = {};
 	Fleet fleet(none);
-	pe_upstream *plain = fleet.one.add(PE_PLAIN, "plain");
+	pe_upstream *plain = fleet.first.add(PE_PLAIN, "plain");
 
 	pe_set_work_ms(plain, 3000);
 	fleet.settle();
-	CallerRequest ask(fleet.one.address, "a", "/order/x");
+	CallerRequest request(fleet.first.address, "a", "/order/x");
 
 	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(plain) == 1; }));
 	pe_restart(plain, &at_once);
-	EXPECT_EQ(ask.wait().status, 502u);
+	EXPECT_EQ(request.wait().status, 502u);
 	EXPECT_TRUE(
 		run_loop_until([&] { return fleet.listing() != ""; }, 4000));
 }
@@ -225,18 +226,18 @@
 TEST(Poison, RequestsOfTwoCallersAreBlocked)
 {
 	Fleet fleet;
-	Caller one{ fleet, "/once/x", "crash one", {} };
-	Caller two{ fleet, "/look/x", "crash two", {} };
+	Caller first{ fleet, "/once/x", "crash one", {} };
+	Caller second{ fleet, "/look/x", "crash two", {} };
 
 	fleet.add_upstreams(8);
 	fleet.settle();
 	for (int i = 0; i < 20; i++) {
-		one.send(1);
-		two.send(1);
+		first.send(1);
+		second.send(1);
 	}
 	EXPECT_LE(fleet.poison_counts().ends, 4u);
-	EXPECT_GE(one.refused, 15);
-	EXPECT_GE(two.refused, 15);
+	EXPECT_GE(first.refused, 15);
+	EXPECT_GE(second.refused, 15);
 }
 
 /* A poison piece shares calls with pieces of other requests, which are then
@@ -257,9 +258,9 @@
 	fleet.add_upstreams(8);
 	fleet.settle();
 	for (int i = 0; i < 12; i++) {
-		tries_in_flight.push_back(bad.ask());
+		tries_in_flight.push_back(bad.start_try());
 		good.body = "g" + std::to_string(i) + "-";
-		tries_in_flight.push_back(good.ask());
+		tries_in_flight.push_back(good.start_try());
 		run_loop_until([] { return false; }, 60);
 	}
 	for (size_t i = 0; i < tries_in_flight.size(); i++) {
@@ -285,7 +286,7 @@
 		std::string id = "g" + std::to_string(i);
 
 		if (i % 6 == 0)
-			tries_in_flight.push_back(bad.ask());
+			tries_in_flight.push_back(bad.start_try());
 		else
 			tries_in_flight.push_back(
 				std::make_unique<CallerRequest>(
@@ -309,24 +310,24 @@
 	const pe_poison_options none = {};
 	const pe_end_options end = { 200, 100, true };
 	Fleet fleet(none);
-	Caller many{ fleet, "/once/x", "popular", {} };
+	Caller popular{ fleet, "/once/x", "popular", {} };
 	std::vector<pe_upstream *> engines;
 	std::vector<std::unique_ptr<CallerRequest>> tries_in_flight;
 	int served = 0;
 
 	for (int i = 0; i < 4; i++)
-		engines.push_back(fleet.one.add(PE_ENGINE, "engine"));
+		engines.push_back(fleet.first.add(PE_ENGINE, "engine"));
 	fleet.settle();
 	for (int round = 0; round < 2; round++) {
 		for (int i = 0; i < 12; i++)
-			tries_in_flight.push_back(many.ask());
+			tries_in_flight.push_back(popular.start_try());
 		run_loop_until([] { return false; }, 30);
 		for (auto *engine : engines)
 			pe_end(engine, &end);
 		run_loop_until([] { return false; }, 700);
 	}
 	for (int i = 0; i < 40; i++) {
-		tries_in_flight.push_back(many.ask());
+		tries_in_flight.push_back(popular.start_try());
 		run_loop_until([] { return false; }, 10);
 	}
 	/* The first of them is the trial; others are refused meanwhile. */
@@ -334,7 +335,7 @@
 	     i++)
 		served += tries_in_flight[i]->wait().body == complete_stream;
 	EXPECT_GE(served, 25);
-	EXPECT_EQ(direct_blocked_count(fleet.one.entry), 0u);
+	EXPECT_EQ(direct_blocked_count(fleet.first.entry), 0u);
 }
 
 /* Upstreams that reset connections, fall silent, garble answers or are full,
@@ -346,7 +347,7 @@
 	std::vector<pe_upstream *> plain;
 
 	for (int i = 0; i < 3; i++)
-		plain.push_back(fleet.one.add(PE_PLAIN, "plain"));
+		plain.push_back(fleet.first.add(PE_PLAIN, "plain"));
 	fleet.settle();
 	for (int fault = PE_FAULT_FULL; fault <= PE_FAULT_UNFRAMED; fault++) {
 		for (auto *upstream : plain)
@@ -366,19 +367,19 @@
 	const pe_poison_options none = {};
 	const pe_end_options end = { 20000, 20000, true };
 	Fleet fleet(none);
-	pe_upstream *plain = fleet.one.add(PE_PLAIN, "plain");
+	pe_upstream *plain = fleet.first.add(PE_PLAIN, "plain");
 	std::string listing;
 
 	fleet.settle();
 	pe_fault(plain, PE_FAULT_RESET);
-	CallerRequest reset(fleet.one.address, "a", "/order/reset");
+	CallerRequest reset(fleet.first.address, "a", "/order/reset");
 
 	EXPECT_EQ(reset.wait().status, 502u);
 	run_loop_until([] { return false; }, 800);
 	EXPECT_EQ(fleet.listing(), "");
 	pe_fault(plain, PE_FAULT_NONE);
 	pe_set_work_ms(plain, 3000);
-	CallerRequest lost(fleet.one.address, "b", "/order/lost");
+	CallerRequest lost(fleet.first.address, "b", "/order/lost");
 
 	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(plain) == 2; }));
 	pe_end(plain, &end);
@@ -395,17 +396,17 @@
 	const pe_poison_options none = {};
 	const pe_end_options end = { 10000, 100, true };
 	Fleet fleet(none);
-	pe_upstream *leaving = fleet.one.add(PE_PLAIN, "plain");
+	pe_upstream *draining = fleet.first.add(PE_PLAIN, "plain");
 
-	pe_set_work_ms(leaving, 4000);
+	pe_set_work_ms(draining, 4000);
 	fleet.settle();
-	CallerRequest ask(fleet.one.address, "a", "/order/x");
+	CallerRequest request(fleet.first.address, "a", "/order/x");
 
-	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(leaving) == 1; }));
-	pe_drain(leaving);
+	ASSERT_TRUE(run_loop_until([&] { return pe_arrivals(draining) == 1; }));
+	pe_drain(draining);
 	run_loop_until([] { return false; }, 1000);
-	pe_end(leaving, &end);
-	EXPECT_EQ(ask.wait().status, 502u);
+	pe_end(draining, &end);
+	EXPECT_EQ(request.wait().status, 502u);
 	run_loop_until([] { return false; }, 300);
 	EXPECT_EQ(fleet.listing(), "");
 }
@@ -421,18 +422,18 @@
 	fleet.settle();
 	caller.send(6);
 	arrivals = fleet.poison_counts().arrivals;
-	Rig third(&fleet.one);
+	Rig third(&fleet.first);
 
 	third.join("127.0.0.3", 500, { "127.0.0.1" }, 1);
 	third.settle();
 	ASSERT_TRUE(run_loop_until(
 		[&] { return direct_blocked_count(third.entry); }));
-	CallerRequest ask(third.address, "t", "/once/x", {}, poison);
+	CallerRequest request(third.address, "t", "/once/x", {}, poison);
 
-	EXPECT_EQ(ask.wait().status, 503u);
-	EXPECT_LT(ask.took_us, 200000);
+	EXPECT_EQ(request.wait().status, 503u);
+	EXPECT_LT(request.took_us, 200000);
 	/* Retry-After is the end of the block. */
-	EXPECT_GT(atof(ask.retry_after.c_str()), 50.0);
+	EXPECT_GT(atof(request.retry_after.c_str()), 50.0);
 	EXPECT_EQ(fleet.poison_counts().arrivals, arrivals);
 }
 
@@ -449,17 +450,18 @@
 	arrivals = fleet.poison_counts().arrivals;
 	/* Records are stored within some round trips. */
 	run_loop_until([] { return false; }, 200);
-	fleet.two.end();
-	fleet.one.end();
-	Rig after(&fleet.one);
+	fleet.second.end();
+	fleet.first.end();
+	Rig after(&fleet.first);
 
 	after.settle();
 	ASSERT_TRUE(run_loop_until(
 		[&] { return direct_blocked_count(after.entry); }));
 	for (int i = 0; i < 5; i++) {
-		CallerRequest ask(after.address, "t", "/once/x", {}, poison);
+		CallerRequest request(after.address, "t", "/once/x", {},
+				      poison);
 
-		EXPECT_EQ(ask.wait().status, 503u);
+		EXPECT_EQ(request.wait().status, 503u);
 	}
 	EXPECT_EQ(fleet.poison_counts().arrivals, arrivals);
 }
@@ -467,9 +469,9 @@
 /* Malformed records of other writers block no request and crash no entry. */
 TEST(Poison, MalformedStoredRecordsAreIgnored)
 {
-	const std::string life = "\"life\":\"00000000000000ab\",";
-	const std::string end =
-		"{" + life + "\"round\":3,\"ended_ms\":1,\"ran_us\":1}";
+	const std::string incarnation = "\"life\":\"00000000000000ab\",";
+	const std::string termination =
+		"{" + incarnation + "\"round\":3,\"ended_ms\":1,\"ran_us\":1}";
 	const std::string texts[] = {
 		"",
 		"{",
@@ -478,11 +480,11 @@
 		"{\"ends\":[]}",
 		"{\"ends\":{}}",
 		"{\"ends\":[7]}",
-		"{\"ends\":[{" + life + "\"round\":3,\"ended_ms\":1}]}",
-		"{\"ends\":[{" + life +
+		"{\"ends\":[{" + incarnation + "\"round\":3,\"ended_ms\":1}]}",
+		"{\"ends\":[{" + incarnation +
 			"\"round\":-1,\"ended_ms\":1,\"ran_us\":1}]}",
-		"{\"ends\":[" + end + ",{}]}",
-		"{\"ends\":[" + end + "]}x",
+		"{\"ends\":[" + termination + ",{}]}",
+		"{\"ends\":[" + termination + "]}x",
 		"{\"ends\":" + std::string(100000, '['),
 	};
 	pe *platform = pe_create();
@@ -518,10 +520,10 @@
 
 	fleet.add_upstreams(8);
 	fleet.settle();
-	pe_store_fault(fleet.one.platform, PE_STORE_SILENT);
+	pe_store_fault(fleet.first.platform, PE_STORE_SILENT);
 	caller.send(20);
 	EXPECT_LE(fleet.poison_counts().ends, 4u);
-	pe_store_fault(fleet.one.platform, PE_STORE_FINE);
+	pe_store_fault(fleet.first.platform, PE_STORE_FINE);
 }
 
 /* Lists the entries of a fleet that are not ready or have not discovered all
@@ -606,8 +608,8 @@
 						rigs[tries % size]->address,
 						std::to_string(tries).c_str(),
 						"/once/x", Fields{}, poison));
-			for (auto &ask : tries_in_flight)
-				refused += ask->wait().status == 503;
+			for (auto &request : tries_in_flight)
+				refused += request->wait().status == 503;
 			run_loop_until([] { return false; }, 30);
 		}
 		pe_poison_seen(platform, &poison_counts);
@@ -634,15 +636,15 @@
 	EXPECT_NE(listing.find("kept_out"), std::string::npos);
 	EXPECT_EQ(listing.find(poison), std::string::npos);
 	content = g_ascii_strtoull(listing.substr(12, 16).c_str(), nullptr, 16);
-	direct_unblock_request(fleet.one.entry, content);
+	direct_unblock_request(fleet.first.entry, content);
 	ASSERT_TRUE(run_loop_until(
-		[&] { return !direct_blocked_count(fleet.two.entry); }));
-	EXPECT_EQ(caller.ask()->wait().status, 502u);
+		[&] { return !direct_blocked_count(fleet.second.entry); }));
+	EXPECT_EQ(caller.start_try()->wait().status, 502u);
 	caller.send(6);
-	EXPECT_EQ(caller.ask()->wait().status, 503u);
-	direct_enforce_quarantine(fleet.one.entry, false);
-	direct_enforce_quarantine(fleet.two.entry, false);
-	EXPECT_EQ(caller.ask()->wait().status, 502u);
+	EXPECT_EQ(caller.start_try()->wait().status, 503u);
+	direct_enforce_quarantine(fleet.first.entry, false);
+	direct_enforce_quarantine(fleet.second.entry, false);
+	EXPECT_EQ(caller.start_try()->wait().status, 502u);
 }
 
 } // namespace
--- a/tests/prefix_cache_test.cc
+++ b/tests/prefix_cache_test.cc
@@ -16,20 +16,21 @@
 
 /* 160 KB per token, at 137 GB/s: 16 ms to copy what takes 220 ms to read. */
 struct CopyingPool : Pool {
-	pool_upstream *home;
+	pool_upstream *source;
 
 	explicit CopyingPool(double bytes_per_us = 137500)
 	{
 		for (const char *id : { "one", "two", "three" })
 			add(id, "a");
 		pool_set_cache_copying(c_pool, "s", 163840, bytes_per_us);
-		home = pick(prompt);
-		pool_note_cached_blocks(c_pool, home, prompt.data(), 2, 100000);
+		source = pick(prompt);
+		pool_note_cached_blocks(c_pool, source, prompt.data(), 2,
+					100000);
 	}
 	pool_upstream *other()
 	{
 		for (const char *id : { "one", "two", "three" })
-			if (pool_find(c_pool, id) != home)
+			if (pool_find(c_pool, id) != source)
 				return pool_find(c_pool, id);
 		return nullptr;
 	}
@@ -57,7 +58,7 @@
 	CopyingPool pool;
 
 	pool.advance_ms(1000);
-	EXPECT_EQ(pool.copy().source, pool.home);
+	EXPECT_EQ(pool.copy().source, pool.source);
 	EXPECT_EQ(pool.copy().copied_tokens, 13000);
 }
 
@@ -75,8 +76,8 @@
 	CopyingPool pool;
 
 	pool.advance_ms(1000);
-	EXPECT_EQ(pool.copy_to(pool.home).source, nullptr);
-	pool_record_outcome(pool.c_pool, pool.home, POOL_UNREACHABLE, 0, 0);
+	EXPECT_EQ(pool.copy_to(pool.source).source, nullptr);
+	pool_record_outcome(pool.c_pool, pool.source, POOL_UNREACHABLE, 0, 0);
 	EXPECT_EQ(pool.copy().source, nullptr);
 }
 
@@ -100,20 +101,21 @@
 	EXPECT_EQ(pool_cache_copy_us(pool.c_pool, "s", 13000), 0);
 }
 
-/* A busy home engine is left sooner, since nothing has to be read again. */
-TEST(PrefixCopy, AllowsLeavingABusyHomeEngine)
+/* Prompts go to another engine sooner if the source is busy, since nothing has
+ * to be read again. */
+TEST(PrefixCopy, AllowsAnotherEngineIfTheSourceIsBusy)
 {
 	CopyingPool pool;
 
 	pool.advance_ms(1000);
-	pool.home->pending_prefill_tokens = 30000; /* 500 ms */
-	EXPECT_NE(pool.pick(next_prompt), pool.home);
+	pool.source->pending_prefill_tokens = 30000; /* 500 ms */
+	EXPECT_NE(pool.pick(next_prompt), pool.source);
 	pool_set_cache_copying(pool.c_pool, "s", 163840, 0);
-	EXPECT_EQ(pool.pick(next_prompt), pool.home);
+	EXPECT_EQ(pool.pick(next_prompt), pool.source);
 }
 
-/* The domain of the home engine is closed: the engine that gets the prompt
- * copies the prefix from there. */
+/* The domain of the source is closed: the engine that gets the prompt
+ * copies the prefix from the source. */
 TEST(PrefixCopy, ComesFromAClosedDomain)
 {
 	CopyingPool pool;
@@ -125,7 +127,7 @@
 	pool_set_closed_domains(pool.c_pool, closed);
 	EXPECT_STREQ(pool.pick(next_prompt)->info.id, "there");
 	EXPECT_EQ(pool.copy_to(pool_find(pool.c_pool, "there")).source,
-		  pool.home);
+		  pool.source);
 	pool_set_closed_domains(pool.c_pool, nullptr);
 	closed_domains_destroy(closed);
 }
@@ -138,9 +140,9 @@
 	const pool_prefix_block reported[] = { { 9, 700 } };
 
 	pool.advance_ms(1000);
-	pool_set_cached_blocks(pool.c_pool, pool.home, reported, 1);
-	EXPECT_EQ(pool_uncached_tokens(pool.home, prompt.data(), 2), 14000);
-	EXPECT_EQ(pool_uncached_tokens(pool.home, &reported[0], 1), 0);
+	pool_set_cached_blocks(pool.c_pool, pool.source, reported, 1);
+	EXPECT_EQ(pool_uncached_tokens(pool.source, prompt.data(), 2), 14000);
+	EXPECT_EQ(pool_uncached_tokens(pool.source, &reported[0], 1), 0);
 }
 
 /* A report that was on its way may lack a prompt that was sent in the meantime.
@@ -149,8 +151,8 @@
 {
 	CopyingPool pool;
 
-	pool_set_cached_blocks(pool.c_pool, pool.home, nullptr, 0);
-	EXPECT_EQ(pool_uncached_tokens(pool.home, prompt.data(), 2), 0);
+	pool_set_cached_blocks(pool.c_pool, pool.source, nullptr, 0);
+	EXPECT_EQ(pool_uncached_tokens(pool.source, prompt.data(), 2), 0);
 }
 
 TEST(EnginePrefixCache, MalformedReportsAreRejected)
@@ -158,7 +160,7 @@
 	const struct {
 		const char *body;
 		bool valid;
-		guint parts;
+		guint blocks_count;
 	} cases[] = {
 		{ "{\"held\":[[\"\",\"5c1e\",800,\"m\"],"
 		  "[\"\",\"91bd\",410,\"m\"]]}",
@@ -186,7 +188,8 @@
 							 blocks),
 			  test_case.valid)
 			<< test_case.body;
-		EXPECT_TRUE(!test_case.valid || blocks->len == test_case.parts)
+		EXPECT_TRUE(!test_case.valid ||
+			    blocks->len == test_case.blocks_count)
 			<< test_case.body;
 		g_array_unref(blocks);
 	}
--- a/tests/relay_test.cc
+++ b/tests/relay_test.cc
@@ -197,8 +197,8 @@
 		pair.request(pair.first, "a" + std::to_string(i));
 		pair.request(*pair.second, "b" + std::to_string(i));
 	}
-	for (auto &ask : pair.requests)
-		EXPECT_EQ(ask->wait().body, complete_stream);
+	for (auto &request : pair.requests)
+		EXPECT_EQ(request->wait().body, complete_stream);
 	EXPECT_EQ(pe_calls(pair.stage), 2u);
 	EXPECT_EQ(pe_pieces_made(pair.first.platform), 14u);
 	EXPECT_TRUE(run_loop_until(
@@ -211,11 +211,11 @@
 	EntryPair pair;
 
 	pe_set_work_ms(pair.stage, 400);
-	CallerRequest &ask = pair.request(*pair.second, "b1");
+	CallerRequest &request = pair.request(*pair.second, "b1");
 	ASSERT_TRUE(run_loop_until([&] { return pe_calls(pair.stage) == 1; }));
 	pair.first.end();
-	EXPECT_EQ(ask.wait().body, complete_stream);
-	EXPECT_LT(ask.took_us, 3 * LP_US_PER_S);
+	EXPECT_EQ(request.wait().body, complete_stream);
+	EXPECT_LT(request.took_us, 3 * LP_US_PER_S);
 }
 
 /* A restart is noticed by the hello, before the dispatcher has been silent for
@@ -225,7 +225,7 @@
 	EntryPair pair;
 
 	pe_set_work_ms(pair.stage, 1500);
-	CallerRequest &ask = pair.request(*pair.second, "b1");
+	CallerRequest &request = pair.request(*pair.second, "b1");
 	ASSERT_TRUE(run_loop_until([&] { return pe_calls(pair.stage) == 1; }));
 	pair.first.end();
 	pe_set_work_ms(pair.stage, 20);
@@ -233,7 +233,7 @@
 
 	restarted.join(first_ip, 4000, { second_ip });
 	restarted.settle();
-	EXPECT_EQ(ask.wait().body, complete_stream);
+	EXPECT_EQ(request.wait().body, complete_stream);
 	restarted.end();
 }
 
@@ -377,8 +377,8 @@
 			entry.address, i ? "b1" : "a1", "/again/x", fields));
 		run_loop_until([] { return false; }, 5);
 	}
-	for (auto &ask : pair.requests)
-		EXPECT_EQ(ask->wait().body, complete_stream);
+	for (auto &request : pair.requests)
+		EXPECT_EQ(request->wait().body, complete_stream);
 	EXPECT_EQ(pe_arrivals(other) - before, 1u);
 }
 
@@ -427,33 +427,35 @@
 };
 
 /* A peer that advertises a large capacity is dispatcher but answers nothing.
- * The entry resends the work, then gives up on the peer. */
+ * The entry resends the work, then stops waiting for the peer. */
 TEST(Relay, WorkIsResubmittedWhenDispatcherNeverAnswers)
 {
 	EntryWithFakePeer setup;
 
 	setup.fake.send_hello(9000);
 	run_loop_until([] { return false; }, 300);
-	CallerRequest ask(setup.rig.address, "a1", "/staged/x",
-			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest request(
+		setup.rig.address, "a1", "/staged/x",
+		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	setup.fake.receive_for(400);
 	EXPECT_GE(setup.fake.received['A'], 2);
-	EXPECT_EQ(ask.wait().body, complete_stream);
-	EXPECT_LT(ask.took_us, 2 * LP_US_PER_S);
+	EXPECT_EQ(request.wait().body, complete_stream);
+	EXPECT_LT(request.took_us, 2 * LP_US_PER_S);
 }
 
-/* The dispatcher accepts work and falls silent. The entry probes it, then gives
- * up on it. */
+/* The dispatcher accepts work and falls silent. The entry probes it, then
+ * stops waiting for it. */
 TEST(Relay, WorkIsResubmittedWhenDispatcherFallsSilent)
 {
 	EntryWithFakePeer setup;
-	const gint64 waits[4] = {};
+	const gint64 waits_us[4] = {};
 
 	setup.fake.send_hello(9000);
 	run_loop_until([] { return false; }, 300);
-	CallerRequest ask(setup.rig.address, "a1", "/staged/x",
-			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest request(
+		setup.rig.address, "a1", "/staged/x",
+		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	ASSERT_TRUE(run_loop_until([&] {
 		setup.fake.receive();
@@ -461,12 +463,13 @@
 	}));
 	/* Any datagram shows that the peer is alive. */
 	setup.fake.send('C', g_variant_new("(t)", (guint64)1));
-	setup.fake.send('K', g_variant_new("(t@ax)", (guint64)1,
-					   g_variant_new_fixed_array(
-						   G_VARIANT_TYPE_INT64, waits,
-						   4, sizeof(gint64))));
-	EXPECT_EQ(ask.wait().body, complete_stream);
-	EXPECT_LT(ask.took_us, 2 * LP_US_PER_S);
+	setup.fake.send('K',
+			g_variant_new("(t@ax)", (guint64)1,
+				      g_variant_new_fixed_array(
+					      G_VARIANT_TYPE_INT64, waits_us, 4,
+					      sizeof(gint64))));
+	EXPECT_EQ(request.wait().body, complete_stream);
+	EXPECT_LT(request.took_us, 2 * LP_US_PER_S);
 }
 
 /* Lost datagrams: results are resent until they are confirmed, and work that is
@@ -513,7 +516,7 @@
 }
 
 /* Peers that knew its earlier start may submit work to a restarted entry before
- * it has a configuration. It crashed by that. */
+ * it has a configuration, which crashed it. */
 TEST(Relay, UnconfiguredEntryTakesNoWork)
 {
 	Rig rig(false);
@@ -617,8 +620,9 @@
 	rig.add(PE_ENGINE, "engine");
 	rig.settle();
 	rig.join(first_ip, 100, { fake_ip });
-	CallerRequest ask(rig.address, "a1", "/staged/x",
-			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest request(
+		rig.address, "a1", "/staged/x",
+		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	run_loop_until([] { return false; }, 300);
 	fake.send_hello(9000);
@@ -628,7 +632,7 @@
 		       pe_pieces_made(rig.platform) > 0;
 	}));
 	EXPECT_EQ(pe_pieces_made(rig.platform), 0u);
-	EXPECT_EQ(ask.wait().body, complete_stream);
+	EXPECT_EQ(request.wait().body, complete_stream);
 }
 
 /* The dispatcher is alive and sends hellos, but never accepts work. */
@@ -638,20 +642,21 @@
 
 	setup.fake.send_hello(9000);
 	run_loop_until([] { return false; }, 300);
-	CallerRequest ask(setup.rig.address, "a1", "/staged/x",
-			  { { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
+	CallerRequest request(
+		setup.rig.address, "a1", "/staged/x",
+		{ { "X-Pieces", "1,1" }, { "X-Piece-Key", "k" } });
 
 	EXPECT_TRUE(run_loop_until(
 		[&] {
 			setup.fake.send_hello(9000);
-			return ask.done;
+			return request.done;
 		},
 		2500));
-	EXPECT_EQ(ask.body, complete_stream);
+	EXPECT_EQ(request.body, complete_stream);
 }
 
-/* Entries that were killed in turn took their work back as soon as they had
- * restarted, and lost it again. */
+/* Entries that were killed one after the other became dispatchers again as soon
+ * as they had restarted, and the work was lost again. */
 TEST(Relay, StartedEntryAdvertisesReducedCapacity)
 {
 	Rig rig;
@@ -675,10 +680,10 @@
 
 	setup.fake.send_hello(9000);
 	run_loop_until([] { return false; }, 300);
-	CallerRequest ask(setup.rig.address, "a1", "/again/x", prompt);
+	CallerRequest request(setup.rig.address, "a1", "/again/x", prompt);
 
-	EXPECT_EQ(ask.wait().body, complete_stream);
-	EXPECT_LT(ask.took_us, 400000);
+	EXPECT_EQ(request.wait().body, complete_stream);
+	EXPECT_LT(request.took_us, 400000);
 	setup.fake.receive();
 	EXPECT_EQ(setup.fake.received['P'], 1);
 }
@@ -691,9 +696,9 @@
 
 	setup.fake.send_hello(9000);
 	run_loop_until([] { return false; }, 300);
-	CallerRequest ask(setup.rig.address, "a1", "/again/x", prompt);
+	CallerRequest request(setup.rig.address, "a1", "/again/x", prompt);
 
-	EXPECT_EQ(ask.wait().body, complete_stream);
+	EXPECT_EQ(request.wait().body, complete_stream);
 	setup.fake.send('Q', g_variant_new("(tttxxxx)", (guint64)1, (guint64)2,
 					   (guint64)0, (gint64)0, (gint64)0,
 					   (gint64)0, (gint64)0));
@@ -710,7 +715,7 @@
 
 	setup.fake.send_hello(9000);
 	run_loop_until([] { return false; }, 300);
-	CallerRequest ask(setup.rig.address, "a1", "/again/x", prompt);
+	CallerRequest request(setup.rig.address, "a1", "/again/x", prompt);
 
 	ASSERT_TRUE(run_loop_until([&] {
 		setup.fake.receive();
@@ -720,12 +725,12 @@
 	setup.fake.send('Q', g_variant_new("(tttxxxx)", number, (guint64)2,
 					   (guint64)0, (gint64)0, (gint64)0,
 					   (gint64)0, (gint64)0));
-	EXPECT_EQ(ask.wait().body, complete_stream);
+	EXPECT_EQ(request.wait().body, complete_stream);
 	setup.fake.receive();
 	EXPECT_EQ(setup.fake.received['E'], 1);
 }
 
-/* In a fleet of 68 that started on a busy host, two entries never learnt of
+/* In a fleet of 68 that started on a busy host, two entries never discovered
  * each other. A hello names forty peers at the most, and all entries named the
  * same forty, so two others whose first hellos had been lost were never named
  * to each other. */
--- a/tests/upstream_restart_test.cc
+++ b/tests/upstream_restart_test.cc
@@ -94,7 +94,7 @@
 	EXPECT_EQ(request.wait().body, complete_stream);
 }
 
-/* The request may have run, and no answer says that it did not. */
+/* The request may have run, and no answer shows that it did not. */
 TEST(UpstreamRestart, NonIdempotentRequestsAreNotRetried)
 {
 	for (const pe_restart_options &variant : restart_variants) {
@@ -203,12 +203,12 @@
 
 /* ---- foreign writers ---- */
 
-void write_entry(Rig &rig, const char *id, const std::string &value)
+void write_record(Rig &rig, const char *id, const std::string &value)
 {
 	pe_write(rig.platform, id, value.data(), value.size());
 }
 
-std::string entry_text(pe_upstream *upstream)
+std::string record_text(pe_upstream *upstream)
 {
 	char *text = pe_entry(upstream);
 	std::string copy = text;
@@ -223,8 +223,8 @@
 	return text.replace(text.find(part), part.size(), other);
 }
 
-/* An entry that becomes unreadable names no upstream; the other entries stay
- * valid. */
+/* A record that becomes unreadable describes no upstream; the other records
+ * stay valid. */
 TEST(ForeignStoreWriter, OverwrittenUpstreamsAreNotUsed)
 {
 	Rig rig;
@@ -235,11 +235,11 @@
 	rig.settle();
 	for (const std::string &value :
 	     { std::string("rubbish"), std::string("\xff\0\x01", 3),
-	       replace(entry_text(overwritten), "4", "-4"),
-	       replace(entry_text(overwritten), "ready", "resting"),
+	       replace(record_text(overwritten), "4", "-4"),
+	       replace(record_text(overwritten), "ready", "resting"),
 	       std::string("{\"a\":") + std::string(200000, '['),
 	       std::string(300000, ' ') }) {
-		write_entry(rig, pe_name(overwritten), value);
+		write_record(rig, pe_name(overwritten), value);
 		rig.settle();
 		before = pe_arrivals(overwritten);
 		for (int i = 0; i < 4; i++)
@@ -273,23 +273,23 @@
 		  200u);
 }
 
-/* Two entries share their reads of the list; list entries with arbitrary bytes
- * must not end that. */
+/* Two entries share their reads of the list; records with arbitrary bytes must
+ * not stop that. */
 TEST(ForeignStoreWriter, MalformedEntriesCauseNoExtraCalls)
 {
 	Rig first;
 	std::unique_ptr<Rig> second = std::make_unique<Rig>(&first);
 	pe_upstream *plain = first.add(PE_PLAIN, "plain");
-	const std::string entry = entry_text(plain);
+	const std::string record = record_text(plain);
 	int64_t before;
 
 	first.join("127.0.0.1", 4000, { "127.0.0.2" });
 	second->join("127.0.0.2", 100, { "127.0.0.1" });
-	write_entry(first, "x-1", replace(entry, "plain", "pl ain 1"));
-	write_entry(first, "x-2", replace(entry, "plain", "p\\nl"));
-	write_entry(first, "x-3", replace(entry, "\"a\"", "\" a \\r\\n\""));
-	write_entry(first, "x-4", replace(entry, "ready", "odd"));
-	write_entry(first, "x-5", "\x80");
+	write_record(first, "x-1", replace(record, "plain", "pl ain 1"));
+	write_record(first, "x-2", replace(record, "plain", "p\\nl"));
+	write_record(first, "x-3", replace(record, "\"a\"", "\" a \\r\\n\""));
+	write_record(first, "x-4", replace(record, "ready", "odd"));
+	write_record(first, "x-5", "\x80");
 	first.settle();
 	second->settle();
 	EXPECT_TRUE(run_loop_until([&] {
