--- a/tests/closed_domains_test.cc
+++ b/tests/closed_domains_test.cc
@@ -29,7 +29,7 @@
 	return sum;
 }
 
-/* Two domains with upstreams of each kind; the entries are in "a". */
+/* Two domains with an upstream of each kind; the entry is in "a". */
 struct Domains {
 	Rig rig;
 	std::vector<pe_upstream *> a;
--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -175,7 +175,7 @@
 	{
 		start(with_config);
 	}
-	/* A draining upstream may stay unknown to the entry for this time. */
+	/* The entry must learn within `drain_us` that an upstream drains. */
 	explicit Rig(int64_t drain_us)
 	    : platform(pe_create()), owns_platform(true), drain_us(drain_us)
 	{
@@ -293,8 +293,7 @@
 		options.direct = entry;
 		quarantine = plf_quarantine_create(&options);
 	}
-	/* Exchanges upstream lists and configurations with peers, at this IP.
-	 */
+	/* Exchanges lists and configurations with peers, at this IP. */
 	void share_with(const char *ip)
 	{
 		plf_peer_sync_options options = {};
@@ -311,7 +310,7 @@
 	}
 	/* Makes the entry a peer of the entries at these IPs. */
 	void join(const char *ip, uint32_t capacity,
-		  std::vector<std::string> others, int64_t settle_us = 0)
+		  std::vector<std::string> others, int64_t slow_start_us = 0)
 	{
 		direct_peers_options options = {};
 		std::vector<char *> seeds;
@@ -323,7 +322,7 @@
 		options.log = log;
 		options.ip = ip;
 		options.capacity = capacity;
-		options.slow_start_us = settle_us;
+		options.slow_start_us = slow_start_us;
 		options.port = peers_port();
 		options.seeds = seeds.data();
 		options.on_unreachable = [](void *, uint64_t, int64_t) {};
@@ -360,10 +359,10 @@
 			return direct_ready(entry) &&
 			       direct_config_version(entry) >= version;
 		});
-		int64_t polls = *range_calls();
+		int64_t reads = *range_calls();
 
 		EXPECT_TRUE(ready);
-		run_loop_until([&] { return *range_calls() >= polls + 2; },
+		run_loop_until([&] { return *range_calls() >= reads + 2; },
 			       3000);
 	}
 	/* Counter of the entry's reads of the key-value service. */
--- a/tests/direct_test.cc
+++ b/tests/direct_test.cc
@@ -726,7 +726,8 @@
 }
 
 /* In a domain with a single entry, callers keep sending requests during its
- * shutdown, and some of them end before the process does. */
+ * shutdown; those that are short enough to end before the process are admitted.
+ */
 TEST(Direct, ShortRequestsAreAdmittedDuringShutdown)
 {
 	Rig rig;
