--- a/tests/direct_rig.h
+++ b/tests/direct_rig.h
@@ -151,10 +151,10 @@
 	lp_counters *counters = lp_counters_create();
 	direct *entry = nullptr;
 	direct_peers *peers = nullptr;
-	plf_peer_sync *share = nullptr;
+	plf_peer_sync *peer_sync = nullptr;
 	store_kv *kv = nullptr;
 	plf_feed *feed = nullptr;
-	plf_quarantine *kept = nullptr;
+	plf_quarantine *quarantine = nullptr;
 	std::string address;
 	int64_t drain_us = 800000;
 
@@ -175,7 +175,7 @@
 	{
 		start(with_config);
 	}
-	/* A draining upstream may stay unknown to the entry for this time. */
+	/* The entry must learn within `drain_us` that an upstream drains. */
 	explicit Rig(int64_t drain_us)
 	    : platform(pe_create()), owns_platform(true), drain_us(drain_us)
 	{
@@ -211,9 +211,9 @@
 	void end()
 	{
 		kv->ops->destroy(kv);
-		plf_peer_sync_destroy(share);
+		plf_peer_sync_destroy(peer_sync);
 		plf_feed_destroy(feed);
-		plf_quarantine_destroy(kept);
+		plf_quarantine_destroy(quarantine);
 		direct_destroy(entry);
 		direct_peers_destroy(peers);
 		lp_counters_destroy(counters);
@@ -242,8 +242,8 @@
 		options.retry_ratio = 0.2;
 		options.retry_slack = 20;
 		options.blocked = [](void *self, uint64_t content) {
-			plf_quarantine_write(static_cast<Rig *>(self)->kept,
-					     content);
+			plf_quarantine_write(
+				static_cast<Rig *>(self)->quarantine, content);
 		};
 		options.userdata = this;
 		for (int port = 21400; !entry && port < 21900; port++) {
@@ -281,9 +281,9 @@
 		};
 		options.userdata = this;
 		feed = plf_feed_create(&options);
-		start_kept();
+		start_quarantine();
 	}
-	void start_kept()
+	void start_quarantine()
 	{
 		plf_quarantine_options options = {};
 
@@ -291,10 +291,9 @@
 		options.log = log;
 		options.kv = kv;
 		options.direct = entry;
-		kept = plf_quarantine_create(&options);
+		quarantine = plf_quarantine_create(&options);
 	}
-	/* Exchanges upstream lists and configurations with peers, at this IP.
-	 */
+	/* Exchanges lists and configurations with peers, at this IP. */
 	void share_with(const char *ip)
 	{
 		plf_peer_sync_options options = {};
@@ -306,12 +305,12 @@
 		options.direct = entry;
 		options.feed = feed;
 		options.address = at.c_str();
-		share = plf_peer_sync_create(&options);
-		ASSERT_NE(share, nullptr);
+		peer_sync = plf_peer_sync_create(&options);
+		ASSERT_NE(peer_sync, nullptr);
 	}
 	/* Makes the entry a peer of the entries at these IPs. */
 	void join(const char *ip, uint32_t capacity,
-		  std::vector<std::string> others, int64_t settle_us = 0)
+		  std::vector<std::string> others, int64_t slow_start_us = 0)
 	{
 		direct_peers_options options = {};
 		std::vector<char *> seeds;
@@ -323,14 +322,14 @@
 		options.log = log;
 		options.ip = ip;
 		options.capacity = capacity;
-		options.slow_start_us = settle_us;
+		options.slow_start_us = slow_start_us;
 		options.port = peers_port();
 		options.seeds = seeds.data();
 		options.on_unreachable = [](void *, uint64_t, int64_t) {};
 		options.on_upstream_list = [](void *self, const char *from,
 					      uint64_t hash, int64_t age_us) {
 			plf_peer_sync_handle_list_hash(
-				static_cast<Rig *>(self)->share, from, hash,
+				static_cast<Rig *>(self)->peer_sync, from, hash,
 				age_us);
 		};
 		options.userdata = this;
@@ -360,10 +359,10 @@
 			return direct_ready(entry) &&
 			       direct_config_version(entry) >= version;
 		});
-		int64_t polls = *range_calls();
+		int64_t reads = *range_calls();
 
 		EXPECT_TRUE(ready);
-		run_loop_until([&] { return *range_calls() >= polls + 2; },
+		run_loop_until([&] { return *range_calls() >= reads + 2; },
 			       3000);
 	}
 	/* Counter of the entry's reads of the key-value service. */
