--- a/tests/agent_upstream_test.cc
+++ b/tests/agent_upstream_test.cc
@@ -52,7 +52,7 @@
 TEST(AgentUpstream, PassesOnReceivedTokensWithoutLoopIterationDelays)
 {
 	ThreadServer engine("max_tokens", engine_stream);
-	SlowTurns turns(20 * LP_US_PER_MS);
+	SlowTurns iterations(20 * LP_US_PER_MS);
 	Tokens tokens;
 	const std::string url = "http://" + engine.address;
 	upstream *upstream = upstream_create(url.c_str(), &ops);
@@ -73,6 +73,6 @@
 	EXPECT_EQ(tokens.error, LP_OK);
 	/* Connecting and sending take some iterations; tokens take none. */
 	EXPECT_LT(g_get_monotonic_time() - start_us,
-		  (int64_t)TOKENS * turns.turn_us);
+		  (int64_t)TOKENS * iterations.turn_us);
 	upstream_destroy(upstream);
 }
--- a/tests/direct_policy_test.cc
+++ b/tests/direct_policy_test.cc
@@ -350,8 +350,8 @@
 			    3000000.0 - i * 60000, 40000.0);
 }
 
-/* Callers with two usual deadlines: the shorter one is not the rest of the
- * longer one. */
+/* Callers with two usual deadlines: the shorter one is not what remains of
+ * the longer one. */
 TEST(ElapsedClientWait, CommonDeadlineIsAFirstTry)
 {
 	client_wait callers = {};
@@ -417,16 +417,17 @@
 	Pool pool;
 	const std::vector<pool_prefix_block> prompt = { { 7, 9000 },
 							{ 8, 500 } };
-	pool_upstream *home;
+	pool_upstream *cached_at;
 
 	for (const char *id : { "e1", "e2", "e3", "e4" })
 		pool.add(id, "a");
-	home = pool.pick(prompt);
-	pool_note_cached_blocks(pool.c_pool, home, prompt.data(), 2, 100000);
-	EXPECT_EQ(pool_uncached_tokens(home, prompt.data(), 2), 0);
-	EXPECT_EQ(pool.pick({ { 7, 9000 }, { 9, 400 } }), home);
-	home->pending_prefill_tokens = 200000;
-	EXPECT_NE(pool.pick({ { 7, 9000 }, { 9, 400 } }), home);
+	cached_at = pool.pick(prompt);
+	pool_note_cached_blocks(pool.c_pool, cached_at, prompt.data(), 2,
+				100000);
+	EXPECT_EQ(pool_uncached_tokens(cached_at, prompt.data(), 2), 0);
+	EXPECT_EQ(pool.pick({ { 7, 9000 }, { 9, 400 } }), cached_at);
+	cached_at->pending_prefill_tokens = 200000;
+	EXPECT_NE(pool.pick({ { 7, 9000 }, { 9, 400 } }), cached_at);
 }
 
 /* Recomputing a prefix costs less than a late answer. */
@@ -434,50 +435,51 @@
 {
 	Pool pool;
 	std::vector<pool_prefix_block> prompt = { { 7, 13000 }, { 8, 1000 } };
-	pool_pick_args ask = {};
+	pool_pick_args args = {};
 
 	for (const char *id : { "one", "two", "three" })
 		pool.add(id, "a");
-	ask.service = "s";
-	ask.blocks = prompt.data();
-	ask.blocks_count = prompt.size();
-	ask.target_us = 500000;
-	pool_upstream *home = pool_pick(pool.c_pool, &ask);
-
-	pool_note_cached_blocks(pool.c_pool, home, prompt.data(), 2, 100000);
-	home->pending_prefill_tokens = 20000; /* 330 ms */
-	EXPECT_EQ(pool_pick(pool.c_pool, &ask), home);
-	home->pending_prefill_tokens = 40000; /* 670 ms */
-	EXPECT_NE(pool_pick(pool.c_pool, &ask), home);
-	ask.target_us = 0; /* no latency target */
-	EXPECT_EQ(pool_pick(pool.c_pool, &ask), home);
+	args.service = "s";
+	args.blocks = prompt.data();
+	args.blocks_count = prompt.size();
+	args.target_us = 500000;
+	pool_upstream *cached_at = pool_pick(pool.c_pool, &args);
+
+	pool_note_cached_blocks(pool.c_pool, cached_at, prompt.data(), 2,
+				100000);
+	cached_at->pending_prefill_tokens = 20000; /* 330 ms */
+	EXPECT_EQ(pool_pick(pool.c_pool, &args), cached_at);
+	cached_at->pending_prefill_tokens = 40000; /* 670 ms */
+	EXPECT_NE(pool_pick(pool.c_pool, &args), cached_at);
+	args.target_us = 0; /* no latency target */
+	EXPECT_EQ(pool_pick(pool.c_pool, &args), cached_at);
 }
 
 /* A large service has several placers, each with a shard of the engines. */
 TEST(Pool, PicksOnlyFromItsShard)
 {
 	Pool pool;
-	pool_pick_args ask = {};
+	pool_pick_args args = {};
 	int found = 0;
 
 	for (const char *id : { "one", "two", "three", "four", "five" })
 		pool.add(id, "a");
-	ask.service = "s";
-	ask.shard_count = 2;
-	for (ask.shard = 0; ask.shard < 2; ask.shard++) {
+	args.service = "s";
+	args.shard_count = 2;
+	for (args.shard = 0; args.shard < 2; args.shard++) {
 		pool_upstream *best;
 
-		ask.tried_count = 0;
+		args.tried_count = 0;
 		std::vector<const char *> tried;
 
-		while ((best = pool_pick(pool.c_pool, &ask))) {
-			EXPECT_EQ(best->hash % 2, ask.shard);
+		while ((best = pool_pick(pool.c_pool, &args))) {
+			EXPECT_EQ(best->hash % 2, args.shard);
 			EXPECT_EQ(pool_find_incarnation(pool.c_pool,
 							best->incarnation),
 				  best);
 			tried.push_back(best->info.id);
-			ask.tried = tried.data();
-			ask.tried_count = tried.size();
+			args.tried = tried.data();
+			args.tried_count = tried.size();
 			found++;
 		}
 	}
@@ -509,7 +511,7 @@
 struct Graph {
 	uint32_t zero = 0;
 	uint32_t one = 1;
-	graph *it;
+	graph *c_graph;
 
 	/* Stage 0 has no dependencies, stage 2 depends on 1, and the request
 	 * takes in the results of 0 and 2. */
@@ -519,22 +521,22 @@
 					 { nullptr, 0, b },
 					 { &one, 1, c } };
 
-		it = graph_create(stages, 3);
+		c_graph = graph_create(stages, 3);
 	}
 	~Graph()
 	{
-		graph_destroy(it);
+		graph_destroy(c_graph);
 	}
 	void complete_piece(uint32_t stage, uint32_t piece, const char *handle)
 	{
-		graph_complete_piece(it, stage, piece, handle, 7, 10);
+		graph_complete_piece(c_graph, stage, piece, handle, 7, 10);
 	}
 	std::vector<std::string> input_handles(uint32_t stage)
 	{
 		g_autoptr(GPtrArray) out = g_ptr_array_new();
 		std::vector<std::string> handles;
 
-		graph_input_handles(it, stage, out);
+		graph_input_handles(c_graph, stage, out);
 		for (guint i = 0; i < out->len; i++)
 			handles.emplace_back(
 				(const char *)g_ptr_array_index(out, i));
@@ -545,7 +547,7 @@
 		GArray *out = g_array_new(FALSE, FALSE, sizeof(graph_result));
 		std::vector<std::string> handles;
 
-		graph_take_unused_results(it, all, out);
+		graph_take_unused_results(c_graph, all, out);
 		for (guint i = 0; i < out->len; i++) {
 			auto *result = &g_array_index(out, graph_result, i);
 
@@ -561,20 +563,20 @@
 {
 	Graph graph(1, 2, 1);
 
-	EXPECT_TRUE(graph_stage_ready(graph.it, 0));
-	EXPECT_FALSE(graph_stage_ready(graph.it, 2));
+	EXPECT_TRUE(graph_stage_ready(graph.c_graph, 0));
+	EXPECT_FALSE(graph_stage_ready(graph.c_graph, 2));
 	graph.complete_piece(1, 0, "b0");
-	EXPECT_FALSE(graph_stage_ready(graph.it, 2));
+	EXPECT_FALSE(graph_stage_ready(graph.c_graph, 2));
 	graph.complete_piece(1, 1, "b1");
-	EXPECT_TRUE(graph_stage_ready(graph.it, 2));
+	EXPECT_TRUE(graph_stage_ready(graph.c_graph, 2));
 	EXPECT_EQ(graph.input_handles(2),
 		  (std::vector<std::string>{ "b0", "b1" }));
 	graph.complete_piece(2, 0, "c0");
-	EXPECT_FALSE(graph_is_complete(graph.it));
+	EXPECT_FALSE(graph_is_complete(graph.c_graph));
 	EXPECT_EQ(graph.take_unused(false),
 		  (std::vector<std::string>{ "b0", "b1" }));
 	graph.complete_piece(0, 0, "a0");
-	EXPECT_TRUE(graph_is_complete(graph.it));
+	EXPECT_TRUE(graph_is_complete(graph.c_graph));
 	EXPECT_EQ(graph.input_handles(3),
 		  (std::vector<std::string>{ "a0", "c0" }));
 	EXPECT_EQ(graph.take_unused(true),
@@ -585,10 +587,10 @@
 {
 	Graph graph(0, 0, 1);
 
-	EXPECT_TRUE(graph_stage_ready(graph.it, 2));
+	EXPECT_TRUE(graph_stage_ready(graph.c_graph, 2));
 	EXPECT_TRUE(graph.input_handles(2).empty());
 	graph.complete_piece(2, 0, "c0");
-	EXPECT_TRUE(graph_is_complete(graph.it));
+	EXPECT_TRUE(graph_is_complete(graph.c_graph));
 	EXPECT_EQ(graph.input_handles(3), (std::vector<std::string>{ "c0" }));
 }
 
@@ -598,10 +600,11 @@
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(graph_result));
 
 	graph.complete_piece(1, 0, "b0");
-	graph_discard_inputs(graph.it, 2, out);
+	graph_discard_inputs(graph.c_graph, 2, out);
 	EXPECT_EQ(out->len, 1u);
-	EXPECT_FALSE(graph_inputs_available(graph.it, 2));
-	EXPECT_EQ(graph_get_piece_state(graph.it, 1, 0), GRAPH_PIECE_MISSING);
+	EXPECT_FALSE(graph_inputs_available(graph.c_graph, 2));
+	EXPECT_EQ(graph_get_piece_state(graph.c_graph, 1, 0),
+		  GRAPH_PIECE_MISSING);
 	for (guint i = 0; i < out->len; i++) {
 		EXPECT_EQ(g_array_index(out, graph_result, i).producer, 7u);
 		g_free(g_array_index(out, graph_result, i).handle);
@@ -617,30 +620,35 @@
 	const graph_stage stages[] = { { nullptr, 0, 2 },
 				       { nullptr, 0, 8 },
 				       { &one, 1, 16 } };
-	graph *it = graph_create(stages, 3);
-	graph_domain_fn domain_of = [](void *, uint64_t maker) {
-		return maker ? (const char *)&"a\0b\0c\0d\0e"[2 * (maker - 1)]
-			     : nullptr;
+	graph *c_graph = graph_create(stages, 3);
+	graph_domain_fn domain_of = [](void *, uint64_t producer) {
+		return producer ? (const char *)&"a\0b\0c\0d\0e"[2 *
+								 (producer - 1)]
+				: nullptr;
 	};
 	int64_t bytes;
 
-	EXPECT_EQ(graph_main_domain(it, domain_of, nullptr, &bytes), nullptr);
+	EXPECT_EQ(graph_main_domain(c_graph, domain_of, nullptr, &bytes),
+		  nullptr);
 	EXPECT_EQ(bytes, 0);
 	for (uint32_t i = 0; i < 16; i++)
-		graph_complete_piece(it, 2, i, "s", 3, 6000);
+		graph_complete_piece(c_graph, 2, i, "s", 3, 6000);
 	for (uint32_t i = 0; i < 8; i++) /* taken in by stage 2 only */
-		graph_complete_piece(it, 1, i, "i", 4, 60000);
-	EXPECT_STREQ(graph_main_domain(it, domain_of, nullptr, &bytes), "c");
+		graph_complete_piece(c_graph, 1, i, "i", 4, 60000);
+	EXPECT_STREQ(graph_main_domain(c_graph, domain_of, nullptr, &bytes),
+		     "c");
 	EXPECT_EQ(bytes, 96000);
-	graph_complete_piece(it, 0, 0, "l", 2, 3000000);
-	graph_complete_piece(it, 0, 1, "l", 0,
+	graph_complete_piece(c_graph, 0, 0, "l", 2, 3000000);
+	graph_complete_piece(c_graph, 0, 1, "l", 0,
 			     3000000); /* of an unknown producer */
-	EXPECT_STREQ(graph_main_domain(it, domain_of, nullptr, &bytes), "b");
+	EXPECT_STREQ(graph_main_domain(c_graph, domain_of, nullptr, &bytes),
+		     "b");
 	EXPECT_EQ(bytes, 3000000);
-	graph_complete_piece(it, 0, 1, "l", 2, 3000000);
-	EXPECT_STREQ(graph_main_domain(it, domain_of, nullptr, &bytes), "b");
+	graph_complete_piece(c_graph, 0, 1, "l", 2, 3000000);
+	EXPECT_STREQ(graph_main_domain(c_graph, domain_of, nullptr, &bytes),
+		     "b");
 	EXPECT_EQ(bytes, 6000000);
-	graph_destroy(it);
+	graph_destroy(c_graph);
 }
 
 /* ---- pieces ---- */
@@ -650,7 +658,7 @@
 	int requests[64];
 	int results = 0;
 
-	explicit Pieces(int64_t room = 0)
+	explicit Pieces(int64_t result_memory_bytes = 0)
 	{
 		pieces_options options = {};
 
@@ -662,7 +670,7 @@
 		options.batch_max = 8;
 		options.call_us = 150000;
 		options.piece_us = 10000;
-		options.result_memory_bytes = room;
+		options.result_memory_bytes = result_memory_bytes;
 		options.result_ttl_us = 4000000;
 		queue = pieces_create(&options);
 	}
@@ -940,22 +948,22 @@
 
 TEST(Backoff, DelayGrowsWithFailuresUpToABound)
 {
-	const backoff it = { 400000, 1800000 };
-
-	EXPECT_EQ(backoff_wait_us(&it, 0, 0), 400000);
-	EXPECT_EQ(backoff_wait_us(&it, 1, 0), 400000);
-	EXPECT_EQ(backoff_wait_us(&it, 2, 0), 800000);
-	EXPECT_EQ(backoff_wait_us(&it, 3, 0), 1600000);
-	EXPECT_EQ(backoff_wait_us(&it, 4, 0), 1800000);
-	EXPECT_EQ(backoff_wait_us(&it, G_MAXUINT32, 0), 1800000);
-	EXPECT_EQ(backoff_wait_us(&it, 4, 1), 1260000);
+	const backoff schedule = { 400000, 1800000 };
+
+	EXPECT_EQ(backoff_wait_us(&schedule, 0, 0), 400000);
+	EXPECT_EQ(backoff_wait_us(&schedule, 1, 0), 400000);
+	EXPECT_EQ(backoff_wait_us(&schedule, 2, 0), 800000);
+	EXPECT_EQ(backoff_wait_us(&schedule, 3, 0), 1600000);
+	EXPECT_EQ(backoff_wait_us(&schedule, 4, 0), 1800000);
+	EXPECT_EQ(backoff_wait_us(&schedule, G_MAXUINT32, 0), 1800000);
+	EXPECT_EQ(backoff_wait_us(&schedule, 4, 1), 1260000);
 }
 
 /* Eighty entries are refused for eight seconds: bounds all calls, and the calls
  * in each tenth of a second once their retries have spread out. */
 TEST(Backoff, FleetRetriesAreFewerAndSpreadOut)
 {
-	const backoff it = { 400000, 1800000 };
+	const backoff schedule = { 400000, 1800000 };
 	uint32_t calls = 0;
 	std::map<int64_t, uint32_t> each_tenth;
 
@@ -970,7 +978,7 @@
 			calls++;
 			if (at_us > 3000000)
 				each_tenth[at_us / 100000]++;
-			at_us += backoff_wait_us(&it, failures, draw);
+			at_us += backoff_wait_us(&schedule, failures, draw);
 		}
 	}
 	EXPECT_LE(calls, 80u * 8); /* at 400 ms each: 1,600 */
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -12,10 +12,10 @@
 constexpr int64_t interval_ms = 10000;
 constexpr int64_t max_ms = 20300;
 
-/* A process that starts to drain when a test says so, on a simulated clock. */
+/* A process that starts to drain at begin(), on a simulated clock. */
 struct Process {
 	TestClock time;
-	drain *it;
+	drain *c_drain;
 
 	Process()
 	{
@@ -28,11 +28,11 @@
 			max_ms * LP_US_PER_MS,
 		};
 
-		it = drain_create(&options);
+		c_drain = drain_create(&options);
 	}
 	~Process()
 	{
-		drain_destroy(it);
+		drain_destroy(c_drain);
 	}
 	Process(const Process &) = delete;
 	Process &operator=(const Process &) = delete;
@@ -42,15 +42,15 @@
 	}
 	void probe(const char *prober = "balancer")
 	{
-		drain_record_probe(it, prober);
+		drain_record_probe(c_drain, prober);
 	}
 	void begin()
 	{
-		drain_begin(it);
+		drain_begin(c_drain);
 	}
 	drain_state state() const
 	{
-		return drain_get_state(it);
+		return drain_get_state(c_drain);
 	}
 };
 
@@ -201,14 +201,14 @@
 
 	entry.advance(60000);
 	entry.begin();
-	drain_get_view(entry.it, &view);
+	drain_get_view(entry.c_drain, &view);
 	EXPECT_EQ(view.probers, 0u);
 	EXPECT_EQ(view.last_probe_age_us, -1);
 	EXPECT_EQ(view.first_notified_us, -1);
 	entry.advance(20);
 	entry.probe();
 	entry.advance(30);
-	drain_get_view(entry.it, &view);
+	drain_get_view(entry.c_drain, &view);
 	EXPECT_EQ(view.draining_for_us, 50 * LP_US_PER_MS);
 	EXPECT_EQ(view.probers, 1u);
 	EXPECT_EQ(view.notified, 1u);
--- a/tests/incarnations_test.cc
+++ b/tests/incarnations_test.cc
@@ -143,10 +143,10 @@
 };
 
 /* The call was sent before any other incarnation was observed. */
-pool_upstream *answered(RestartingPool &pool, pool_upstream *asked,
+pool_upstream *answered(RestartingPool &pool, pool_upstream *called,
 			int64_t born_ms)
 {
-	return pool_attribute_answer(pool.c_pool, asked, born_ms, 0);
+	return pool_attribute_answer(pool.c_pool, called, born_ms, 0);
 }
 
 TEST(PoolIncarnations, NewIncarnationHasNoEstimates)
@@ -218,25 +218,25 @@
 TEST(PoolIncarnations, AnswerReplacesListedIncarnation)
 {
 	RestartingPool pool;
-	pool_upstream *asked = pool_upstream_ref(pool.upstream());
+	pool_upstream *called = pool_upstream_ref(pool.upstream());
 	pool_upstream *newer;
 
-	EXPECT_EQ(answered(pool, asked, 0), asked);
-	EXPECT_EQ(answered(pool, asked, 1000), asked);
-	newer = answered(pool, asked, 1001);
+	EXPECT_EQ(answered(pool, called, 0), called);
+	EXPECT_EQ(answered(pool, called, 1000), called);
+	newer = answered(pool, called, 1001);
 	ASSERT_NE(newer, nullptr);
-	EXPECT_NE(newer, asked);
+	EXPECT_NE(newer, called);
 	EXPECT_EQ(pool.upstream(), newer);
 	EXPECT_EQ(newer->info.born_ms, 1001);
 	EXPECT_STREQ(newer->info.service, "s");
 	/* Answers of the terminated incarnation, or possibly of it, are not
 	 * attributed. */
-	EXPECT_EQ(answered(pool, asked, 1000), nullptr);
-	EXPECT_EQ(answered(pool, asked, 0), nullptr);
-	EXPECT_EQ(answered(pool, asked, 1001), newer);
+	EXPECT_EQ(answered(pool, called, 1000), nullptr);
+	EXPECT_EQ(answered(pool, called, 0), nullptr);
+	EXPECT_EQ(answered(pool, called, 1001), newer);
 	pool.list(1000); /* the list is outdated */
 	EXPECT_EQ(pool.upstream(), newer);
-	pool_upstream_unref(asked);
+	pool_upstream_unref(called);
 }
 
 /* The list has a new address for the upstream: another process may answer at
@@ -244,28 +244,28 @@
 TEST(PoolIncarnations, AnswerFromFormerAddressIsNotAttributed)
 {
 	RestartingPool pool;
-	pool_upstream *asked = pool_upstream_ref(pool.upstream());
+	pool_upstream *called = pool_upstream_ref(pool.upstream());
 
 	g_free(pool.infos[0].address);
 	pool.infos[0].address = g_strdup("1:2");
 	pool.list(1000);
-	EXPECT_NE(pool.upstream(), asked);
-	EXPECT_EQ(answered(pool, asked, 1000), nullptr);
-	EXPECT_EQ(answered(pool, asked, 0), nullptr);
+	EXPECT_NE(pool.upstream(), called);
+	EXPECT_EQ(answered(pool, called, 1000), nullptr);
+	EXPECT_EQ(answered(pool, called, 0), nullptr);
 	EXPECT_EQ(answered(pool, pool.upstream(), 1000), pool.upstream());
-	pool_upstream_unref(asked);
+	pool_upstream_unref(called);
 }
 
 /* A draining upstream keeps its results for a while. */
 TEST(PoolIncarnations, AnswerOfUnlistedIncarnationIsAttributed)
 {
 	RestartingPool pool;
-	pool_upstream *asked = pool_upstream_ref(pool.upstream());
+	pool_upstream *called = pool_upstream_ref(pool.upstream());
 
 	pool_update(pool.c_pool, &pool.infos[1], 1);
-	EXPECT_EQ(answered(pool, asked, 1000), asked);
-	EXPECT_EQ(answered(pool, asked, 999), nullptr);
-	pool_upstream_unref(asked);
+	EXPECT_EQ(answered(pool, called, 1000), called);
+	EXPECT_EQ(answered(pool, called, 999), nullptr);
+	pool_upstream_unref(called);
 }
 
 } // namespace
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -451,36 +451,36 @@
 		Fields fields({ { "Host", "h" },
 				{ "X-Attempt-Id", "a" },
 				{ row.name, row.value } });
-		direct_request_info ask = {};
+		direct_request_info info = {};
 
-		ask.prefix_blocks =
+		info.prefix_blocks =
 			g_array_new(FALSE, FALSE, sizeof(pool_prefix_block));
-		ask.pieces = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-		EXPECT_EQ(plf_codec()->read_request(&fields.list, &ask),
+		info.pieces = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+		EXPECT_EQ(plf_codec()->read_request(&fields.list, &info),
 			  row.valid)
 			<< row.name << " " << row.value;
-		g_array_unref(ask.prefix_blocks);
-		g_array_unref(ask.pieces);
+		g_array_unref(info.prefix_blocks);
+		g_array_unref(info.pieces);
 	}
 }
 
 TEST(PlfCodec, CallAnswerMustMatchPieces)
 {
-	direct_item_outcome made[2] = {};
+	direct_item_outcome outcomes[2] = {};
 	int64_t born_ms = -1;
 	auto read = [&](const std::string &body, uint32_t count) {
-		return plf_codec()->read_items(body.data(), body.size(), made,
-					       count, &born_ms);
+		return plf_codec()->read_items(body.data(), body.size(),
+					       outcomes, count, &born_ms);
 	};
 	const char valid_answer[] = "{\"items\":[{\"handle\":\"1:2/3\"},"
 				    "{\"reason\":\"gone\"}]}";
 
 	ASSERT_TRUE(read(valid_answer, 2));
 	EXPECT_EQ(born_ms, 0);
-	EXPECT_EQ(made[0].result, DIRECT_ITEM_COMPLETED);
-	EXPECT_STREQ(made[0].handle, "1:2/3");
-	EXPECT_EQ(made[1].result, DIRECT_ITEM_INPUT_GONE);
-	g_free(made[0].handle);
+	EXPECT_EQ(outcomes[0].result, DIRECT_ITEM_COMPLETED);
+	EXPECT_STREQ(outcomes[0].handle, "1:2/3");
+	EXPECT_EQ(outcomes[1].result, DIRECT_ITEM_INPUT_GONE);
+	g_free(outcomes[0].handle);
 	EXPECT_FALSE(read(valid_answer, 1));
 	EXPECT_FALSE(read("no", 2));
 	EXPECT_FALSE(read("{\"items\":7}", 2));
@@ -504,26 +504,26 @@
 
 TEST(PlfCodec, ResultMemoryIsInWholeMegabytes)
 {
-	direct_result_memory room = {};
+	direct_result_memory memory = {};
 	auto read = [&](const char *body) {
 		return plf_codec()->read_result_memory(body, strlen(body),
-						       &room);
+						       &memory);
 	};
 
 	ASSERT_TRUE(read("{\"waiting\":0,\"busy\":1,\"free_mb\":17}"));
-	EXPECT_EQ(room.min_bytes, 17000000);
-	EXPECT_EQ(room.max_bytes, 18000000);
-	EXPECT_EQ(room.born_ms, 0);
+	EXPECT_EQ(memory.min_bytes, 17000000);
+	EXPECT_EQ(memory.max_bytes, 18000000);
+	EXPECT_EQ(memory.born_ms, 0);
 	ASSERT_TRUE(read("{\"free_mb\":-3,\"born\":5}"));
-	EXPECT_EQ(room.min_bytes, 0);
-	EXPECT_EQ(room.born_ms, 5);
+	EXPECT_EQ(memory.min_bytes, 0);
+	EXPECT_EQ(memory.born_ms, 5);
 	for (const char *bad :
 	     { "", "no", "{}", "{\"free_mb\":\"17\"}", "{\"free_mb\":[17]}",
 	       "{\"free_mb\":null}", "{\"free_mb\":17,\"born\":\"5\"}" })
 		EXPECT_FALSE(read(bad)) << bad;
 	/* A value larger than any upstream's memory does not overflow. */
 	ASSERT_TRUE(read("{\"free_mb\":9000000000000000000}"));
-	EXPECT_GT(room.max_bytes, room.min_bytes);
+	EXPECT_GT(memory.max_bytes, memory.min_bytes);
 }
 
 /* ---- the log ---- */
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -14,13 +14,13 @@
 
 struct Fleet {
 	TestClock clock;
-	quarantine *it = quarantine_create(&clock.clock);
+	quarantine *c_quarantine = quarantine_create(&clock.clock);
 	uint64_t last_incarnation = 100;
 	int64_t wait_us = 0;
 
 	~Fleet()
 	{
-		quarantine_destroy(it);
+		quarantine_destroy(c_quarantine);
 	}
 	/* An upstream terminates under a run of this round. */
 	void terminate(uint64_t request, uint32_t round)
@@ -29,12 +29,13 @@
 			request, ++last_incarnation, round, clock.now_us, 100
 		};
 
-		EXPECT_TRUE(quarantine_add_termination(it, &termination));
+		EXPECT_TRUE(
+			quarantine_add_termination(c_quarantine, &termination));
 	}
 	quarantine_decision admit(uint64_t request = poison)
 	{
-		return quarantine_admit(it, request, clock.now_us + 3 * s,
-					&wait_us);
+		return quarantine_admit(c_quarantine, request,
+					clock.now_us + 3 * s, &wait_us);
 	}
 	/* Makes up to `most` runs, one after the other, that terminate their
 	 * upstreams; returns how many were admitted. */
@@ -43,8 +44,10 @@
 		for (int i = 0; i < most; i++) {
 			if (admit(request) == QUARANTINE_REFUSE)
 				return i;
-			terminate(request, quarantine_round(it, request));
-			quarantine_set_trial(it, request, clock.now_us);
+			terminate(request,
+				  quarantine_round(c_quarantine, request));
+			quarantine_set_trial(c_quarantine, request,
+					     clock.now_us);
 			clock.now_us += 100000;
 		}
 		return most;
@@ -53,7 +56,7 @@
 	{
 		quarantine_view view = {};
 
-		quarantine_get_view(it, request, &view);
+		quarantine_get_view(c_quarantine, request, &view);
 		return view;
 	}
 };
@@ -80,7 +83,8 @@
 		EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL);
 		EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
 		EXPECT_LE(fleet.wait_us, QUARANTINE_TRIAL_WAIT_MAX_US);
-		fleet.terminate(poison, quarantine_round(fleet.it, poison));
+		fleet.terminate(poison,
+				quarantine_round(fleet.c_quarantine, poison));
 		EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
 		out_us = MIN(out_us * QUARANTINE_BLOCK_FACTOR,
 			     QUARANTINE_BLOCK_MAX_US);
@@ -88,7 +92,8 @@
 	}
 	fleet.clock.now_us += fleet.wait_us;
 	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL);
-	EXPECT_TRUE(quarantine_clear(fleet.it, poison, fleet.clock.now_us));
+	EXPECT_TRUE(quarantine_clear(fleet.c_quarantine, poison,
+				     fleet.clock.now_us));
 	EXPECT_EQ(fleet.admit(), QUARANTINE_PASS);
 	EXPECT_EQ(fleet.admit(), QUARANTINE_PASS);
 }
@@ -104,7 +109,8 @@
 	EXPECT_EQ(fleet.get_view().rounds, 1u);
 	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL);
 	EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
-	EXPECT_TRUE(quarantine_clear(fleet.it, poison, fleet.clock.now_us));
+	EXPECT_TRUE(quarantine_clear(fleet.c_quarantine, poison,
+				     fleet.clock.now_us));
 	EXPECT_EQ(fleet.admit(), QUARANTINE_PASS);
 	EXPECT_EQ(fleet.get_view().terminations_count, 0u);
 }
@@ -122,7 +128,8 @@
 	}
 	EXPECT_EQ(fleet.admit(innocent), QUARANTINE_TRIAL);
 	EXPECT_EQ(fleet.admit(poison), QUARANTINE_TRIAL);
-	EXPECT_TRUE(quarantine_clear(fleet.it, innocent, fleet.clock.now_us));
+	EXPECT_TRUE(quarantine_clear(fleet.c_quarantine, innocent,
+				     fleet.clock.now_us));
 	fleet.terminate(poison, 3);
 	EXPECT_EQ(fleet.admit(innocent), QUARANTINE_PASS);
 	EXPECT_EQ(fleet.admit(poison), QUARANTINE_REFUSE);
@@ -144,7 +151,8 @@
 		Fleet fleet;
 
 		for (int at : order)
-			quarantine_add_termination(fleet.it, &terminations[at]);
+			quarantine_add_termination(fleet.c_quarantine,
+						   &terminations[at]);
 		EXPECT_EQ(fleet.get_view().terminations_count, 3u);
 		EXPECT_EQ(fleet.get_view().rounds, 3u);
 		EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
@@ -154,10 +162,10 @@
 				terminations[i].terminated_us);
 		/* Once it is cleared, reports of earlier terminations do not
 		 * count. */
-		quarantine_clear(fleet.it, poison, 3000);
+		quarantine_clear(fleet.c_quarantine, poison, 3000);
 		for (int at : order)
 			EXPECT_FALSE(quarantine_add_termination(
-				fleet.it, &terminations[at]));
+				fleet.c_quarantine, &terminations[at]));
 		EXPECT_EQ(fleet.admit(), QUARANTINE_PASS);
 	}
 }
@@ -169,12 +177,15 @@
 	Fleet fleet;
 	quarantine_termination termination = { poison, 50, 1, 1000, 0 };
 
-	EXPECT_TRUE(quarantine_add_termination(fleet.it, &termination));
+	EXPECT_TRUE(
+		quarantine_add_termination(fleet.c_quarantine, &termination));
 	/* the same one, as detected by another entry */
 	termination.terminated_us = 1500;
-	EXPECT_FALSE(quarantine_add_termination(fleet.it, &termination));
+	EXPECT_FALSE(
+		quarantine_add_termination(fleet.c_quarantine, &termination));
 	termination.round = 2;
-	EXPECT_TRUE(quarantine_add_termination(fleet.it, &termination));
+	EXPECT_TRUE(
+		quarantine_add_termination(fleet.c_quarantine, &termination));
 	EXPECT_EQ(fleet.get_view().terminations_count, 2u);
 }
 
@@ -185,11 +196,12 @@
 	fleet.terminate(poison, 1);
 	fleet.terminate(poison, 2);
 	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL);
-	quarantine_set_trial(fleet.it, poison, fleet.clock.now_us);
+	quarantine_set_trial(fleet.c_quarantine, poison, fleet.clock.now_us);
 	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL); /* reported as over */
 	fleet.clock.now_us += 3 * s;
 	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL); /* no report */
-	quarantine_set_trial(fleet.it, poison, fleet.clock.now_us + 2 * s);
+	quarantine_set_trial(fleet.c_quarantine, poison,
+			     fleet.clock.now_us + 2 * s);
 	EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE); /* another entry's */
 	EXPECT_EQ(fleet.wait_us, QUARANTINE_TRIAL_WAIT_MAX_US);
 }
@@ -208,7 +220,7 @@
 			fleet.terminate(other, 2);
 	}
 	quarantine_foreach(
-		fleet.it,
+		fleet.c_quarantine,
 		[](void *out, const quarantine_view *view) {
 			static_cast<std::vector<uint64_t> *>(out)->push_back(
 				view->request);
@@ -240,15 +252,15 @@
 
 	fleet.terminate(poison, 1);
 	fleet.clock.now_us += QUARANTINE_RECORD_TTL_US;
-	quarantine_expire(fleet.it);
-	EXPECT_FALSE(quarantine_is_empty(fleet.it));
+	quarantine_expire(fleet.c_quarantine);
+	EXPECT_FALSE(quarantine_is_empty(fleet.c_quarantine));
 	fleet.clock.now_us += 1;
-	quarantine_expire(fleet.it);
-	EXPECT_TRUE(quarantine_is_empty(fleet.it));
+	quarantine_expire(fleet.c_quarantine);
+	EXPECT_TRUE(quarantine_is_empty(fleet.c_quarantine));
 	fleet.runs_until_refused(poison, 10);
 	fleet.clock.now_us +=
 		QUARANTINE_BLOCK_US + QUARANTINE_RECORD_TTL_US - s;
-	quarantine_expire(fleet.it);
+	quarantine_expire(fleet.c_quarantine);
 	EXPECT_EQ(fleet.admit(), QUARANTINE_TRIAL);
 }
 
@@ -256,9 +268,9 @@
 {
 	Fleet fleet;
 
-	quarantine_set_enabled(fleet.it, false);
+	quarantine_set_enabled(fleet.c_quarantine, false);
 	EXPECT_EQ(fleet.runs_until_refused(poison, 10), 10);
-	quarantine_set_enabled(fleet.it, true);
+	quarantine_set_enabled(fleet.c_quarantine, true);
 	EXPECT_EQ(fleet.admit(), QUARANTINE_REFUSE);
 }
 
@@ -266,106 +278,106 @@
 
 struct LostRequests {
 	TestClock clock;
-	lost_requests *it = lost_requests_create(&clock.clock);
+	lost_requests *c_lost = lost_requests_create(&clock.clock);
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(lost_request));
 
 	~LostRequests()
 	{
-		lost_requests_destroy(it);
+		lost_requests_destroy(c_lost);
 		g_array_unref(out);
 	}
-	lost_request_status add(uint64_t request, uint64_t life)
+	lost_request_status add(uint64_t request, uint64_t incarnation)
 	{
-		lost_request one = { request, life, 1, clock.now_us,
+		lost_request one = { request, incarnation, 1, clock.now_us,
 				     clock.now_us };
 
-		return lost_requests_add(it, &one);
+		return lost_requests_add(c_lost, &one);
 	}
 };
 
 TEST(LostRequests, CountOnceTheUpstreamTerminated)
 {
-	LostRequests losses;
-
-	EXPECT_EQ(losses.add(1, 50), LOST_REQUEST_PROBE_NEEDED);
-	EXPECT_EQ(losses.add(2, 50), LOST_REQUEST_PROBE_PENDING);
-	EXPECT_EQ(losses.add(3, 51), LOST_REQUEST_PROBE_NEEDED);
-	EXPECT_TRUE(lost_requests_note_termination(losses.it, 50, false,
-						   losses.out));
-	EXPECT_EQ(losses.out->len, 2u);
-	EXPECT_FALSE(lost_requests_note_termination(losses.it, 50, false,
-						    losses.out));
-	EXPECT_EQ(losses.out->len, 2u);
-	EXPECT_EQ(losses.add(4, 50), LOST_REQUEST_UPSTREAM_TERMINATED);
+	LostRequests lost;
+
+	EXPECT_EQ(lost.add(1, 50), LOST_REQUEST_PROBE_NEEDED);
+	EXPECT_EQ(lost.add(2, 50), LOST_REQUEST_PROBE_PENDING);
+	EXPECT_EQ(lost.add(3, 51), LOST_REQUEST_PROBE_NEEDED);
+	EXPECT_TRUE(lost_requests_note_termination(lost.c_lost, 50, false,
+						   lost.out));
+	EXPECT_EQ(lost.out->len, 2u);
+	EXPECT_FALSE(lost_requests_note_termination(lost.c_lost, 50, false,
+						    lost.out));
+	EXPECT_EQ(lost.out->len, 2u);
+	EXPECT_EQ(lost.add(4, 50), LOST_REQUEST_UPSTREAM_TERMINATED);
 }
 
-/* A loss that is detected after the termination gets the time of the
+/* A lost request that is detected after the termination gets the time of the
  * termination. */
 TEST(LostRequests, LateLossIsDatedToTheTermination)
 {
-	LostRequests losses;
+	LostRequests lost;
 	lost_request late = { 1, 50, 1, 0, 0 };
-	int64_t ended_us = losses.clock.now_us;
+	int64_t terminated_us = lost.clock.now_us;
 
-	lost_requests_note_termination(losses.it, 50, false, losses.out);
-	losses.clock.now_us += s;
-	late.lost_us = losses.clock.now_us;
-	EXPECT_EQ(lost_requests_add(losses.it, &late),
+	lost_requests_note_termination(lost.c_lost, 50, false, lost.out);
+	lost.clock.now_us += s;
+	late.lost_us = lost.clock.now_us;
+	EXPECT_EQ(lost_requests_add(lost.c_lost, &late),
 		  LOST_REQUEST_UPSTREAM_TERMINATED);
-	EXPECT_EQ(late.lost_us, ended_us);
+	EXPECT_EQ(late.lost_us, terminated_us);
 }
 
 /* The upstream restarts before the list shows it, and terminates again. */
 TEST(LostRequests, ListedIncarnationMayTerminateTwice)
 {
-	LostRequests losses;
-
-	losses.add(1, 50);
-	lost_requests_note_termination(losses.it, 50, false, losses.out);
-	losses.clock.now_us += s;
-	EXPECT_EQ(losses.add(1, 50), LOST_REQUEST_PROBE_NEEDED);
-	EXPECT_TRUE(lost_requests_note_termination(losses.it, 50, false,
-						   losses.out));
-	ASSERT_EQ(losses.out->len, 2u);
+	LostRequests lost;
+
+	lost.add(1, 50);
+	lost_requests_note_termination(lost.c_lost, 50, false, lost.out);
+	lost.clock.now_us += s;
+	EXPECT_EQ(lost.add(1, 50), LOST_REQUEST_PROBE_NEEDED);
+	EXPECT_TRUE(lost_requests_note_termination(lost.c_lost, 50, false,
+						   lost.out));
+	ASSERT_EQ(lost.out->len, 2u);
 }
 
-/* A reset before the upstream was probed as alive does not count when it
- * terminates later, unless it reports that it had restarted. */
+/* A reset before a probe whose connection was accepted does not count when the
+ * upstream terminates later, unless it reports that it had restarted. */
 TEST(LostRequests, LossBeforeASuccessfulProbeDoesNotCount)
 {
 	for (bool restarted : { false, true }) {
-		LostRequests losses;
-
-		EXPECT_EQ(losses.add(1, 50), LOST_REQUEST_PROBE_NEEDED);
-		lost_requests_note_undetermined(losses.it, 50, true);
-		EXPECT_EQ(losses.add(2, 50), LOST_REQUEST_PROBE_NEEDED);
-		EXPECT_EQ(losses.add(3, 50), LOST_REQUEST_PROBE_PENDING);
-		lost_requests_note_termination(losses.it, 50, restarted,
-					       losses.out);
-		EXPECT_EQ(losses.out->len, restarted ? 3u : 2u);
+		LostRequests lost;
+
+		EXPECT_EQ(lost.add(1, 50), LOST_REQUEST_PROBE_NEEDED);
+		lost_requests_note_undetermined(lost.c_lost, 50, true);
+		EXPECT_EQ(lost.add(2, 50), LOST_REQUEST_PROBE_NEEDED);
+		EXPECT_EQ(lost.add(3, 50), LOST_REQUEST_PROBE_PENDING);
+		lost_requests_note_termination(lost.c_lost, 50, restarted,
+					       lost.out);
+		EXPECT_EQ(lost.out->len, restarted ? 3u : 2u);
 	}
 }
 
 TEST(LostRequests, LossAfterAnInconclusiveProbeCounts)
 {
-	LostRequests losses;
+	LostRequests lost;
 
-	losses.add(1, 50);
-	lost_requests_note_undetermined(losses.it, 50, false);
-	lost_requests_note_termination(losses.it, 50, false, losses.out);
-	EXPECT_EQ(losses.out->len, 1u);
+	lost.add(1, 50);
+	lost_requests_note_undetermined(lost.c_lost, 50, false);
+	lost_requests_note_termination(lost.c_lost, 50, false, lost.out);
+	EXPECT_EQ(lost.out->len, 1u);
 }
 
 TEST(LostRequests, ExpireWithoutATermination)
 {
-	LostRequests losses;
-
-	lost_requests_note_termination(losses.it, 50, false, losses.out);
-	losses.add(1, 51);
-	losses.clock.now_us += LOST_REQUESTS_RETENTION_US + 1;
-	lost_requests_expire(losses.it);
-	EXPECT_EQ(losses.add(1, 51), LOST_REQUEST_PROBE_NEEDED);
-	EXPECT_EQ(losses.add(1, 50),
+	LostRequests lost;
+
+	lost_requests_note_termination(lost.c_lost, 50, false, lost.out);
+	lost.add(1, 51);
+	lost.clock.now_us += LOST_REQUESTS_RETENTION_US + 1;
+	lost_requests_expire(lost.c_lost);
+	EXPECT_EQ(lost.add(1, 51), LOST_REQUEST_PROBE_NEEDED);
+	EXPECT_EQ(lost.add(1, 50),
 		  LOST_REQUEST_PROBE_NEEDED); /* its termination has expired too
 					       */
 }
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -75,16 +75,16 @@
 		for (pe_upstream *upstream : fleet.upstreams[service])
 			pe_set_limit(upstream, 1);
 		fleet.request_for(target, 2000);
-		for (auto &ask : fleet.requests) {
-			if (ask->wait().status == 200)
+		for (auto &request : fleet.requests) {
+			if (request->wait().status == 200)
 				continue;
-			double after = atof(ask->retry_after.c_str());
+			double after = atof(request->retry_after.c_str());
 
 			refused++;
-			EXPECT_EQ(ask->status, 503u);
+			EXPECT_EQ(request->status, 503u);
 			EXPECT_GT(after, 0);
 			EXPECT_LT(after, 60);
-			EXPECT_LT(ask->took_us, 300 * LP_US_PER_MS);
+			EXPECT_LT(request->took_us, 300 * LP_US_PER_MS);
 		}
 		EXPECT_GT(refused, (int)fleet.requests.size() / 2);
 	}
--- a/tests/result_memory_test.cc
+++ b/tests/result_memory_test.cc
@@ -27,7 +27,7 @@
 	{
 		result_memory_destroy(memory);
 	}
-	void hold(const char *handle, int64_t bytes)
+	void add_result(const char *handle, int64_t bytes)
 	{
 		result_memory_reserve(memory, bytes);
 		result_memory_commit(memory, handle, bytes);
@@ -58,7 +58,7 @@
 {
 	ResultMemory rig;
 
-	rig.hold("ours", 800);
+	rig.add_result("ours", 800);
 	for (int i = 0; i < 8; i++)
 		result_memory_release(rig.memory,
 				      ("theirs" + std::to_string(i)).c_str(),
@@ -70,7 +70,7 @@
 {
 	ResultMemory rig;
 
-	rig.hold("ours", 200);
+	rig.add_result("ours", 200);
 	/* Of 1000, 200 are tracked and 300 were free: 500 are untracked. */
 	result_memory_note_call(rig.memory, 1000, 200, 300, true);
 	EXPECT_EQ(result_memory_untracked_bytes(rig.memory), 500);
@@ -91,7 +91,7 @@
 {
 	ResultMemory rig;
 
-	rig.hold("ours", 200);
+	rig.add_result("ours", 200);
 	result_memory_note_report(rig.memory, 1000, 200, 300, 400);
 	EXPECT_EQ(result_memory_untracked_bytes(rig.memory), 400);
 	result_memory_note_report(rig.memory, 1000, 200, 300, 500);
@@ -116,13 +116,13 @@
 		int64_t bytes;
 		int64_t until_us;
 	};
-	std::map<std::string, std::vector<Result>> held;
+	std::map<std::string, std::vector<Result>> stored;
 
 	int64_t free_bytes(const std::string &id, int64_t now_us)
 	{
 		int64_t bytes = total_bytes;
 
-		for (const Result &result : held[id])
+		for (const Result &result : stored[id])
 			if (result.until_us > now_us)
 				bytes -= result.bytes;
 		return bytes;
@@ -131,7 +131,7 @@
 	{
 		if (free_bytes(id, now_us) < piece_bytes)
 			return false;
-		held[id].push_back({ piece_bytes, now_us + result_ttl_us });
+		stored[id].push_back({ piece_bytes, now_us + result_ttl_us });
 		return true;
 	}
 };
@@ -165,11 +165,11 @@
 		pieces_destroy(queue);
 	}
 	/* Results of the killed entries, which expire one by one. */
-	void leave_results(int count)
+	void add_untracked_results(int count)
 	{
 		for (const pool_upstream_info &info : infos)
 			for (int i = 1; i <= count; i++)
-				producers.held[info.id].push_back(
+				producers.stored[info.id].push_back(
 					{ piece_bytes,
 					  clock.now_us +
 						  i * result_ttl_us / count });
@@ -273,7 +273,7 @@
 {
 	RestartLoad rig;
 
-	rig.leave_results(16);
+	rig.add_untracked_results(16);
 	rig.add_requests(30);
 	rig.run(3000000);
 	EXPECT_GE(rig.completed, 48u);
@@ -289,7 +289,7 @@
 	RestartLoad rig;
 	pieces_call *call;
 
-	rig.leave_results(20);
+	rig.add_untracked_results(20);
 	rig.add_requests(4);
 	while (pieces_next_memory_query(rig.queue))
 		;
--- a/tests/sim_test.cc
+++ b/tests/sim_test.cc
@@ -5,8 +5,8 @@
  * killed, paused and slowed. Thousands of seeded fault schedules are run, and
  * the guarantees are checked as invariants: each request is answered once, no
  * call that is not repeatable runs twice, streams have no gap or repeat, and
- * outcomes say truly what ran. A failing schedule is reduced to the faults that
- * it needs.
+ * outcomes state correctly what ran. A failing schedule is reduced to the
+ * faults that it needs.
  */
 #include "cwrap.h"
 
--- a/tests/slow_link_test.cc
+++ b/tests/slow_link_test.cc
@@ -121,13 +121,13 @@
 TEST(SlowLink, SilentKeptAliveConnectionsAreReplaced)
 {
 	Rig rig;
-	pe_upstream *leaving = rig.add(PE_PLAIN, "plain");
-	pe_upstream *staying = rig.add(PE_PLAIN, "plain");
+	pe_upstream *draining = rig.add(PE_PLAIN, "plain");
+	pe_upstream *serving = rig.add(PE_PLAIN, "plain");
 
 	rig.settle();
 	pe_store_silence(rig.platform);
 	rig.set_config(2);
-	pe_drain(leaving);
+	pe_drain(draining);
 	EXPECT_TRUE(reaches_version(rig, 2, 1500));
 	run_loop_until([] { return false; }, 300);
 	for (int i = 0; i < 8; i++) {
@@ -138,8 +138,8 @@
 				  .status,
 			  200u);
 	}
-	EXPECT_EQ(pe_arrivals(leaving), 0u);
-	EXPECT_EQ(pe_arrivals(staying), 8u);
+	EXPECT_EQ(pe_arrivals(draining), 0u);
+	EXPECT_EQ(pe_arrivals(serving), 8u);
 }
 
 /* ---- limits of a transfer's duration ---- */
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -314,7 +314,7 @@
 	plf_upstream_list_destroy(empty);
 }
 
-/* The text contains the rest of the cold period; the hash only whether there
+/* The text contains the remaining cold period; the hash only whether there
  * is one. */
 TEST(UpstreamList, HashIncludesWhetherUpstreamIsCold)
 {
--- a/tests/warmup_test.cc
+++ b/tests/warmup_test.cc
@@ -261,7 +261,7 @@
 }
 
 /* An upstream that could not be reached may have restarted. The owner paces it
- * until the list says more; an entry that is not the owner continues. */
+ * until the list shows its state; an entry that is not the owner continues. */
 TEST(PoolClosedDomains, OnlyOwnerPacesUnreachableUpstream)
 {
 	for (bool is_owner : { true, false }) {
