--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -303,7 +303,7 @@
 	const std::string body(24000000, 'x');
 	TestServer test_server;
 	RawClient client(test_server.address);
-	gint64 begun_us = g_get_monotonic_time();
+	gint64 start_us = g_get_monotonic_time();
 	bool answered = false;
 
 	http_server_drain(test_server.server);
@@ -313,7 +313,7 @@
 	};
 	client.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
 	ASSERT_TRUE(iterate_until([&] { return answered; }));
-	while (g_get_monotonic_time() - begun_us < 3 * G_USEC_PER_SEC) {
+	while (g_get_monotonic_time() - start_us < 3 * G_USEC_PER_SEC) {
 		size_t before = client.received.size();
 		gint64 since_us = g_get_monotonic_time();
 
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -570,7 +570,7 @@
 	TestClock clock;
 	int pipe[2];
 	lp_event_options options = { "p", &clock.clock, 0, 1000000 };
-	gint64 begun_us = g_get_monotonic_time();
+	gint64 start_us = g_get_monotonic_time();
 	lp_event_log *log;
 
 	ASSERT_TRUE(g_unix_open_pipe(pipe, 0, nullptr));
@@ -585,7 +585,7 @@
 			lp_event_log_flush(log);
 	}
 	EXPECT_GT(lp_event_log_lost(log), 0);
-	EXPECT_LT(g_get_monotonic_time() - begun_us, 3000000);
+	EXPECT_LT(g_get_monotonic_time() - start_us, 3000000);
 	lp_event_log_destroy(log);
 	close(pipe[0]);
 	close(pipe[1]);
--- a/tests/suspend_test.cc
+++ b/tests/suspend_test.cc
@@ -44,10 +44,10 @@
  * long that took. */
 int64_t wait_duration_ms(const std::function<bool()> &done, int64_t limit_ms)
 {
-	gint64 begun_us = g_get_monotonic_time();
+	gint64 start_us = g_get_monotonic_time();
 
 	run_loop_until(done, limit_ms);
-	return (g_get_monotonic_time() - begun_us) / LP_US_PER_MS;
+	return (g_get_monotonic_time() - start_us) / LP_US_PER_MS;
 }
 
 TEST_F(Suspend, BootClockCountsSuspension)
