--- a/agent/agent.c
+++ b/agent/agent.c
@@ -390,8 +390,8 @@
 
 	drain_get_view(agent->drain, &view);
 	lp_log(LP_LOG_INFO, "agent", NULL,
-	       "drained %" G_GINT64_FORMAT
-	       " ms after drain began (%s): entries %u, told %u, informed %u",
+	       "ends %" G_GINT64_FORMAT
+	       " ms after leaving (%s): entries %u, told %u, informed %u",
 	       view.draining_for_us / LP_US_PER_MS, drain_state_name(state),
 	       view.probers, view.notified, view.informed);
 }
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -234,8 +234,8 @@
 
 	drain_get_view(entry->drain, &view);
 	lp_log(LP_LOG_INFO, "entry", NULL,
-	       "stopped listening %" G_GINT64_FORMAT " ms after drain began "
-	       "(%s): %u probers, %u told, %u informed; first told after "
+	       "closed to callers %" G_GINT64_FORMAT " ms after leaving (%s): "
+	       "%u probers, %u told, %u informed; first told after "
 	       "%" G_GINT64_FORMAT " ms, last probe %" G_GINT64_FORMAT
 	       " ms ago",
 	       view.draining_for_us / LP_US_PER_MS, drain_state_name(state),
