--- a/agent/agent.c
+++ b/agent/agent.c
@@ -253,14 +253,15 @@
 	send_to(payload->agent, call->peer, &msg);
 }
 
-static void on_run_finished(void *userdata, struct upstream_run_result *end)
+static void on_run_finished(void *userdata,
+			    struct upstream_run_result *run_result)
 {
 	struct payload *payload = userdata;
 	const struct worker_result result = {
-		.error = end->error,
-		.run = end->run,
-		.tokens = end->tokens,
-		.body = end->body,
+		.error = run_result->error,
+		.run = run_result->run,
+		.tokens = run_result->tokens,
+		.body = run_result->body,
 	};
 
 	worker_finished(payload->agent->worker, payload->call, &result);
@@ -278,12 +279,12 @@
 
 /* ---- messages from entries ---- */
 
-static void offer_call(struct agent *agent, const char *peer,
-		       struct wire_call *call)
+static void submit_call(struct agent *agent, const char *peer,
+			struct wire_call *call)
 {
 	struct payload *payload = g_new0(struct payload, 1);
 	struct worker_load load;
-	const struct worker_submit offer = {
+	const struct worker_submit submit = {
 		.id = call->id,
 		.peer = peer,
 		.organisation = call->organisation,
@@ -301,9 +302,9 @@
 	*call = (struct wire_call){ 0 }; /* the payload owns the strings */
 	*agent->calls += 1;
 	worker_get_load(agent->worker, &load);
-	trace_add(node_trace(agent->node), &offer.id, TRACE_QUEUED, NULL, 0,
+	trace_add(node_trace(agent->node), &submit.id, TRACE_QUEUED, NULL, 0,
 		  load.queued, load.running);
-	worker_submit(agent->worker, &offer);
+	worker_submit(agent->worker, &submit);
 }
 
 static void on_message(void *userdata, const char *name, struct wire_msg *msg)
@@ -321,7 +322,7 @@
 	} else if (msg->type == WIRE_CALL) {
 		node_report_peer_revision(agent->node, name,
 					  msg->u.call.revision, G_MAXUINT32);
-		offer_call(agent, name, &msg->u.call);
+		submit_call(agent, name, &msg->u.call);
 	} else if (msg->type == WIRE_QUERY) {
 		const struct worker_state_query question = {
 			.id = msg->u.query.id,
--- a/agent/agent_orders.c
+++ b/agent/agent_orders.c
@@ -9,8 +9,7 @@
 #define FENCE_PREFIX "linepier/fence/"
 #define DEFAULT_TIMEOUT_MS 10000
 #define SEND_TIMEOUT_US (2 * LP_US_PER_S)
-#define STATUS_STALE_FENCE \
-	412 /* precondition failed: outdated fencing number */
+#define STATUS_STALE_FENCE 412 /* precondition failed: outdated fence */
 
 struct agent_orders {
 	struct node *node;
@@ -20,7 +19,7 @@
 	char *fence_value; /* this process's incarnation in hexadecimal */
 };
 
-/* ---- the fencing number ---- */
+/* ---- the fence ---- */
 
 static const struct store_pair *own_pair(const struct agent_orders *orders,
 					 const struct store_answer *answer)
@@ -88,16 +87,16 @@
 			    const struct store_http_answer *answer)
 {
 	struct agent_orders *orders = userdata;
-	enum order_result end = ORDER_FAILED;
+	enum order_result result = ORDER_FAILED;
 
 	if (!answer->error && answer->status == SOUP_STATUS_OK)
-		end = ORDER_ACCEPTED;
+		result = ORDER_ACCEPTED;
 	else if (!answer->error && answer->status == STATUS_STALE_FENCE)
-		end = ORDER_REFUSED_FENCE;
-	order_finished(orders->order, end);
+		result = ORDER_REFUSED_FENCE;
+	order_finished(orders->order, result);
 	lp_log(LP_LOG_INFO, "agent", NULL, "order: %s",
-	       end == ORDER_ACCEPTED ? "taken"
-	       : end == ORDER_REFUSED_FENCE
+	       result == ORDER_ACCEPTED ? "taken"
+	       : result == ORDER_REFUSED_FENCE
 		       ? "rejected: fencing number outdated"
 		       : "failed");
 }
--- a/agent/agent_orders.h
+++ b/agent/agent_orders.h
@@ -1,8 +1,8 @@
 /**
  * Sends orders (load a model) to the upstream: policy/order.h over KV and HTTP.
  *
- * Each order carries a fencing number, by which the upstream rejects orders of
- * a superseded agent. The number is the KV's modification revision of the key
+ * Each order carries a fence, a number by which the upstream rejects orders of
+ * a superseded agent. The fence is the KV's modification revision of the key
  * linepier/fence/HOST, whose value is the incarnation that wrote it.
  */
 #ifndef AGENT_ORDERS_H
--- a/agent/agent_upstream.h
+++ b/agent/agent_upstream.h
@@ -47,7 +47,7 @@
 /** Start a run; end() is never called from inside this function. */
 struct upstream_run *upstream_start_run(struct upstream *upstream,
 					const struct upstream_request *request);
-/** Close the connection; end() follows from the loop. */
+/** Close the connection; end() follows from the event loop. */
 void upstream_cancel_run(struct upstream_run *run);
 
 #endif
--- a/http/http_server.c
+++ b/http/http_server.c
@@ -15,15 +15,15 @@
 /* Limit of connections that wait to be accepted. */
 #define BACKLOG 512
 /* Limit of connections accepted in one event-loop iteration. */
-#define ACCEPTS_PER_WAKEUP 64
+#define ACCEPTS_PER_ITERATION 64
 
 struct conn;
 
 struct http_call {
 	struct conn *conn;
 	bool started;
-	void (*gone)(void *userdata);
-	void *gone_userdata;
+	void (*on_disconnect)(void *userdata);
+	void *disconnect_userdata;
 };
 
 struct conn {
@@ -260,13 +260,13 @@
 static void on_ended(void *userdata, int error)
 {
 	struct conn *conn = userdata;
-	void (*gone)(void *userdata) =
-		conn->answer_pending ? conn->call.gone : NULL;
-	void *gone_userdata = conn->call.gone_userdata;
+	void (*on_disconnect)(void *userdata) =
+		conn->answer_pending ? conn->call.on_disconnect : NULL;
+	void *disconnect_userdata = conn->call.disconnect_userdata;
 
 	close_conn(conn, true);
-	if (gone)
-		gone(gone_userdata);
+	if (on_disconnect)
+		on_disconnect(disconnect_userdata);
 }
 
 static void on_delivered(void *userdata)
@@ -316,7 +316,7 @@
 static gboolean on_accept(GSocket *socket, GIOCondition condition,
 			  gpointer userdata)
 {
-	accept_pending(userdata, ACCEPTS_PER_WAKEUP);
+	accept_pending(userdata, ACCEPTS_PER_ITERATION);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -506,11 +506,11 @@
 }
 
 void http_call_set_disconnect_handler(struct http_call *call,
-				      void (*gone)(void *userdata),
+				      void (*on_disconnect)(void *userdata),
 				      void *userdata)
 {
-	call->gone = gone;
-	call->gone_userdata = userdata;
+	call->on_disconnect = on_disconnect;
+	call->disconnect_userdata = userdata;
 }
 
 static bool is_head_method(const struct conn *conn)
--- a/http/http_server.h
+++ b/http/http_server.h
@@ -79,11 +79,11 @@
 /** When the first byte of the request was read. */
 int64_t http_call_arrived_us(const struct http_call *call);
 /**
- * Set a callback for the client's disconnect. gone() is called once; the call
- * is over then and must not be used any more.
+ * Set a callback for the client's disconnect. on_disconnect() is called once;
+ * the call is over then and must not be used any more.
  */
 void http_call_set_disconnect_handler(struct http_call *call,
-				      void (*gone)(void *userdata),
+				      void (*on_disconnect)(void *userdata),
 				      void *userdata);
 /**
  * Send a complete answer. `fields` must not hold framing or connection fields.
--- a/node/node.c
+++ b/node/node.c
@@ -28,7 +28,7 @@
 	struct wire_sock *sock;
 	struct store_kv *kv;
 	struct store_hosts_client *hosts;
-	struct config_propagation *spread;
+	struct config_propagation *propagation;
 	struct cfg_snapshot *snapshot;
 	struct node_admin *admin;
 	GMainLoop *loop;
@@ -44,7 +44,7 @@
 static void install_snapshot(struct node *node, struct cfg_snapshot *snapshot,
 			     const char *from)
 {
-	if (!config_propagation_accept(node->spread, snapshot->revision)) {
+	if (!config_propagation_accept(node->propagation, snapshot->revision)) {
 		cfg_snapshot_unref(snapshot);
 		return;
 	}
@@ -78,11 +78,11 @@
 		reject_record(node, "the KV");
 		return;
 	}
-	if (record->revision < config_propagation_revision(node->spread)) {
+	if (record->revision < config_propagation_revision(node->propagation)) {
 		*lp_counter(node->counters, "linepier_config_old_reads_total",
 			    NULL) += 1;
 	} else if (record->revision >
-		   config_propagation_revision(node->spread)) {
+		   config_propagation_revision(node->propagation)) {
 		if (cfg_snapshot_create(record, &snapshot))
 			reject_record(node, "the KV");
 		else
@@ -97,7 +97,7 @@
 
 	if (!answer->error && answer->pairs_count)
 		handle_record(node, &answer->pairs[0]);
-	config_propagation_read_done(node->spread, !answer->error);
+	config_propagation_read_done(node->propagation, !answer->error);
 }
 
 static void read_record(struct node *node)
@@ -113,10 +113,10 @@
 
 	if (!answer->error && answer->pairs_count)
 		revision = g_ascii_strtoull(answer->pairs[0].value, NULL, 10);
-	if (revision > config_propagation_revision(node->spread))
+	if (revision > config_propagation_revision(node->propagation))
 		read_record(node);
 	else
-		config_propagation_read_done(node->spread, !answer->error);
+		config_propagation_read_done(node->propagation, !answer->error);
 }
 
 /* The revision number has a separate key, so polling it often is cheap. */
@@ -137,7 +137,7 @@
 {
 	struct node *node = userdata;
 
-	config_propagation_watch_ended(node->spread);
+	config_propagation_watch_ended(node->propagation);
 }
 
 static void set_config_watch(void *userdata, bool on)
@@ -161,7 +161,8 @@
 	struct node *node = userdata;
 	const struct wire_msg msg = {
 		.type = WIRE_CONFIG_GET,
-		.u.config_get.have = config_propagation_revision(node->spread),
+		.u.config_get.have =
+			config_propagation_revision(node->propagation),
 	};
 
 	node_send(node, peer, &msg);
@@ -192,7 +193,7 @@
 {
 	struct cfg_snapshot *snapshot;
 
-	if (body->revision <= config_propagation_revision(node->spread))
+	if (body->revision <= config_propagation_revision(node->propagation))
 		return;
 	if (cfg_snapshot_unpack(body->packed, &snapshot))
 		reject_record(node, peer);
@@ -203,15 +204,15 @@
 void node_report_peer_revision(struct node *node, const char *peer,
 			       uint64_t revision, uint32_t kv_age_ms)
 {
-	config_propagation_handle_revision(node->spread, peer, revision);
-	config_propagation_handle_kv_age(node->spread,
+	config_propagation_handle_revision(node->propagation, peer, revision);
+	config_propagation_handle_kv_age(node->propagation,
 					 kv_age_ms * LP_US_PER_MS);
 }
 
 uint32_t node_kv_age_ms(const struct node *node)
 {
 	int64_t age_ms =
-		config_propagation_kv_age_us(node->spread) / LP_US_PER_MS;
+		config_propagation_kv_age_us(node->propagation) / LP_US_PER_MS;
 
 	return (uint32_t)MIN(age_ms, G_MAXUINT32);
 }
@@ -261,7 +262,7 @@
 		count += 1;
 	}
 	config_propagation_set_reader(
-		node->spread,
+		node->propagation,
 		rendezvous_is_reader(node->settings->host,
 				     node->settings->domain, members, count,
 				     CONFIG_READERS_PER_DOMAIN),
@@ -313,7 +314,7 @@
 		set_gauge(node, "linepier_config_packed_bytes",
 			  (int64_t)g_bytes_get_size(node->snapshot->packed));
 	set_gauge(node, "linepier_config_reader",
-		  config_propagation_is_reader(node->spread));
+		  config_propagation_is_reader(node->propagation));
 	if (node->options.role->gauges)
 		node->options.role->gauges(node->options.userdata);
 	lp_counters_print(node->counters, out);
@@ -352,9 +353,10 @@
 	lp_json_int(builder, "revision_since_us",
 		    node->snapshot ? node->snapshot->since_us : 0);
 	lp_json_int(builder, "revision_heard",
-		    (int64_t)config_propagation_highest_revision(node->spread));
+		    (int64_t)config_propagation_highest_revision(
+			    node->propagation));
 	lp_json_bool(builder, "reader",
-		     config_propagation_is_reader(node->spread));
+		     config_propagation_is_reader(node->propagation));
 	lp_json_text(builder, "state",
 		     node->drain_started_us ? "leaving"
 		     : why		    ? "unready"
@@ -414,7 +416,7 @@
 {
 	struct node *node = userdata;
 
-	config_propagation_tick(node->spread);
+	config_propagation_tick(node->propagation);
 	node->options.role->tick(node->options.userdata);
 	if (node->drain_started_us)
 		check_drained(node);
@@ -473,7 +475,7 @@
 		.failed = on_hosts_failed,
 		.userdata = node,
 	};
-	const struct config_propagation_options spread = {
+	const struct config_propagation_options options = {
 		.clock = node->clock,
 		.ops = &config_propagation_ops,
 		.userdata = node,
@@ -485,7 +487,7 @@
 	};
 
 	node->kv = store_etcd_create(&kv);
-	node->spread = config_propagation_create(&spread);
+	node->propagation = config_propagation_create(&options);
 	node->hosts = store_hosts_create(&hosts);
 }
 
@@ -528,7 +530,7 @@
 			g_source_remove(node->signals[i]);
 	store_hosts_destroy(node->hosts);
 	store_kv_destroy(node->kv);
-	config_propagation_destroy(node->spread);
+	config_propagation_destroy(node->propagation);
 	node_admin_destroy(node->admin);
 	wire_sock_destroy(node->sock);
 	cfg_snapshot_unref(node->snapshot);
@@ -575,7 +577,7 @@
 
 uint64_t node_revision(const struct node *node)
 {
-	return config_propagation_revision(node->spread);
+	return config_propagation_revision(node->propagation);
 }
 
 uint64_t node_incarnation(const struct node *node)
--- a/policy/config_propagation.h
+++ b/policy/config_propagation.h
@@ -7,8 +7,8 @@
  * peer that reported a higher revision. A process without a revision reads the
  * KV itself if no peer has helped for a while; these reads are spread over
  * time. Processes report to each other how long ago any of them reached the KV;
- * when that is too long (the readers died, and the host list still names them),
- * others read the KV in their place.
+ * when that is too long (the readers terminated, and the host list still names
+ * them), others read the KV in their place.
  *
  * Pure: events and the clock in, actions out through the ops. Times are in
  * microseconds on the clock of the options.
--- a/policy/dispatchers.c
+++ b/policy/dispatchers.c
@@ -14,13 +14,13 @@
  * this. */
 #define STRONG_CAPACITY_DIVISOR 2
 
-/* Members that have not answered are greeted again after 100 ms, as one
- * greeting may be lost. */
+/* A hello is sent again after 100 ms to members that have not answered, as one
+ * hello may be lost. */
 #define DISCOVERY_QUIET_US (100 * LP_US_PER_MS)
-/* Hosts that start together come up within 300 ms, and their greetings take a
+/* Hosts that start together come up within 300 ms, and their hellos take a
  * few ms more. */
 #define DISCOVERY_SILENT_US (350 * LP_US_PER_MS)
-/* By then thirty entries have discovered each other, even if some greetings are
+/* By then thirty entries have discovered each other, even if some hellos are
  * lost. */
 #define DISCOVERY_MAX_US (700 * LP_US_PER_MS)
 
--- a/policy/dispatchers.h
+++ b/policy/dispatchers.h
@@ -35,7 +35,7 @@
 	int64_t started_us;	    /**< when the entry started */
 	int64_t last_discovered_us; /**< last first contact with a member;
 					0: none yet */
-	bool has_silent_members;    /**< known but not heard from */
+	bool has_silent_members;    /**< known; no hello received yet */
 };
 
 /**
--- a/policy/flow.h
+++ b/policy/flow.h
@@ -236,7 +236,8 @@
 /** Handle an agent's reply to a query. */
 void flow_handle_state(struct flow *flow, const struct lp_call_id *id,
 		       enum flow_state state);
-/** The caller is gone: withdraw and free the request, without finish(). */
+/** The caller has disconnected: withdraw and free the request, without
+ * finish(). */
 void flow_cancel(struct flow *flow, const struct lp_call_id *id);
 /**
  * Cap the deadlines of all current and later requests at `end_us`. Admission
--- a/policy/incarnations.c
+++ b/policy/incarnations.c
@@ -89,7 +89,7 @@
 
 enum incarnation_status
 incarnations_observe_answer(struct incarnations *incarnations, const char *id,
-			    int64_t born_ms, int64_t asked_us)
+			    int64_t born_ms, int64_t sent_us)
 {
 	struct incarnation *incarnation =
 		g_hash_table_lookup(incarnations->current_by_id, id);
@@ -98,7 +98,7 @@
 	    born_ms == incarnation->born_ms)
 		return INCARNATION_CURRENT;
 	if (born_ms < incarnation->born_ms &&
-	    asked_us <= incarnation->observed_us)
+	    sent_us <= incarnation->observed_us)
 		return INCARNATION_STALE;
 	start_incarnation(incarnation, born_ms, lp_now_us(incarnations->clock));
 	return INCARNATION_NEW;
--- a/policy/incarnations.h
+++ b/policy/incarnations.h
@@ -47,12 +47,12 @@
 			    int64_t born_ms);
 /**
  * Observe a start time in an upstream's answer to a call that began at
- * `asked_us`. If a newer incarnation was observed before the call began, only
+ * `sent_us`. If a newer incarnation was observed before the call began, only
  * the current process can have answered: its clock was set back.
  */
 enum incarnation_status
 incarnations_observe_answer(struct incarnations *incarnations, const char *id,
-			    int64_t born_ms, int64_t asked_us);
+			    int64_t born_ms, int64_t sent_us);
 /** Drop ids that no list has named for INCARNATIONS_RETENTION_US. */
 void incarnations_expire(struct incarnations *incarnations);
 
--- a/policy/lost_requests.c
+++ b/policy/lost_requests.c
@@ -4,14 +4,14 @@
  * host; beyond it the oldest are dropped. */
 #define UNRESOLVED_MAX 4096
 
-struct unresolved_loss {
+struct unresolved_request {
 	struct lost_request request;
-	bool accepts_connections; /* its address, after the loss */
+	bool accepts_connections; /* its address, after the connection failed */
 };
 
 struct lost_requests {
 	const struct lp_clock *clock;
-	GArray *unresolved;	/* struct unresolved_loss, oldest first */
+	GArray *unresolved;	/* struct unresolved_request, oldest first */
 	GHashTable *probed;	/* incarnation -> start of its probe */
 	GHashTable *terminated; /* incarnation -> time of termination */
 };
@@ -22,7 +22,7 @@
 
 	lost_requests->clock = clock;
 	lost_requests->unresolved =
-		g_array_new(FALSE, FALSE, sizeof(struct unresolved_loss));
+		g_array_new(FALSE, FALSE, sizeof(struct unresolved_request));
 	lost_requests->probed = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, g_free, g_free);
 	lost_requests->terminated = g_hash_table_new_full(
@@ -40,11 +40,11 @@
 	g_free(lost_requests);
 }
 
-static struct unresolved_loss *
+static struct unresolved_request *
 unresolved_at(const struct lost_requests *lost_requests, guint at)
 {
-	return &g_array_index(lost_requests->unresolved, struct unresolved_loss,
-			      at);
+	return &g_array_index(lost_requests->unresolved,
+			      struct unresolved_request, at);
 }
 
 /* Adds an incarnation with a time, unless it is in the table. Returns whether
@@ -62,7 +62,7 @@
 enum lost_request_status lost_requests_add(struct lost_requests *lost_requests,
 					   struct lost_request *lost)
 {
-	const struct unresolved_loss unresolved = { .request = *lost };
+	const struct unresolved_request unresolved = { .request = *lost };
 	const int64_t *terminated_us = g_hash_table_lookup(
 		lost_requests->terminated, &lost->incarnation);
 
@@ -102,7 +102,7 @@
 	guint at = 0;
 
 	while (at < lost_requests->unresolved->len) {
-		const struct unresolved_loss *unresolved =
+		const struct unresolved_request *unresolved =
 			unresolved_at(lost_requests, at);
 
 		if (unresolved->request.incarnation != incarnation ||
--- a/policy/lost_requests.h
+++ b/policy/lost_requests.h
@@ -6,10 +6,10 @@
  * A reset, a malformed answer or a timeout may be caused by the network, by an
  * overloaded or draining upstream, or by its termination; only the last is
  * evidence against the request. So a lost request is kept for a while and
- * counts once the upstream's incarnation is known to be over: its host refuses
- * connections, another process answers at its address, or its answers or the
- * list give a new start time. If none of this is observed, the lost request is
- * dropped.
+ * counts once the upstream's incarnation is known to have terminated: its host
+ * refuses connections, another process answers at its address, or its answers
+ * or the list give a new start time. If none of this is observed, the lost
+ * request is dropped.
  */
 #ifndef LOST_REQUESTS_H
 #define LOST_REQUESTS_H
@@ -51,20 +51,20 @@
 enum lost_request_status lost_requests_add(struct lost_requests *lost_requests,
 					   struct lost_request *lost);
 /**
- * Record that an incarnation is over and append the requests lost with it
- * (struct lost_request) to `out`. Returns whether this was not known yet.
+ * Record that an incarnation has terminated and append the requests lost with
+ * it (struct lost_request) to `out`. Returns whether this was not known yet.
  * `restarted`: a new start time was observed; otherwise nobody accepts
- * connections at its address. In that case, requests after whose loss the
- * address accepted connections do not count.
+ * connections at its address. In that case, a request does not count if the
+ * address accepted connections after the request's connection had failed.
  */
 bool lost_requests_note_termination(struct lost_requests *lost_requests,
 				    uint64_t incarnation, bool restarted,
 				    GArray *out);
 /**
- * Record that a probe did not determine whether the incarnation is over: the
- * next lost request is to be probed again. `accepts_connections`: a process
+ * Record that a probe did not determine whether the incarnation has terminated:
+ * the next lost request is to be probed again. `accepts_connections`: a process
  * accepts connections at the address. It may be another incarnation, so only a
- * new start time can show that this one is over.
+ * new start time can show that this one has terminated.
  */
 void lost_requests_note_undetermined(struct lost_requests *lost_requests,
 				     uint64_t incarnation,
--- a/policy/pool.c
+++ b/policy/pool.c
@@ -421,7 +421,7 @@
 static int64_t pushback_left_us(const struct pool *pool,
 				const struct pool_upstream *upstream)
 {
-	/* Most upstreams never asked for it: avoids reading the clock. */
+	/* Most upstreams never sent a pushback: avoids reading the clock. */
 	if (!upstream->pushback_until_us)
 		return 0;
 	return MAX(upstream->pushback_until_us - lp_now_us(pool->clock), 0);
@@ -566,7 +566,7 @@
 }
 
 /* Replaces an incarnation; no estimate is carried over. Holders of the previous
- * one end what is under way there. */
+ * one end their work in progress there. */
 static struct pool_upstream *
 replace_incarnation(struct pool *pool, struct pool_upstream *listed,
 		    const struct pool_upstream_info *info)
@@ -699,11 +699,11 @@
 
 struct pool_upstream *pool_attribute_answer(struct pool *pool,
 					    struct pool_upstream *upstream,
-					    int64_t born_ms, int64_t asked_us)
+					    int64_t born_ms, int64_t sent_us)
 {
 	struct pool_upstream *listed = pool_find(pool, upstream->info.id);
 	enum incarnation_status status = incarnations_observe_answer(
-		pool->incarnations, upstream->info.id, born_ms, asked_us);
+		pool->incarnations, upstream->info.id, born_ms, sent_us);
 
 	if (status == INCARNATION_STALE)
 		return NULL;
--- a/policy/pool.h
+++ b/policy/pool.h
@@ -153,13 +153,13 @@
 					    uint64_t incarnation);
 /**
  * Determine which incarnation answered a request sent to `upstream` at
- * `asked_us`. `born_ms` is the start time given in the answer; 0: none.
+ * `sent_us`. `born_ms` is the start time given in the answer; 0: none.
  * Returns NULL if that incarnation has terminated, and its results with it. An
  * incarnation newer than the listed one replaces it.
  */
 struct pool_upstream *pool_attribute_answer(struct pool *pool,
 					    struct pool_upstream *upstream,
-					    int64_t born_ms, int64_t asked_us);
+					    int64_t born_ms, int64_t sent_us);
 /** Whether the last list had an incarnation that seems to have terminated: the
  * same list must be applied again later, as the upstream's clock may have been
  * set back. */
--- a/policy/quarantine.h
+++ b/policy/quarantine.h
@@ -2,7 +2,7 @@
  * Quarantine of requests that seem to crash the upstreams that run them.
  *
  * Such a request terminates one upstream after the other, as its caller retries
- * it. Each try has another id, so a request is known by a digest of its
+ * it. Each retry has another id, so a request is known by a digest of its
  * content. A termination of an upstream counts against each request in flight
  * there, also against those that shared it by chance. An answer clears a
  * request of all earlier terminations: a request that crashes its upstreams
@@ -10,7 +10,7 @@
  *
  * - With fewer than two terminations a request passes.
  * - From two on it is a suspect. Only one run of it at a time is allowed in the
- *   whole fleet, the trial (QUARANTINE_TRIAL); other tries are refused
+ *   whole fleet, the trial (QUARANTINE_TRIAL); other runs are refused
  *   meanwhile. This clears requests that shared upstreams by chance, and
  *   popular requests that were in flight while upstreams terminated for another
  *   reason.
--- a/policy/worker.c
+++ b/policy/worker.c
@@ -429,7 +429,7 @@
 		refuse_queued(worker, item->owner, LP_ERROR_LEAVING);
 }
 
-/* Cancels overdue calls: their entry died, or its withdrawal was lost. */
+/* Cancels overdue calls: their entry terminated, or its withdrawal was lost. */
 static void cancel_overdue(struct worker *worker)
 {
 	int64_t now = now_us(worker);
